--- a/Balsamrack/Decisions/ColdAllowance.h
+++ b/Balsamrack/Decisions/ColdServerRateLimiter.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_DECISIONS_COLDALLOWANCE_H
-#define BALSAMRACK_DECISIONS_COLDALLOWANCE_H
+#ifndef BALSAMRACK_DECISIONS_COLDSERVERRATELIMITER_H
+#define BALSAMRACK_DECISIONS_COLDSERVERRATELIMITER_H
 
 #include "Balsamrack/Core/Time.h"
 
@@ -13,22 +13,22 @@
 /// them; a daemon without a share sends nothing. At most one flow is saved up:
 /// the two or three daemons that share a server exceed its figure by as many
 /// flows in any second, never by a burst. Not thread-safe.
-class ColdAllowance {
+class ColdServerRateLimiter {
 public:
   /// Of the figure that operators give, left free for views that differ.
-  static constexpr double UsedPart = 0.8;
+  static constexpr double UsedFraction = 0.8;
 
   /// True when a flow may go now. \p perSecond is what the server bears, \p
   /// part this daemon's part of it (0 to 1).
-  bool allows(TimePoint now, double perSecond, double part);
+  bool mayAdmit(TimePoint now, double perSecond, double part);
   /// A flow went. Precondition: allows() was true at this time.
-  void used() { Credit -= 1; }
+  void consume() { Tokens -= 1; }
 
 private:
-  double Credit = 0; ///< Flows saved up, one at most.
-  TimePoint At;      ///< When Credit was last raised; zero: never.
+  double Tokens = 0;    ///< Flows saved up, one at most.
+  TimePoint RefilledAt; ///< When Credit was last raised; zero: never.
 };
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_DECISIONS_COLDALLOWANCE_H
+#endif // BALSAMRACK_DECISIONS_COLDSERVERRATELIMITER_H
--- a/Balsamrack/Decisions/DispatchPause.cpp
+++ b/Balsamrack/Decisions/DispatchPause.cpp
@@ -4,24 +4,24 @@
 
 namespace balsamrack {
 
-void DispatchPause::answered() {
-  UnreachableInRow = 0;
-  Next = FirstPause;
+void DispatchPause::reportAnswered() {
+  ConsecutiveUnreachable = 0;
+  NextPause = MinPause;
 }
 
-void DispatchPause::shed(TimePoint now, Duration wished) {
-  UnreachableInRow = 0;
-  pause(now, std::min(wished, Duration(MostWished)));
+void DispatchPause::reportShed(TimePoint now, Duration retryAfter) {
+  ConsecutiveUnreachable = 0;
+  extend(now, std::min(retryAfter, Duration(MaxRetryAfter)));
 }
 
-void DispatchPause::unreachable(TimePoint now) {
-  ++UnreachableInRow;
-  pause(now, Duration(0));
+void DispatchPause::reportUnreachable(TimePoint now) {
+  ++ConsecutiveUnreachable;
+  extend(now, Duration(0));
 }
 
-void DispatchPause::pause(TimePoint now, Duration wished) {
-  Until = std::max(Until, now + std::max(Next, wished));
-  Next = std::min(Next * 2, Duration(MostPause));
+void DispatchPause::extend(TimePoint now, Duration retryAfter) {
+  Until = std::max(Until, now + std::max(NextPause, retryAfter));
+  NextPause = std::min(NextPause * 2, Duration(MaxPause));
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/DispatchPause.h
+++ b/Balsamrack/Decisions/DispatchPause.h
@@ -22,28 +22,30 @@
 class DispatchPause {
 public:
   /// The server answered: no pause, and the next one is short again.
-  void answered();
-  /// The server shed a request and asked for \p wished.
-  void shed(TimePoint now, Duration wished);
+  void reportAnswered();
+  /// The server shed a request and asked for \p retryAfter.
+  void reportShed(TimePoint now, Duration retryAfter);
   /// No connection to the server came about.
-  void unreachable(TimePoint now);
+  void reportUnreachable(TimePoint now);
 
   /// No dispatch before this.
   TimePoint until() const { return Until; }
   /// The server was not found repeatedly.
-  bool gone() const { return UnreachableInRow >= UnreachableIsGone; }
+  bool isUnreachable() const {
+    return ConsecutiveUnreachable >= UnreachableLimit;
+  }
 
 private:
-  static constexpr uint32_t UnreachableIsGone = 2;
-  static constexpr Duration FirstPause{20'000};
-  static constexpr Duration MostPause{1'000'000};
-  static constexpr Duration MostWished{5'000'000};
+  static constexpr uint32_t UnreachableLimit = 2;
+  static constexpr Duration MinPause{20'000};
+  static constexpr Duration MaxPause{1'000'000};
+  static constexpr Duration MaxRetryAfter{5'000'000};
 
-  void pause(TimePoint now, Duration wished);
+  void extend(TimePoint now, Duration retryAfter);
 
-  TimePoint Until;               ///< See until().
-  Duration Next = FirstPause;    ///< Length of the next pause.
-  uint32_t UnreachableInRow = 0; ///< Dispatches that found no server.
+  TimePoint Until;                     ///< See until().
+  Duration NextPause = MinPause;       ///< Length of the next pause.
+  uint32_t ConsecutiveUnreachable = 0; ///< Dispatches that found no server.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/LateOpenings.h
+++ b/Balsamrack/Decisions/LateOpenings.h
@@ -26,10 +26,10 @@
 /// an objective. A waiting one goes on while a quarter of its caller's timeout
 /// is left, whether slots are free or not, so that it is late but not lost.
 /// Pure, thread-safe.
-Duration lateOpeningWait(const OpeningTimes &times);
+Duration lateOpeningMaxWait(const OpeningTimes &times);
 
 /// How busy a daemon keeps the slots that are its own.
-struct OwnSlots {
+struct OwnSlotUsage {
   double Load = 0;         ///< Own requests in progress by own slots.
   Duration RequestTime{0}; ///< Usual time of a request; zero: not known.
   Duration Handshake{
@@ -41,7 +41,7 @@
 /// time of a handshake each; only what lies between takes a slot. Without
 /// that, daemons of short work far from their callers would see full slots
 /// where half of them are free. Pure, thread-safe.
-bool slotsTaken(const OwnSlots &slots);
+bool areOwnSlotsBusy(const OwnSlotUsage &slots);
 
 } // namespace balsamrack
 
--- a/Balsamrack/Decisions/OpeningChoice.cpp
+++ b/Balsamrack/Decisions/OpeningChoice.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Costs that differ by less are equal: rounding must not decide.
-constexpr double SameCost = 1e-6;
+constexpr double CostTolerance = 1e-6;
 
 struct Cost {
   OpeningRank Rank;
@@ -16,20 +16,20 @@
   uint32_t InProgress;
 };
 
-bool same(const Cost &a, const Cost &b) {
-  return a.Rank == b.Rank && std::abs(a.Wait - b.Wait) < SameCost &&
+bool isSameCost(const Cost &a, const Cost &b) {
+  return a.Rank == b.Rank && std::abs(a.Wait - b.Wait) < CostTolerance &&
          a.InProgress == b.InProgress;
 }
 
-bool less(const Cost &a, const Cost &b) {
+bool isLowerCost(const Cost &a, const Cost &b) {
   if (a.Rank != b.Rank)
     return a.Rank < b.Rank;
-  if (std::abs(a.Wait - b.Wait) >= SameCost)
+  if (std::abs(a.Wait - b.Wait) >= CostTolerance)
     return a.Wait < b.Wait;
   return a.InProgress < b.InProgress;
 }
 
-Cost costOf(const OpeningCandidate &candidate, double othersLoad) {
+Cost computeCost(const OpeningCandidate &candidate, double othersLoad) {
   return {candidate.Rank, openingCost(candidate, othersLoad),
           candidate.InProgress};
 }
@@ -38,21 +38,21 @@
 
 double openingCost(const OpeningCandidate &candidate, double othersLoad) {
   double wait = expectedWait(candidate, othersLoad);
-  wait += candidate.Near ? 0 : FarCost;
-  wait += candidate.Cold ? ColdCost : 0;
+  wait += candidate.InSameDomain ? 0 : RemoteDomainCost;
+  wait += candidate.Cold ? ColdServerCost : 0;
   return wait;
 }
 
 std::vector<bool>
-bestForOpening(const std::vector<OpeningCandidate> &candidates,
-               double othersLoad) {
+leastCostCandidates(const std::vector<OpeningCandidate> &candidates,
+                    double othersLoad) {
   std::vector<bool> best(candidates.size(), false);
   std::optional<Cost> least;
   for (size_t i = 0; i < candidates.size(); ++i) {
-    Cost cost = costOf(candidates[i], othersLoad);
-    if (least && !same(cost, *least) && !less(cost, *least))
+    Cost cost = computeCost(candidates[i], othersLoad);
+    if (least && !isSameCost(cost, *least) && !isLowerCost(cost, *least))
       continue;
-    if (!least || !same(cost, *least)) {
+    if (!least || !isSameCost(cost, *least)) {
       std::fill(best.begin(), best.end(), false);
       least = cost;
     }
@@ -82,20 +82,20 @@
                  double othersLoad, RandomSource &random) {
   std::optional<OpeningChoice> best;
   Cost bestCost{};
-  uint64_t alike = 0;
+  uint64_t ties = 0;
   for (const OpeningCandidate &candidate : candidates) {
-    Cost cost = costOf(candidate, othersLoad);
-    if (best && same(cost, bestCost)) {
+    Cost cost = computeCost(candidate, othersLoad);
+    if (best && isSameCost(cost, bestCost)) {
       // Reservoir of one: each of those alike is as likely.
-      if (random.below(++alike) == 0)
+      if (random.below(++ties) == 0)
         best->Server = candidate.Server;
       continue;
     }
-    if (best && !less(cost, bestCost))
+    if (best && !isLowerCost(cost, bestCost))
       continue;
     best = OpeningChoice{candidate.Server, cost.Wait};
     bestCost = cost;
-    alike = 1;
+    ties = 1;
   }
   return best;
 }
--- a/Balsamrack/Decisions/ReachMonitor.cpp
+++ b/Balsamrack/Decisions/ReachMonitor.cpp
@@ -7,7 +7,7 @@
   return names[static_cast<size_t>(state)];
 }
 
-void ReachMonitor::noteLost(TimePoint now) {
+void ReachMonitor::reportLost(TimePoint now) {
   if (State == ReachState::Lost)
     return;
   State = ReachState::Lost;
@@ -15,14 +15,14 @@
   NextProbe = now + ProbePeriod;
 }
 
-bool ReachMonitor::takeProbe(TimePoint now) {
+bool ReachMonitor::startProbeIfDue(TimePoint now) {
   if (State == ReachState::Reached || now < NextProbe)
     return false;
   NextProbe = now + ProbePeriod;
   return true;
 }
 
-TimePoint ReachMonitor::nextProbe() const {
+TimePoint ReachMonitor::nextProbeAt() const {
   return State == ReachState::Reached ? TimePoint(Duration::max()) : NextProbe;
 }
 
--- a/Balsamrack/Decisions/ReachMonitor.h
+++ b/Balsamrack/Decisions/ReachMonitor.h
@@ -7,9 +7,9 @@
 
 /// What is known of the way to backend servers.
 enum class ReachState {
-  Unproved, ///< Nothing has been tried since the start.
-  Reached,  ///< A server that takes new flows was reached.
-  Lost,     ///< None of them could be reached, and none has been since.
+  Unknown, ///< Nothing has been tried since the start.
+  Reached, ///< A server that takes new flows was reached.
+  Lost,    ///< None of them could be reached, and none has been since.
 };
 
 /// Name of a state in lower case. Thread-safe.
@@ -35,16 +35,16 @@
   /// Since when the state is Lost. Precondition: state() is Lost.
   TimePoint lostAt() const { return LostAt; }
   /// A server that takes new flows took a connection or opened a flow.
-  void noteReached() { State = ReachState::Reached; }
+  void reportReached() { State = ReachState::Reached; }
   /// All servers that take new flows are unreachable.
-  void noteLost(TimePoint now);
+  void reportLost(TimePoint now);
   /// True when some servers should be probed now; counts them as probed.
-  bool takeProbe(TimePoint now);
+  bool startProbeIfDue(TimePoint now);
   /// When takeProbe() is true next; the far future for never.
-  TimePoint nextProbe() const;
+  TimePoint nextProbeAt() const;
 
 private:
-  ReachState State = ReachState::Unproved;
+  ReachState State = ReachState::Unknown;
   TimePoint LostAt;    ///< See lostAt().
   TimePoint NextProbe; ///< Not before.
 };
--- a/Balsamrack/Decisions/ServerAdmission.cpp
+++ b/Balsamrack/Decisions/ServerAdmission.cpp
@@ -109,7 +109,7 @@
   }
   if (event.Head.Remaining <= Duration(0))
     return RequestEnd{Ending::NotRun, Reason::DeadlinePassed};
-  if (Pause.gone() && now < Pause.until())
+  if (Pause.isUnreachable() && now < Pause.until())
     return notRun(now, Reason::ServerUnreachable, Pause.until() - now);
   auto unsure = Context.unsureFrom();
   if (unsure && now >= *unsure)
--- a/Balsamrack/Decisions/ServerDispatchEnds.cpp
+++ b/Balsamrack/Decisions/ServerDispatchEnds.cpp
@@ -42,7 +42,7 @@
   }
   bool good = event.HttpStatus < ServerErrorFrom;
   LastAnswer = now;
-  Pause.answered();
+  Pause.reportAnswered();
   bool isLong = Context.LongWork.isLong(event.Took);
   (isLong ? LongWaits : Waits).seen(event.Took);
   Context.LongWork.learn(run.What.Head, event.Took);
@@ -67,13 +67,13 @@
   if (!shed && !Context.MayDispatch)
     return;
   if (shed)
-    Pause.shed(now, event.RetryAfter);
+    Pause.reportShed(now, event.RetryAfter);
   else
-    Pause.unreachable(now);
+    Pause.reportUnreachable(now);
   Context.Retries.refused();
   explainEjection(Context.Ejection.noted(now, Server.Id, false, event.Took));
   explainRamp(Ramp.faltered(now, shed ? "server-shed" : "server-unreachable"));
-  if (Pause.gone())
+  if (Pause.isUnreachable())
     endAll(now, Ending::NotRun, Reason::ServerUnreachable);
 }
 
--- a/Balsamrack/Packets/FlowExplanation.cpp
+++ b/Balsamrack/Packets/FlowExplanation.cpp
@@ -43,14 +43,14 @@
     return explanation;
   }
   explanation.OthersLoad = of->Load;
-  std::vector<bool> best = bestForOpening(Candidates, of->Load);
+  std::vector<bool> best = leastCostCandidates(Candidates, of->Load);
   for (size_t i = 0; i < Candidates.size(); ++i) {
     const OpeningCandidate &it = Candidates[i];
     const TabledServer &server =
         Servers.at(static_cast<ServerIndex>(it.Server));
-    explanation.Candidates.push_back({server.Is.What->Server.Id, it.Rank,
-                                      openingCost(it, of->Load), it.InProgress,
-                                      it.Share, it.Near, it.Cold, best[i]});
+    explanation.Candidates.push_back(
+        {server.Is.What->Server.Id, it.Rank, openingCost(it, of->Load),
+         it.InProgress, it.Share, it.InSameDomain, it.Cold, best[i]});
   }
   if (allUnreachable(*service))
     explanation.Refused = PacketReason::Unreachable;
--- a/Balsamrack/Packets/FlowExplanation.h
+++ b/Balsamrack/Packets/FlowExplanation.h
@@ -11,8 +11,8 @@
 
 /// A server that a new flow could go to, as the placing sees it.
 struct ExplainedCandidate {
-  ServerId Server;                       ///< Which.
-  OpeningRank Rank = OpeningRank::Usual; ///< See there.
+  ServerId Server;                        ///< Which.
+  OpeningRank Rank = OpeningRank::Normal; ///< See there.
   double Wait = 0;         ///< Expected, in flows a slot, costs included.
   uint32_t InProgress = 0; ///< Flows of this daemon that it works on.
   double Share = 0;        ///< Of its slots, this daemon's.
--- a/Balsamrack/Packets/PacketFailures.cpp
+++ b/Balsamrack/Packets/PacketFailures.cpp
@@ -29,7 +29,7 @@
     return false;
   if (Servers.at(flow.Home).Is.Presence == ServerPresence::Replaced)
     return true;
-  if (!Detector.lost(flow.Home))
+  if (!Detector.isLost(flow.Home))
     return false;
   auto route = Routes->Routes.find(head.Flow.Service);
   return route != Routes->Routes.end() && route->second.Idempotent;
@@ -67,19 +67,19 @@
                                 AttemptEnd how, PacketSink &out) {
   if (server >= Servers.all().size() || !Servers.at(server).Used)
     return;
-  bool silent = Detector.silent(server);
+  bool silent = Detector.isSilent(server);
   if (how == AttemptEnd::Connected) {
     noteReached(server);
-    bool was = Detector.connected(now, server);
+    bool was = Detector.reportConnected(now, server);
     noteBack(server, was, silent, out);
     return;
   }
-  bool wasLost = Detector.lost(server);
+  bool wasLost = Detector.isLost(server);
   bool sure = how == AttemptEnd::Failed;
   bool awaited = Servers.at(server).InProgress > 0;
-  if (Detector.attemptFailed(now, server, sure, awaited))
+  if (Detector.reportAttemptFailed(now, server, sure, awaited))
     noteSilent(server, {}, out);
-  if (!wasLost && Detector.lost(server))
+  if (!wasLost && Detector.isLost(server))
     giveUpStuck(out);
 }
 
@@ -93,9 +93,9 @@
 std::vector<ConnectionAttempt> PacketRouter::dueAttempts(TimePoint now) {
   // A handshake with the server alone; openings take one with the caller too.
   Duration timeout = std::clamp(2 * Timeout.value(), LeastAttempt, MostAttempt);
-  std::vector<size_t> servers = Detector.due(now);
+  std::vector<size_t> servers = Detector.takeDueProbes(now);
   if (!servers.empty())
-    if (auto control = Detector.control(now, servers.front()))
+    if (auto control = Detector.chooseControlProbe(now, servers.front()))
       servers.push_back(*control);
   for (ServerIndex server : serversToProbe(now))
     servers.push_back(server);
--- a/Balsamrack/Packets/PacketPlacement.cpp
+++ b/Balsamrack/Packets/PacketPlacement.cpp
@@ -14,7 +14,7 @@
     std::vector<ServerIndex> usable;
     std::vector<uint32_t> slots;
     for (ServerIndex index : service.TakeNew)
-      if (!Detector.silent(index)) {
+      if (!Detector.isSilent(index)) {
         usable.push_back(index);
         slots.push_back(Servers.at(index).Is.What->Server.Slots);
       }
@@ -87,7 +87,7 @@
   const TabledService *of = Servers.service(service);
   return of && std::all_of(of->TakeNew.begin(), of->TakeNew.end(),
                            [this](ServerIndex index) {
-                             return Detector.unreachable(index);
+                             return Detector.isUnreachable(index);
                            });
 }
 
@@ -95,7 +95,7 @@
   bool any = false;
   for (const auto &[id, service] : Servers.services())
     for (ServerIndex index : service.TakeNew) {
-      if (!Detector.unreachable(index))
+      if (!Detector.isUnreachable(index))
         return false;
       any = true;
     }
@@ -130,18 +130,18 @@
 
 void PacketRouter::updateReach(TimePoint now) {
   if (Reach.state() != ReachState::Lost && outOfReach())
-    Reach.noteLost(now);
+    Reach.reportLost(now);
 }
 
 void PacketRouter::noteReached(ServerIndex server) {
   // Servers of a failure domain that was taken out may still be in reach when
   // all others are not.
   if (Servers.at(server).Is.takesNew())
-    Reach.noteReached();
+    Reach.reportReached();
 }
 
 std::vector<ServerIndex> PacketRouter::serversToProbe(TimePoint now) {
-  if (!Routes || !anyTakesNew() || !Reach.takeProbe(now))
+  if (!Routes || !anyTakesNew() || !Reach.startProbeIfDue(now))
     return {};
   // Two, since one may be dead.
   std::vector<ServerIndex> all;
@@ -235,7 +235,7 @@
     const BackendServer &what = server.Is.What->Server;
     OpeningCandidate candidate;
     candidate.Server = index;
-    if (Detector.silent(index))
+    if (Detector.isSilent(index))
       candidate.Rank = OpeningRank::Silent;
     else if (server.Is.Presence == ServerPresence::Expired &&
              !server.Is.WithMany)
@@ -245,7 +245,7 @@
     candidate.InProgress = server.InProgress;
     candidate.Slots = what.Slots;
     candidate.Share = server.Share;
-    candidate.Near = what.Domain == Settings.Domain;
+    candidate.InSameDomain = what.Domain == Settings.Domain;
     candidate.Cold = now < server.Is.ColdUntil;
     Candidates.push_back(candidate);
   }
--- a/Balsamrack/Packets/PacketRouter.cpp
+++ b/Balsamrack/Packets/PacketRouter.cpp
@@ -45,7 +45,7 @@
     return;
   Daemons = daemons;
   Self = self;
-  Detector.setDaemons(daemons);
+  Detector.setDaemonCount(daemons);
   reshare();
 }
 
@@ -92,7 +92,7 @@
   auto route = Routes->Routes.find(head.Flow.Service);
   if (route == Routes->Routes.end())
     return false;
-  Duration wait = lateOpeningWait(
+  Duration wait = lateOpeningMaxWait(
       {head.Age, route->second.Objective, route->second.Timeout});
   if (wait == Duration{0} || !slotsTakenFor(now, head))
     return false;
@@ -106,7 +106,7 @@
   if (!of)
     return false;
   of->smooth(now);
-  return slotsTaken({of->BriefLoad, of->RequestTime, Timeout.usual()});
+  return areOwnSlotsBusy({of->BriefLoad, of->RequestTime, Timeout.usual()});
 }
 
 bool PacketRouter::knownAlready(const PacketHead &head) {
@@ -254,13 +254,13 @@
     if (flow.Counted)
       Servers.serviceOf(flow.Home).requestAnswered(now - flow.CountedAt);
     release(flow);
-    Detector.arrived(flow.Home, flow.Progress.askedAt());
+    Detector.reportDelivered(flow.Home, flow.Progress.askedAt());
   }
   if (step.Data != CallerData::None)
     count(now, flow, flow.Home);
   if (step.Data != CallerData::Repeated)
     return;
-  Detector.suspect(now, flow.Home, flow.Progress.askedAt());
+  Detector.reportUndelivered(now, flow.Home, flow.Progress.askedAt());
   if (Stuck.size() >= MostStuck)
     Stuck.pop_front();
   Stuck.push_back({now, head});
@@ -283,9 +283,9 @@
   event.Tries = flow.Tries;
   out.report(event);
   noteReached(flow.Home);
-  Detector.arrived(flow.Home, flow.LastSent);
-  bool domainWas = Detector.silent(flow.Home);
-  bool was = Detector.answered(now, flow.Home);
+  Detector.reportDelivered(flow.Home, flow.LastSent);
+  bool domainWas = Detector.isSilent(flow.Home);
+  bool was = Detector.reportAnswered(now, flow.Home);
   noteBack(flow.Home, was, domainWas, out);
 }
 
@@ -357,7 +357,7 @@
   // been sent to another daemon too, and is answered there. Servers are not
   // silent for that.
   if (!flow->Delayed &&
-      Detector.unanswered(now, server, waiting.SentAt, caller))
+      Detector.reportUnanswered(now, server, waiting.SentAt, caller))
     noteSilent(server, waiting.Opening.Head.Flow, out);
   const BufferedOpening &opening = waiting.Opening;
   bool sent = opening.Bytes > 0 &&
@@ -392,8 +392,8 @@
   if (!Late.empty() && Routes)
     next = std::min(next, Late.front().Until);
   if (Routes && anyTakesNew())
-    next = std::min(next, Reach.nextProbe());
-  return std::min(next, Detector.nextDue());
+    next = std::min(next, Reach.nextProbeAt());
+  return std::min(next, Detector.nextProbeAt());
 }
 
 void PacketRouter::forward(ServerIndex to, const uint8_t *bytes, size_t n,
--- a/Balsamrack/Packets/PacketRouter.h
+++ b/Balsamrack/Packets/PacketRouter.h
@@ -104,7 +104,7 @@
   /// Daemons of the fleet, as setFleet() said.
   size_t daemons() const { return Daemons; }
   /// True when the server at \p index, or its whole domain, is silent.
-  bool silent(ServerIndex index) const { return Detector.silent(index); }
+  bool silent(ServerIndex index) const { return Detector.isSilent(index); }
   /// True when servers take new flows, and none of them, of whatever service,
   /// can be reached from here: others may serve what this daemon can't.
   bool outOfReach() const;
@@ -120,7 +120,7 @@
   /// The servers with their counts.
   const ServerTable &servers() const { return Servers; }
   /// Servers that are silent by themselves.
-  size_t silentServers() const { return Detector.silentServers(); }
+  size_t silentServers() const { return Detector.silentServerCount(); }
   /// The snapshot in force; null before the first setRoutes().
   const std::shared_ptr<const PacketRoutes> &routes() const { return Routes; }
   /// The current wait for the answer to an opening.
--- a/Balsamrack/Packets/ServerTable.cpp
+++ b/Balsamrack/Packets/ServerTable.cpp
@@ -131,13 +131,13 @@
   if (perSecond <= 0 || now >= server.Is.ColdUntil)
     return true;
   double part = server.Share / server.Is.What->Server.Slots;
-  return server.Cold.allows(now, perSecond, part);
+  return server.Cold.mayAdmit(now, perSecond, part);
 }
 
 void ServerTable::newFlow(TimePoint now, ServerIndex index, double perSecond) {
   TabledServer &server = Servers[index];
   if (perSecond > 0 && now < server.Is.ColdUntil)
-    server.Cold.used();
+    server.Cold.consume();
 }
 
 void ServerTable::setShares(TabledService &service,
--- a/Balsamrack/Packets/ServerTable.h
+++ b/Balsamrack/Packets/ServerTable.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <vector>
 
-#include "Balsamrack/Decisions/ColdAllowance.h"
+#include "Balsamrack/Decisions/ColdServerRateLimiter.h"
 #include "Balsamrack/Packets/FlowMemory.h"
 #include "Balsamrack/Packets/PacketRoutes.h"
 #include "absl/container/flat_hash_map.h"
@@ -14,11 +14,11 @@
 
 /// One backend server and what this daemon itself counts at it.
 struct TabledServer {
-  bool Used = false;       ///< False for a free place of the table.
-  RoutedBackend Is;        ///< As published.
-  uint32_t InProgress = 0; ///< Requests of this daemon that it works on.
-  double Share = 0;        ///< Of its slots, this daemon's.
-  ColdAllowance Cold;      ///< New flows while it is cold.
+  bool Used = false;          ///< False for a free place of the table.
+  RoutedBackend Is;           ///< As published.
+  uint32_t InProgress = 0;    ///< Requests of this daemon that it works on.
+  double Share = 0;           ///< Of its slots, this daemon's.
+  ColdServerRateLimiter Cold; ///< New flows while it is cold.
 };
 
 /// The servers of one service, and how full they are by own counts.
--- a/UnitTests/Decisions/DecisionPartsTest.cpp
+++ b/UnitTests/Decisions/DecisionPartsTest.cpp
@@ -87,16 +87,16 @@
 // for its first request.
 TEST(DispatchPauseTest, GrowsToASecondAndEndsWithAnAnswer) {
   DispatchPause pause;
-  pause.unreachable(Start);
+  pause.reportUnreachable(Start);
   EXPECT_EQ(pause.until(), Start + Duration(20'000));
-  EXPECT_FALSE(pause.gone());
+  EXPECT_FALSE(pause.isUnreachable());
   for (int n = 0; n < 20; ++n)
-    pause.unreachable(Start);
+    pause.reportUnreachable(Start);
   EXPECT_EQ(pause.until(), Start + Second);
-  EXPECT_TRUE(pause.gone());
-  pause.answered();
-  EXPECT_FALSE(pause.gone());
-  pause.shed(Start + Second, Second * 60);
+  EXPECT_TRUE(pause.isUnreachable());
+  pause.reportAnswered();
+  EXPECT_FALSE(pause.isUnreachable());
+  pause.reportShed(Start + Second, Second * 60);
   EXPECT_EQ(pause.until(), Start + Second * 6);
 }
 
--- a/UnitTests/Decisions/OpeningDecisionsTest.cpp
+++ b/UnitTests/Decisions/OpeningDecisionsTest.cpp
@@ -86,7 +86,7 @@
 OpeningCandidate with(OpeningCandidate c, OpeningRank rank, bool near,
                       bool cold) {
   c.Rank = rank;
-  c.Near = near;
+  c.InSameDomain = near;
   c.Cold = cold;
   return c;
 }
@@ -105,7 +105,7 @@
   }
 }
 
-constexpr auto Usual = OpeningRank::Usual;
+constexpr auto Normal = OpeningRank::Normal;
 INSTANTIATE_TEST_SUITE_P(
     Pairs, EachChoice,
     testing::Values(
@@ -113,12 +113,13 @@
         ChoiceCase{"OwnBeforeForeign", candidate(1, 2), candidate(0, 0)},
         ChoiceCase{"ForeignBeforeFullOwn", candidate(0, 0), candidate(3, 2)},
         ChoiceCase{"NearBeforeFar", candidate(0, 2),
-                   with(candidate(0, 2), Usual, false, false)},
+                   with(candidate(0, 2), Normal, false, false)},
         ChoiceCase{"FarIdleBeforeNearBusy",
-                   with(candidate(0, 2), Usual, false, false), candidate(2, 2)},
+                   with(candidate(0, 2), Normal, false, false),
+                   candidate(2, 2)},
         ChoiceCase{"WarmBeforeCold", candidate(1, 2),
-                   with(candidate(0, 2), Usual, true, true)},
-        ChoiceCase{"ColdBeforeQueue", with(candidate(0, 2), Usual, true, true),
+                   with(candidate(0, 2), Normal, true, true)},
+        ChoiceCase{"ColdBeforeQueue", with(candidate(0, 2), Normal, true, true),
                    candidate(3, 2)},
         ChoiceCase{"FullBeforeSuspected", candidate(9, 2),
                    with(candidate(0, 2), OpeningRank::Suspected, true, false)},
@@ -150,92 +151,92 @@
     Detector.add(3, DomainId("b"));
   }
   void fallsSilent(size_t server) {
-    Detector.unanswered(Now, server, Now - Duration(20'000), 1);
-    Detector.unanswered(Now, server, Now - Duration(10'000), 2);
+    Detector.reportUnanswered(Now, server, Now - Duration(20'000), 1);
+    Detector.reportUnanswered(Now, server, Now - Duration(10'000), 2);
   }
   TimePoint Now{Duration(10'000'000)};
   FailureDetector Detector;
 };
 
 TEST_F(FailureDetectorTest, OneLostOpeningSaysNothing) {
-  EXPECT_FALSE(Detector.unanswered(Now, 0, Now - Duration(20'000), 1));
-  Detector.answered(Now, 0);
-  EXPECT_FALSE(Detector.unanswered(Now, 0, Now + Duration(10'000), 2));
-  EXPECT_FALSE(Detector.silent(0));
+  EXPECT_FALSE(Detector.reportUnanswered(Now, 0, Now - Duration(20'000), 1));
+  Detector.reportAnswered(Now, 0);
+  EXPECT_FALSE(Detector.reportUnanswered(Now, 0, Now + Duration(10'000), 2));
+  EXPECT_FALSE(Detector.isSilent(0));
 }
 
 TEST_F(FailureDetectorTest, AnAnswerAfterTheOpeningWasSentProvesLife) {
-  Detector.answered(Now, 0);
-  EXPECT_FALSE(Detector.unanswered(Now, 0, Now - Duration(1), 1));
-  EXPECT_FALSE(Detector.unanswered(Now, 0, Now - Duration(2), 2));
-  EXPECT_FALSE(Detector.silent(0));
+  Detector.reportAnswered(Now, 0);
+  EXPECT_FALSE(Detector.reportUnanswered(Now, 0, Now - Duration(1), 1));
+  EXPECT_FALSE(Detector.reportUnanswered(Now, 0, Now - Duration(2), 2));
+  EXPECT_FALSE(Detector.isSilent(0));
 }
 
 // Story: one caller's link is cut. Whatever it opens gets no answer, and that
 // says nothing of the servers.
 TEST_F(FailureDetectorTest, OneCallerAloneSilencesNobody) {
   for (int i = 0; i < 10; ++i)
-    EXPECT_FALSE(Detector.unanswered(Now, 0, Now - Duration(20'000), 7));
-  EXPECT_TRUE(Detector.unanswered(Now, 0, Now - Duration(20'000), 8));
+    EXPECT_FALSE(Detector.reportUnanswered(Now, 0, Now - Duration(20'000), 7));
+  EXPECT_TRUE(Detector.reportUnanswered(Now, 0, Now - Duration(20'000), 8));
 }
 
 // Story: two servers of a domain die, the third one lives. Judged with its
 // domain it gets no openings, so it could never prove itself.
 TEST_F(FailureDetectorTest, ALivingServerSpeaksForItsDomain) {
   fallsSilent(0);
-  EXPECT_FALSE(Detector.domainSilent(DomainId("a")));
+  EXPECT_FALSE(Detector.isDomainSilent(DomainId("a")));
   fallsSilent(1);
-  EXPECT_TRUE(Detector.domainSilent(DomainId("a")));
-  EXPECT_TRUE(Detector.silent(2));
-  EXPECT_FALSE(Detector.silent(3));
-  std::vector<size_t> due = Detector.due(Now);
+  EXPECT_TRUE(Detector.isDomainSilent(DomainId("a")));
+  EXPECT_TRUE(Detector.isSilent(2));
+  EXPECT_FALSE(Detector.isSilent(3));
+  std::vector<size_t> due = Detector.takeDueProbes(Now);
   EXPECT_EQ(due, (std::vector<size_t>{0, 1, 2}));
-  Detector.attemptFailed(Now, 0);
-  Detector.attemptFailed(Now, 1);
-  Detector.answered(Now, 2);
-  EXPECT_FALSE(Detector.domainSilent(DomainId("a")));
-  EXPECT_FALSE(Detector.silent(2));
-  EXPECT_TRUE(Detector.silent(0));
+  Detector.reportAttemptFailed(Now, 0);
+  Detector.reportAttemptFailed(Now, 1);
+  Detector.reportAnswered(Now, 2);
+  EXPECT_FALSE(Detector.isDomainSilent(DomainId("a")));
+  EXPECT_FALSE(Detector.isSilent(2));
+  EXPECT_TRUE(Detector.isSilent(0));
 }
 
 TEST_F(FailureDetectorTest, AttemptsComeLessOftenUpToABound) {
   fallsSilent(0);
   Duration last{0};
   for (int i = 0; i < 10; ++i) {
-    TimePoint due = Detector.nextDue();
-    ASSERT_LE(due, Now + FailureDetectorSettings().LongestHold);
+    TimePoint due = Detector.nextProbeAt();
+    ASSERT_LE(due, Now + FailureDetectorSettings().MaxProbeInterval);
     last = due - Now;
     Now = std::max(Now, due);
-    EXPECT_EQ(Detector.due(Now).size(), 1U);
-    Detector.attemptFailed(Now, 0);
+    EXPECT_EQ(Detector.takeDueProbes(Now).size(), 1U);
+    Detector.reportAttemptFailed(Now, 0);
   }
-  EXPECT_EQ(last, FailureDetectorSettings().LongestHold);
+  EXPECT_EQ(last, FailureDetectorSettings().MaxProbeInterval);
 }
 
 // Story: a domain is cut off, and the first sign is one request that comes
 // again. Its other servers are asked while that one is, so that the whole
 // domain is known after two attempts to connect instead of after more callers.
 TEST_F(FailureDetectorTest, SuspicionOfOneServerIsSettledForItsDomain) {
-  Detector.suspect(Now, 0, Now);
-  EXPECT_EQ(Detector.due(Now), std::vector<size_t>{0});
-  EXPECT_EQ(Detector.control(Now, 0), 3U) << "one elsewhere";
-  Detector.connected(Now, 3);
-  EXPECT_FALSE(Detector.attemptFailed(Now, 0));
-  EXPECT_FALSE(Detector.silent(0)) << "one packet may be lost";
-  EXPECT_EQ(Detector.due(Now), (std::vector<size_t>{0, 1, 2}));
-  EXPECT_EQ(Detector.control(Now, 0), 3U);
-  Detector.connected(Now, 3);
-  EXPECT_TRUE(Detector.attemptFailed(Now, 0));
-  EXPECT_TRUE(Detector.unreachable(0));
-  EXPECT_FALSE(Detector.lost(0)) << "open flows need more proof";
-  EXPECT_FALSE(Detector.silent(1)) << "it may be this one alone";
+  Detector.reportUndelivered(Now, 0, Now);
+  EXPECT_EQ(Detector.takeDueProbes(Now), std::vector<size_t>{0});
+  EXPECT_EQ(Detector.chooseControlProbe(Now, 0), 3U) << "one elsewhere";
+  Detector.reportConnected(Now, 3);
+  EXPECT_FALSE(Detector.reportAttemptFailed(Now, 0));
+  EXPECT_FALSE(Detector.isSilent(0)) << "one packet may be lost";
+  EXPECT_EQ(Detector.takeDueProbes(Now), (std::vector<size_t>{0, 1, 2}));
+  EXPECT_EQ(Detector.chooseControlProbe(Now, 0), 3U);
+  Detector.reportConnected(Now, 3);
+  EXPECT_TRUE(Detector.reportAttemptFailed(Now, 0));
+  EXPECT_TRUE(Detector.isUnreachable(0));
+  EXPECT_FALSE(Detector.isLost(0)) << "open flows need more proof";
+  EXPECT_FALSE(Detector.isSilent(1)) << "it may be this one alone";
   for (size_t server : {1, 2}) {
-    Detector.attemptFailed(Now, server);
-    EXPECT_TRUE(Detector.attemptFailed(Now, server));
+    Detector.reportAttemptFailed(Now, server);
+    EXPECT_TRUE(Detector.reportAttemptFailed(Now, server));
   }
-  EXPECT_TRUE(Detector.domainSilent(DomainId("a")));
-  EXPECT_TRUE(Detector.outOfReach(2));
-  EXPECT_FALSE(Detector.silent(3));
+  EXPECT_TRUE(Detector.isDomainSilent(DomainId("a")));
+  EXPECT_TRUE(Detector.isOutOfReach(2));
+  EXPECT_FALSE(Detector.isSilent(3));
 }
 
 // Story: a small VM's link is full for 200 ms, for a new configuration goes out
@@ -243,21 +244,21 @@
 // site looked lost; open flows to living servers were reset on a quiet day.
 TEST_F(FailureDetectorTest, AFullLinkOfOurOwnLosesNobody) {
   fallsSilent(1);
-  Detector.suspect(Now, 0, Now);
+  Detector.reportUndelivered(Now, 0, Now);
   TimePoint began = Now;
   for (; Now - began < Duration(900'000); Now += Duration(50'000))
-    for (size_t server : Detector.due(Now))
-      Detector.attemptFailed(Now, server);
+    for (size_t server : Detector.takeDueProbes(Now))
+      Detector.reportAttemptFailed(Now, server);
   for (size_t server : {0, 1, 2, 3})
-    EXPECT_FALSE(Detector.lost(server)) << server;
-  EXPECT_FALSE(Detector.silent(0));
+    EXPECT_FALSE(Detector.isLost(server)) << server;
+  EXPECT_FALSE(Detector.isSilent(0));
   // A link that lets nothing through for a second is as good as cut.
   for (; Now - began < Duration(2'500'000); Now += Duration(50'000))
-    for (size_t server : Detector.due(Now))
-      Detector.attemptFailed(Now, server);
+    for (size_t server : Detector.takeDueProbes(Now))
+      Detector.reportAttemptFailed(Now, server);
   for (size_t server : {0, 1}) {
-    EXPECT_TRUE(Detector.outOfReach(server));
-    EXPECT_FALSE(Detector.lost(server)) << "open flows may live";
+    EXPECT_TRUE(Detector.isOutOfReach(server));
+    EXPECT_FALSE(Detector.isLost(server)) << "open flows may live";
   }
 }
 
@@ -268,18 +269,18 @@
   for (int i = 0; i < 2000; ++i, Now += Duration(50'000)) {
     for (size_t server : {0, 1, 2, 3})
       if (random.below(10) == 0)
-        Detector.suspect(Now, server, Now);
-    std::vector<size_t> due = Detector.due(Now);
+        Detector.reportUndelivered(Now, server, Now);
+    std::vector<size_t> due = Detector.takeDueProbes(Now);
     if (!due.empty())
-      if (auto control = Detector.control(Now, due.front()))
+      if (auto control = Detector.chooseControlProbe(Now, due.front()))
         due.push_back(*control);
     for (size_t server : due)
       if (random.below(3) == 0)
-        Detector.attemptFailed(Now, server);
+        Detector.reportAttemptFailed(Now, server);
       else
-        Detector.connected(Now, server);
+        Detector.reportConnected(Now, server);
     for (size_t server : {0, 1, 2, 3})
-      ASSERT_FALSE(Detector.lost(server)) << i;
+      ASSERT_FALSE(Detector.isLost(server)) << i;
   }
 }
 
@@ -290,16 +291,16 @@
   for (size_t server : {0, 1}) {
     fallsSilent(server);
     for (int i = 0; i < 5; ++i) {
-      EXPECT_FALSE(Detector.lost(server)) << "after " << i;
-      Detector.due(Now);
-      Detector.arrived(3, Now);
-      Detector.attemptFailed(Now, server);
-      Now += FailureDetectorSettings().FirstHold;
+      EXPECT_FALSE(Detector.isLost(server)) << "after " << i;
+      Detector.takeDueProbes(Now);
+      Detector.reportDelivered(3, Now);
+      Detector.reportAttemptFailed(Now, server);
+      Now += FailureDetectorSettings().MinProbeInterval;
     }
-    EXPECT_TRUE(Detector.lost(server));
+    EXPECT_TRUE(Detector.isLost(server));
   }
-  EXPECT_TRUE(Detector.domainSilent(DomainId("a")));
-  EXPECT_FALSE(Detector.lost(2));
+  EXPECT_TRUE(Detector.isDomainSilent(DomainId("a")));
+  EXPECT_FALSE(Detector.isLost(2));
 }
 
 // Story: a domain with a thousand servers is cut off from six hundred daemons.
@@ -308,36 +309,36 @@
 TEST_F(FailureDetectorTest, ASuspectedDomainIsProbedByAFew) {
   for (size_t i = 100; i < 1100; ++i)
     Detector.add(i, DomainId("c"));
-  Detector.suspect(Now, 100, Now);
+  Detector.reportUndelivered(Now, 100, Now);
   size_t most = 0;
   for (int i = 0; i < 3; ++i) {
-    std::vector<size_t> due = Detector.due(Now);
+    std::vector<size_t> due = Detector.takeDueProbes(Now);
     most = std::max(most, due.size());
-    Detector.arrived(3, Now);
+    Detector.reportDelivered(3, Now);
     for (size_t server : due)
-      Detector.attemptFailed(Now, server);
-    if (Detector.domainSilent(DomainId("c")))
+      Detector.reportAttemptFailed(Now, server);
+    if (Detector.isDomainSilent(DomainId("c")))
       break;
   }
-  EXPECT_TRUE(Detector.domainSilent(DomainId("c")));
-  EXPECT_LE(most, 1U + FailureDetectorSettings().SuspectsProbedTogether);
+  EXPECT_TRUE(Detector.isDomainSilent(DomainId("c")));
+  EXPECT_LE(most, 1U + FailureDetectorSettings().MaxProbesPerDomain);
 }
 
 /// Attempts of one daemon of a fleet at a dead server in ten seconds.
 size_t attemptsAtDeadServer(size_t daemons, bool awaited) {
   FailureDetector detector{FailureDetectorSettings()};
-  detector.setDaemons(daemons);
+  detector.setDaemonCount(daemons);
   detector.add(0, DomainId("a"));
   detector.add(1, DomainId("b"));
   TimePoint now{Duration(10'000'000)};
-  detector.suspect(now, 0, now);
+  detector.reportUndelivered(now, 0, now);
   size_t attempts = 0;
   for (TimePoint end = now + Duration(10'000'000); now < end;
        now += Duration(10'000)) {
-    detector.arrived(1, now);
-    for (size_t server : detector.due(now)) {
+    detector.reportDelivered(1, now);
+    for (size_t server : detector.takeDueProbes(now)) {
       ++attempts;
-      detector.attemptFailed(now, server, true, awaited);
+      detector.reportAttemptFailed(now, server, true, awaited);
     }
   }
   return attempts;
@@ -360,24 +361,24 @@
 TEST_F(FailureDetectorTest, AWaitingRequestIsSettledSoonInAnyFleet) {
   for (size_t daemons : {1, 9, 295, 610}) {
     FailureDetector detector{FailureDetectorSettings()};
-    detector.setDaemons(daemons);
+    detector.setDaemonCount(daemons);
     detector.add(0, DomainId("a"));
     detector.add(1, DomainId("b"));
     TimePoint now{Duration(10'000'000)};
     // It fell silent while nothing waited there; a request comes two seconds
     // later and is repeated.
-    detector.suspect(now, 0, now);
+    detector.reportUndelivered(now, 0, now);
     TimePoint began = now + Duration(2'000'000);
     TimePoint limit = began + Duration(1'000'000);
-    for (; now < limit && !detector.lost(0); now += Duration(10'000)) {
-      detector.arrived(1, now);
+    for (; now < limit && !detector.isLost(0); now += Duration(10'000)) {
+      detector.reportDelivered(1, now);
       bool awaited = now >= began;
       if (now == began)
-        detector.suspect(now, 0, now);
-      for (size_t server : detector.due(now))
-        detector.attemptFailed(now, server, true, awaited);
+        detector.reportUndelivered(now, 0, now);
+      for (size_t server : detector.takeDueProbes(now))
+        detector.reportAttemptFailed(now, server, true, awaited);
     }
-    EXPECT_TRUE(detector.lost(0)) << daemons;
+    EXPECT_TRUE(detector.isLost(0)) << daemons;
   }
 }
 
@@ -389,49 +390,50 @@
     Detector.add(i, DomainId("c"));
   fallsSilent(100);
   fallsSilent(101);
-  ASSERT_TRUE(Detector.domainSilent(DomainId("c")));
+  ASSERT_TRUE(Detector.isDomainSilent(DomainId("c")));
   TimePoint end = Now + Duration(10'000'000);
-  for (; Now < end && Detector.domainSilent(DomainId("c"));
+  for (; Now < end && Detector.isDomainSilent(DomainId("c"));
        Now += Duration(10'000)) {
-    Detector.arrived(3, Now);
-    std::vector<size_t> due = Detector.due(Now);
-    EXPECT_LE(due.size(), 2 + FailureDetectorSettings().SuspectsProbedTogether);
+    Detector.reportDelivered(3, Now);
+    std::vector<size_t> due = Detector.takeDueProbes(Now);
+    EXPECT_LE(due.size(), 2 + FailureDetectorSettings().MaxProbesPerDomain);
     for (size_t server : due)
       if (server == Living)
-        Detector.connected(Now, server);
+        Detector.reportConnected(Now, server);
       else
-        Detector.attemptFailed(Now, server, true, false);
+        Detector.reportAttemptFailed(Now, server, true, false);
   }
-  EXPECT_FALSE(Detector.domainSilent(DomainId("c")));
+  EXPECT_FALSE(Detector.isDomainSilent(DomainId("c")));
 }
 
 // Story: a daemon has no room for one more attempt to connect. Asked for it
 // again at once, it did nothing else any more.
 TEST_F(FailureDetectorTest, AnAttemptThatCouldNotBeMadeComesLater) {
-  Detector.suspect(Now, 0, Now);
-  ASSERT_EQ(Detector.due(Now).size(), 1U);
+  Detector.reportUndelivered(Now, 0, Now);
+  ASSERT_EQ(Detector.takeDueProbes(Now).size(), 1U);
   for (int i = 0; i < 5; ++i)
-    EXPECT_FALSE(Detector.attemptFailed(Now, 0, false));
-  EXPECT_FALSE(Detector.silent(0));
-  EXPECT_TRUE(Detector.due(Now).empty());
-  EXPECT_EQ(Detector.nextDue(), Now + FailureDetectorSettings().FirstHold);
+    EXPECT_FALSE(Detector.reportAttemptFailed(Now, 0, false));
+  EXPECT_FALSE(Detector.isSilent(0));
+  EXPECT_TRUE(Detector.takeDueProbes(Now).empty());
+  EXPECT_EQ(Detector.nextProbeAt(),
+            Now + FailureDetectorSettings().MinProbeInterval);
 }
 
 TEST_F(FailureDetectorTest, WhatArrivedLaterEndsSuspicion) {
-  Detector.arrived(0, Now);
-  Detector.suspect(Now, 0, Now - Duration(1));
-  EXPECT_TRUE(Detector.due(Now).empty()) << "a later one has arrived";
-  Detector.suspect(Now, 0, Now + Duration(1));
-  Detector.arrived(0, Now + Duration(2));
-  EXPECT_TRUE(Detector.due(Now).empty());
+  Detector.reportDelivered(0, Now);
+  Detector.reportUndelivered(Now, 0, Now - Duration(1));
+  EXPECT_TRUE(Detector.takeDueProbes(Now).empty()) << "a later one has arrived";
+  Detector.reportUndelivered(Now, 0, Now + Duration(1));
+  Detector.reportDelivered(0, Now + Duration(2));
+  EXPECT_TRUE(Detector.takeDueProbes(Now).empty());
 }
 
 // Story: the last answers of a domain that has just been cut off still reach
 // their callers. They must not make its servers look well again.
 TEST_F(FailureDetectorTest, AnAnswerToWhatWasSentBeforeSaysNothing) {
   fallsSilent(0);
-  Detector.arrived(0, Now - Duration(50'000));
-  EXPECT_TRUE(Detector.silent(0));
+  Detector.reportDelivered(0, Now - Duration(50'000));
+  EXPECT_TRUE(Detector.isSilent(0));
 }
 
 struct LateCase {
@@ -443,7 +445,7 @@
 class EachLateOpening : public testing::TestWithParam<LateCase> {};
 
 TEST_P(EachLateOpening, WaitsAsLongAsItsCallersTimeAllows) {
-  EXPECT_EQ(lateOpeningWait(GetParam().Times), GetParam().Wait);
+  EXPECT_EQ(lateOpeningMaxWait(GetParam().Times), GetParam().Wait);
 }
 
 constexpr Duration Ms{1'000};
@@ -462,14 +464,14 @@
 
 struct SlotsCase {
   const char *Name;
-  OwnSlots Slots;
+  OwnSlotUsage Slots;
   bool Taken;
 };
 
 class EachOwnSlots : public testing::TestWithParam<SlotsCase> {};
 
 TEST_P(EachOwnSlots, AreTakenByWorkOnly) {
-  EXPECT_EQ(slotsTaken(GetParam().Slots), GetParam().Taken);
+  EXPECT_EQ(areOwnSlotsBusy(GetParam().Slots), GetParam().Taken);
 }
 
 INSTANTIATE_TEST_SUITE_P(
