--- a/Balsamrack/Decisions/ColdServerRateLimiter.h
+++ b/Balsamrack/Decisions/ColdServerRateLimiter.h
@@ -5,28 +5,31 @@
 
 namespace balsamrack {
 
-/// How many new flows one daemon may send to one cold server.
+/// Limits the rate of new flows from one daemon to one cold server.
 ///
-/// Load that it answers: a server that has just started bears a few flows a
-/// second, and all daemons together must keep to that. Each sends its part, by
-/// its share of the server's slots, so that nothing has to be said between
-/// them; a daemon without a share sends nothing. At most one flow is saved up:
-/// the two or three daemons that share a server exceed its figure by as many
-/// flows in any second, never by a burst. Not thread-safe.
+/// A server that has just started can handle only a few new flows per second,
+/// and all daemons together must respect that rate. Each daemon uses a part of
+/// the rate in proportion to its share of the server's slots, so daemons need
+/// not communicate; a daemon without a share sends nothing. At most one token
+/// accumulates, so the two or three daemons that share a server exceed the rate
+/// by at most that many flows in any second, never by a burst. Not thread-safe.
 class ColdServerRateLimiter {
 public:
-  /// Of the figure that operators give, left free for views that differ.
+  /// Fraction of the configured rate that is used; the rest leaves room for
+  /// daemons whose views differ.
   static constexpr double UsedFraction = 0.8;
 
-  /// True when a flow may go now. \p perSecond is what the server bears, \p
-  /// part this daemon's part of it (0 to 1).
+  /// Returns true if a flow may be sent now. \p perSecond is the rate of new
+  /// flows that the server can handle, \p part this daemon's fraction of it (0
+  /// to 1).
   bool mayAdmit(TimePoint now, double perSecond, double part);
-  /// A flow went. Precondition: allows() was true at this time.
+  /// Consumes a token for a flow that was sent. Precondition: mayAdmit()
+  /// returned true at this time.
   void consume() { Tokens -= 1; }
 
 private:
-  double Tokens = 0;    ///< Flows saved up, one at most.
-  TimePoint RefilledAt; ///< When Credit was last raised; zero: never.
+  double Tokens = 0;    ///< Available tokens, at most one.
+  TimePoint RefilledAt; ///< Time of the last refill; zero if never.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/DispatchPause.h
+++ b/Balsamrack/Decisions/DispatchPause.h
@@ -7,30 +7,31 @@
 
 namespace balsamrack {
 
-/// Pauses dispatches to a backend server that sheds or can't be reached.
+/// Pauses dispatches to a backend server that sheds load or is unreachable.
 ///
-/// Answers: a server that is down, restarts, or is over its own limit. Without
-/// it each waiting request is sent and comes back at once: the queue is burnt
-/// in milliseconds, and a server that comes up meets all of it.
+/// Guards against a server that is down, restarting, or over its own limit.
+/// Without it each waiting request is dispatched and fails at once: the queue
+/// is drained in milliseconds, and a recovering server receives all of it.
 ///
-/// Thresholds: from 20 ms, less than an answer's time, doubled to a second at
-/// most, so that a server that is back is found within that; a server's own
-/// Retry-After is believed up to 5 s. After two dispatches in a row that found
-/// no server it counts as gone while the pause lasts: what waits for it is
-/// refused at once, for one lost connection happens, two hardly do. Not
-/// thread-safe.
+/// The pause starts at 20 ms, less than a typical answer time, and doubles up
+/// to one second, so that a recovered server is found within that time. A
+/// server's own Retry-After is honoured up to 5 s. After two consecutive
+/// dispatches without a connection the server counts as unreachable while the
+/// pause lasts, and requests waiting for it are refused at once; a single lost
+/// connection is common, two in a row are rare. Not thread-safe.
 class DispatchPause {
 public:
-  /// The server answered: no pause, and the next one is short again.
+  /// Reports an answer of the server; the next pause is short again.
   void reportAnswered();
-  /// The server shed a request and asked for \p retryAfter.
+  /// Reports that the server shed a request and asked for a pause of \p
+  /// retryAfter.
   void reportShed(TimePoint now, Duration retryAfter);
-  /// No connection to the server came about.
+  /// Reports that no connection to the server could be established.
   void reportUnreachable(TimePoint now);
 
-  /// No dispatch before this.
+  /// Dispatches are paused until this time.
   TimePoint until() const { return Until; }
-  /// The server was not found repeatedly.
+  /// True after repeated dispatches without a connection.
   bool isUnreachable() const {
     return ConsecutiveUnreachable >= UnreachableLimit;
   }
@@ -43,9 +44,10 @@
 
   void extend(TimePoint now, Duration retryAfter);
 
-  TimePoint Until;                     ///< See until().
-  Duration NextPause = MinPause;       ///< Length of the next pause.
-  uint32_t ConsecutiveUnreachable = 0; ///< Dispatches that found no server.
+  TimePoint Until;               ///< See until().
+  Duration NextPause = MinPause; ///< Length of the next pause.
+  /// Consecutive dispatches without a connection.
+  uint32_t ConsecutiveUnreachable = 0;
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/FailureDetector.cpp
+++ b/Balsamrack/Decisions/FailureDetector.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// The first hold of a server at which nothing waits is this part of the
-/// longest one.
+/// For a server without pending requests, the initial probe interval is the
+/// maximum interval divided by this.
 constexpr int MinIntervalDivisor = 4;
 
 } // namespace
@@ -59,8 +59,8 @@
 }
 
 Duration FailureDetector::maxProbeInterval(const Record &record) const {
-  // What is found of one server of a silent domain counts for all of it, and
-  // few of them are asked.
+  // A result for one server of a silent domain counts for the whole domain, and
+  // only a few of its servers are probed.
   return Domains[record.DomainIndex].Silent
              ? Settings.MaxProbeInterval
              : std::max(Settings.MaxProbeInterval, FleetProbeInterval);
@@ -110,8 +110,8 @@
     return false;
   bool relapse = record.LastAnswer != TimePoint{} &&
                  now - record.LastAnswer < Settings.RelapseWindow;
-  // A server that takes connections but no openings would else be tried with
-  // callers' flows again and again.
+  // Otherwise a server that accepts connections but does not answer openings
+  // would be tried with callers' flows again and again.
   record.ProbeInterval =
       relapse && record.ProbeInterval > Duration{0}
           ? std::min(record.ProbeInterval * 2, maxProbeInterval(record))
@@ -137,8 +137,9 @@
   if (domainRecord.Silent || silent < Settings.DomainThreshold)
     return;
   setDomainSilent(domainRecord, true);
-  // Guards against two dead servers that take living ones with them: they get
-  // no openings now, so some are asked at once and speak for their domain.
+  // Two dead servers can make a domain silent that has live ones. Live servers
+  // receive no openings now, so some servers are probed at once to represent
+  // the domain.
   domainRecord.NextProbe = now;
   domainRecord.ProbeInterval = Settings.MinProbeInterval;
 }
@@ -152,7 +153,7 @@
   Record *record = find(server);
   if (!record || record->LastReached >= sentAt)
     return;
-  // A request waits for it, so it matters soon whether it is lost.
+  // A request is pending there, so it must be known soon whether it is lost.
   if (record->Silent && record->ConfirmedFailures < Settings.LostAttemptLimit)
     record->NextProbe =
         std::min(record->NextProbe,
@@ -209,8 +210,8 @@
   record.LastUnansweredCaller = 0;
   DomainRecord &domainRecord = Domains[record.DomainIndex];
   domainRecord.LastAnswer = now;
-  // The others of a domain that speaks again are trusted too: the next two
-  // openings or attempts tell.
+  // When a domain answers again, its other servers are trusted too; the next
+  // two openings or probes show whether they have failed.
   if (domainRecord.Silent) {
     setDomainSilent(domainRecord, false);
     for (size_t other : Probed)
@@ -253,7 +254,7 @@
   if (!found)
     return false;
   if (!isProbed(*found)) {
-    // It was to accompany others.
+    // This was a control probe.
     if (conclusive)
       suspectOwnLink(now);
     return false;
@@ -261,7 +262,7 @@
   Record &record = *found;
   bool was = record.Silent;
   TimePoint since = was ? record.SilentSince : record.SuspectedSince;
-  // Else it may be this daemon's own link that is full or cut.
+  // Otherwise this daemon's own link may be saturated or partitioned.
   bool linkWorked = conclusive && LastDeliverySentAt >= record.ProbedAt &&
                     now >= LinkSuspectUntil;
   bool confirmed =
@@ -279,12 +280,12 @@
   record.SuspectedSince = {};
   setAttemptFailed(record, record.AttemptFailed || conclusive);
   setFailureConfirmed(record, record.FailureConfirmed || confirmed);
-  // Until it is known whether its open flows are lost, it is asked quickly.
+  // Probes frequently until it is known whether the open flows there are lost.
   bool lossUnknown = requestsPending && linkWorked &&
                      record.ConfirmedFailures < Settings.LostAttemptLimit;
   if (!lossUnknown) {
     Duration longest = maxProbeInterval(record);
-    // A large fleet begins with a longer one.
+    // A large fleet starts with a longer interval.
     Duration least =
         requestsPending ? Duration(0) : longest / MinIntervalDivisor;
     record.ProbeInterval =
@@ -301,10 +302,11 @@
 bool FailureDetector::confirmSuspicion(TimePoint now, Record &record,
                                        bool conclusive) {
   record.FailedAttempts += conclusive ? 1 : 0;
-  // Domains fail and are cut off as a whole: its others are asked meanwhile.
+  // Failure domains fail and are cut off as a whole, so the other servers of
+  // the domain are probed meanwhile.
   if (record.FailedAttempts == 1 && !record.SuspectedWithDomain)
     suspectDomain(now, record.DomainIndex, record.SuspectedSince);
-  // One that could not be made waits for those that are under way.
+  // An attempt that could not be made is repeated after those in progress.
   record.NextProbe = conclusive ? now : now + Settings.MinProbeInterval;
   return record.FailedAttempts >= Settings.FailedAttemptLimit;
 }
@@ -348,7 +350,7 @@
 }
 
 bool FailureDetector::isProbedViaDomain(const Record &record) const {
-  // Else a request there waits to be told whether it is lost.
+  // Otherwise a request there would wait to learn whether it is lost.
   return Domains[record.DomainIndex].Silent && record.AttemptFailed &&
          record.ProbeInterval > Settings.MinProbeInterval;
 }
@@ -357,7 +359,7 @@
                                  std::vector<size_t> &due) {
   Record &record = Servers[server];
   record.ProbedAt = now;
-  // Until the attempt ends, whichever way.
+  // Postponed until the attempt succeeds or fails.
   record.NextProbe = now + Settings.MaxProbeInterval;
   due.push_back(server);
 }
@@ -369,7 +371,8 @@
   domainRecord.ProbeInterval =
       std::min(domainRecord.ProbeInterval * 2, Settings.MaxProbeInterval);
   uint32_t left = Settings.MaxProbesPerDomain;
-  // Each round goes on where the last one ended, so that the living are found.
+  // Each round continues where the last one ended, so that live servers are
+  // found.
   size_t first = domainRecord.LastProbed + 1;
   for (size_t i = 0; i < Servers.size() && left > 0; ++i) {
     size_t server = (first + i) % Servers.size();
@@ -403,7 +406,8 @@
   const Record &first = Servers.at(probed);
   if (first.ConfirmedFailures >= Settings.LostAttemptLimit)
     return std::nullopt;
-  // Another domain's, since domains fail as a whole; then the last reached.
+  // Prefers a server of another domain, since domains fail as a whole, and then
+  // the one reached last.
   auto better = [&](const Record &a, const Record &b) {
     bool aElsewhere = a.DomainIndex != first.DomainIndex;
     bool bElsewhere = b.DomainIndex != first.DomainIndex;
--- a/Balsamrack/Decisions/LateOpenings.cpp
+++ b/Balsamrack/Decisions/LateOpenings.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-/// Callers give an attempt up when its opening has no answer for so long.
+/// Callers abandon an attempt whose opening is not answered within this time.
 constexpr Duration AttemptTimeout{1'400'000};
-/// One part in so many of the timeout is left for the work itself.
+/// The fraction 1/N of the timeout is reserved for processing the request.
 constexpr int ReservedTimeoutDivisor = 4;
-/// One before the work, one after it.
+/// One before and one after the processing.
 constexpr int HandshakesPerRequest = 2;
-/// Of a request's time, should a handshake be measured longer than that.
+/// Lower bound on the fraction of the request time that occupies a slot, for
+/// when the measured handshake time is longer than that allows.
 constexpr double MinWorkFraction = 0.25;
 
 } // namespace
--- a/Balsamrack/Decisions/LateOpenings.h
+++ b/Balsamrack/Decisions/LateOpenings.h
@@ -5,42 +5,44 @@
 
 namespace balsamrack {
 
-/// What is known of the request behind an opening.
+/// Timing of the request that an opening belongs to.
 struct OpeningTimes {
-  Duration Age{0};       ///< Since its caller sent the first copy.
-  Duration Objective{0}; ///< Latency objective of its route; zero: none given.
-  Duration Timeout{0};   ///< Of the requests of its route; zero: none given.
+  Duration Age{0}; ///< Time since the caller sent the first copy.
+  Duration Objective{
+      0};              ///< Latency objective of the route; zero if none is set.
+  Duration Timeout{0}; ///< Request timeout of the route; zero if none is set.
 };
 
-/// How long an opening may wait for a free slot, or zero when it shall not
-/// wait at all.
+/// Maximum time that a late opening may wait for a free slot; zero if it must
+/// not wait.
 ///
-/// Load that it answers: all daemons were away for a second or two, and when
-/// they are back their callers come all at once: those that call just now, and
-/// those that have called all along. Served in the order of arrival everybody
-/// waits behind everybody, and most miss their latency objective. Callers that
-/// have missed it already, but have time left, give way to those that can still
-/// be served in time, as in adaptive LIFO queues (Maurer 2015).
+/// Guards against the burst after an outage of all daemons for a second or two,
+/// when new callers and those that kept retrying arrive at once. In order of
+/// arrival everyone waits behind everyone, and most miss their latency
+/// objective. Callers that have already missed it, but have time left, yield to
+/// those that can still be served in time, as in adaptive LIFO queues (Maurer
+/// 2015).
 ///
-/// Limits: an opening whose objective is not over never waits, nor one without
-/// an objective. A waiting one goes on while a quarter of its caller's timeout
-/// is left, whether slots are free or not, so that it is late but not lost.
-/// Pure, thread-safe.
+/// An opening never waits while its objective has not passed, or when its route
+/// has none. A waiting opening proceeds when a quarter of the caller's timeout
+/// is left, even if no slot is free, so that it is late but not lost. Pure,
+/// thread-safe.
 Duration lateOpeningMaxWait(const OpeningTimes &times);
 
-/// How busy a daemon keeps the slots that are its own.
+/// Utilisation of a daemon's share of the slots.
 struct OwnSlotUsage {
-  double Load = 0;         ///< Own requests in progress by own slots.
-  Duration RequestTime{0}; ///< Usual time of a request; zero: not known.
-  Duration Handshake{
-      0}; ///< Usual time of an opening's answer; zero: not known.
+  /// Requests of this daemon in progress, divided by its slots.
+  double Load = 0;
+  Duration RequestTime{0}; ///< Typical duration of a request; zero if unknown.
+  /// Typical time until an opening is answered; zero if unknown.
+  Duration Handshake{0};
 };
 
-/// True when the own slots are all at work. A request is in progress before it
-/// has reached the server and after the answer has left that, for about the
-/// time of a handshake each; only what lies between takes a slot. Without
-/// that, daemons of short work far from their callers would see full slots
-/// where half of them are free. Pure, thread-safe.
+/// True if all slots of this daemon's share are busy. A request counts as in
+/// progress for about one handshake time before it reaches the server and one
+/// after the answer has left it, but occupies a slot only in between. Without
+/// this correction, daemons with short requests far from their callers would
+/// see full slots when half of them are free. Pure, thread-safe.
 bool areOwnSlotsBusy(const OwnSlotUsage &slots);
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/OpeningChoice.cpp
+++ b/Balsamrack/Decisions/OpeningChoice.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Costs that differ by less are equal: rounding must not decide.
+/// Costs that differ by less are treated as equal, so that rounding errors do
+/// not decide.
 constexpr double CostTolerance = 1e-6;
 
 struct Cost {
@@ -65,9 +66,10 @@
   double slots = std::max<uint32_t>(candidate.Slots, 1);
   double others = std::max(0.0, slots - candidate.Share) * othersLoad;
   double free = slots - 1 - candidate.InProgress;
-  // The mean excess of a Poisson number over the free slots (many daemons, each
-  // with few flows there): its mean excess over nothing, and what the free
-  // slots take off it.
+  // The number of flows of other daemons is modelled as Poisson distributed,
+  // since many daemons have few flows each there. The wait is the mean excess
+  // over the free slots: the mean excess over zero, less what the free slots
+  // absorb.
   double wait = others - free;
   double chance = std::exp(-others);
   for (int n = 0; n < free; ++n) {
@@ -86,7 +88,8 @@
   for (const OpeningCandidate &candidate : candidates) {
     Cost cost = computeCost(candidate, othersLoad);
     if (best && isSameCost(cost, bestCost)) {
-      // Reservoir of one: each of those alike is as likely.
+      // Reservoir sampling with one element: each tied candidate is equally
+      // likely.
       if (random.below(++ties) == 0)
         best->Server = candidate.Server;
       continue;
--- a/Balsamrack/Decisions/OpeningChoice.h
+++ b/Balsamrack/Decisions/OpeningChoice.h
@@ -10,59 +10,66 @@
 
 namespace balsamrack {
 
-/// Whether a server should get new flows at all. A later rank is used only
-/// while no server of an earlier one is left.
+/// Suitability of a server for new flows. Servers of a later rank are
+/// considered only when no server of an earlier rank is available.
 enum class OpeningRank {
-  Normal,    ///< Nothing speaks against it.
-  Suspected, ///< Its failure domain has left a copy of this very opening
-             ///< unanswered: domains fail and are cut off as a whole.
-  Expired,   ///< Its entry has just disappeared.
-  Silent,    ///< It, or its whole failure domain, leaves openings unanswered.
+  Normal,    ///< No failure is known or suspected.
+  Suspected, ///< A server of its failure domain did not answer an earlier copy
+             ///< of this opening; failure domains fail and are cut off as a
+             ///< whole.
+  Expired,   ///< Its published entry was removed recently.
+  Silent,    ///< The server, or its whole failure domain, does not answer
+             ///< openings.
 };
 
-/// What the choice looks at, for one server.
+/// One candidate server and the inputs for choosing among candidates.
 struct OpeningCandidate {
-  size_t Server = 0;                      ///< The caller's own number of it.
-  OpeningRank Rank = OpeningRank::Normal; ///< See there.
-  uint32_t InProgress = 0;  ///< Flows of this daemon that it works on.
-  uint32_t Slots = 1;       ///< Requests that it works on at the same time.
-  double Share = 0;         ///< Of its slots, this daemon's (slotShares).
-  bool InSameDomain = true; ///< In this daemon's failure domain.
-  bool Cold = false;        ///< Has just started and is slow.
+  size_t Server = 0; ///< Index assigned by the calling code.
+  /// Candidates of the lowest rank are preferred.
+  OpeningRank Rank = OpeningRank::Normal;
+  uint32_t InProgress = 0; ///< Flows of this daemon in progress on the server.
+  uint32_t Slots = 1;      ///< Requests that the server processes concurrently.
+  /// This daemon's share of the server's slots, see slotShares().
+  double Share = 0;
+  bool InSameDomain = true; ///< The server is in this daemon's failure domain.
+  bool Cold = false;        ///< The server started recently and is still slow.
 };
 
-/// Extra cost of a server in another failure domain, in slots of expected wait:
-/// decides only between servers that are nearly alike. A flow there costs bytes
-/// between domains, and is lost when the domains are cut off from each other.
+/// Extra cost of a server in another failure domain, in slots of expected wait.
+/// It only breaks near ties. Such a flow causes traffic between domains, and is
+/// lost when the domains are partitioned.
 constexpr double RemoteDomainCost = 0.02;
-/// Extra cost of a cold server: it works at about two thirds of its speed, so
-/// a flow that finds a warm one idle is served sooner there.
+/// Extra cost of a cold server, in slots of expected wait. A cold server runs
+/// at about two thirds of its full speed, so a flow is served sooner by an idle
+/// warm server.
 constexpr double ColdServerCost = 0.25;
 
-/// How many flows a new flow would wait for at \p candidate, a slot: the mean
-/// of what exceeds the free slots, when other daemons fill their shares to \p
-/// othersLoad (1 is full) independently of each other. Pure, thread-safe.
+/// Expected number of flows, per slot, that a new flow waits for at \p
+/// candidate: the mean number of flows beyond the free slots, assuming that
+/// other daemons independently fill their shares to \p othersLoad (1 is full).
+/// Pure, thread-safe.
 double expectedWait(const OpeningCandidate &candidate, double othersLoad);
 
-/// What chooseForOpening() compares within a rank: the expected wait and the
-/// extra costs of \p candidate. Pure, thread-safe.
+/// The cost that chooseForOpening() compares within a rank: the expected wait
+/// of \p candidate plus its extra costs. Pure, thread-safe.
 double openingCost(const OpeningCandidate &candidate, double othersLoad);
 
-/// Which of \p candidates chooseForOpening() chooses among by chance. Pure,
-/// thread-safe.
+/// Marks the candidates of least cost, among which chooseForOpening() picks at
+/// random. Pure, thread-safe.
 std::vector<bool>
 leastCostCandidates(const std::vector<OpeningCandidate> &candidates,
                     double othersLoad);
 
-/// The server that was chosen, and what is expected there.
+/// The chosen server and its cost.
 struct OpeningChoice {
-  size_t Server = 0; ///< The caller's own number of it.
-  double Cost = 0;   ///< Flows that the new one would wait for, a slot.
+  size_t Server = 0; ///< Index assigned by the calling code.
+  double Cost = 0; ///< Cost of the candidate: expected wait in flows per slot,
+                   ///< plus the extra costs.
 };
 
-/// Chooses the server for a new flow: the earliest rank, then the least
-/// expected wait, then the fewest own flows, then chance. Nothing without
-/// candidates. Pure but for \p random, thread-safe as that is.
+/// Chooses the server for a new flow by lowest rank, then lowest cost, then
+/// fewest flows of this daemon, then at random. Returns nothing if \p
+/// candidates is empty. Pure except for \p random, and as thread-safe as it.
 std::optional<OpeningChoice>
 chooseForOpening(const std::vector<OpeningCandidate> &candidates,
                  double othersLoad, RandomSource &random);
--- a/Balsamrack/Decisions/ReachMonitor.h
+++ b/Balsamrack/Decisions/ReachMonitor.h
@@ -5,48 +5,53 @@
 
 namespace balsamrack {
 
-/// What is known of the way to backend servers.
+/// Connectivity to backend servers.
 enum class ReachState {
-  Unknown, ///< Nothing has been tried since the start.
-  Reached, ///< A server that takes new flows was reached.
-  Lost,    ///< None of them could be reached, and none has been since.
+  Unknown, ///< No server has been reached since the start.
+  Reached, ///< A server that accepts new flows was reached.
+  Lost, ///< No such server could be reached, and none has been reached since.
 };
 
-/// Name of a state in lower case. Thread-safe.
+/// Returns the name of \p state in lower case. Thread-safe.
 const char *reachStateName(ReachState state);
 
-/// Whether this daemon can reach any backend server that takes new flows.
+/// Tracks whether this daemon can reach any backend server that accepts new
+/// flows.
 ///
-/// Load that it answers: a failure domain that is cut off from the others while
-/// none of its own servers takes new flows. The fabric sends its callers to
-/// daemons elsewhere only while none of the domain's daemons is ready; one that
-/// is ready brings all callers of the domain back, to be refused. So a daemon
-/// that has just started, and one that has lost its servers, is not ready until
-/// a server was reached. A new entry in what is published proves nothing.
+/// Guards against a failure domain that is partitioned from the others while
+/// none of its own servers accepts new flows. The fabric routes its callers to
+/// daemons elsewhere only while none of the domain's daemons is ready; a single
+/// ready one attracts all callers of the domain and has to refuse them. A
+/// daemon that has just started, or that has lost its servers, is therefore not
+/// ready until it has reached a server. A new published entry is no proof of
+/// that.
 ///
 /// Deterministic. Not thread-safe.
 class ReachMonitor {
 public:
-  /// Between rounds of probes without a proof.
+  /// Interval between rounds of probes until a server is reached.
   static constexpr Duration ProbePeriod{200'000};
 
-  /// What is known.
+  /// Current state.
   ReachState state() const { return State; }
-  /// Since when the state is Lost. Precondition: state() is Lost.
+  /// Time at which the state became Lost. Precondition: state() is Lost.
   TimePoint lostAt() const { return LostAt; }
-  /// A server that takes new flows took a connection or opened a flow.
+  /// Reports that a server that accepts new flows accepted a connection or
+  /// opened a flow.
   void reportReached() { State = ReachState::Reached; }
-  /// All servers that take new flows are unreachable.
+  /// Reports that all servers that accept new flows are unreachable.
   void reportLost(TimePoint now);
-  /// True when some servers should be probed now; counts them as probed.
+  /// Returns true if some servers should be probed now, and schedules the next
+  /// round.
   bool startProbeIfDue(TimePoint now);
-  /// When takeProbe() is true next; the far future for never.
+  /// Time at which startProbeIfDue() next returns true; the maximum TimePoint
+  /// for never.
   TimePoint nextProbeAt() const;
 
 private:
   ReachState State = ReachState::Unknown;
   TimePoint LostAt;    ///< See lostAt().
-  TimePoint NextProbe; ///< Not before.
+  TimePoint NextProbe; ///< Earliest time of the next round of probes.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/SlotShares.h
+++ b/Balsamrack/Decisions/SlotShares.h
@@ -7,23 +7,26 @@
 
 namespace balsamrack {
 
-/// Which part of each server's slots one daemon counts as its own.
+/// Computes the part of each server's slots that one daemon counts as its own.
 ///
-/// Load that it answers: nine daemons that each see a ninth of the flows before
-/// servers with two slots each. Choosing the least loaded by its own counts, a
-/// daemon finds nearly all servers at zero and chooses blindly; at half load
-/// every third flow then waits behind two others while slots stand idle
-/// elsewhere. With shares a daemon's own counts are nearly all there is to know
-/// about its servers, and nothing has to be said between daemons.
+/// Guards against poor balance when many daemons each see few flows, such as
+/// nine daemons with a ninth of the flows each before servers with two slots
+/// each. Choosing the least loaded server by its own counts alone, a daemon
+/// sees nearly all servers at zero and chooses blindly: at half load, every
+/// third flow then waits behind two others while slots are idle elsewhere. With
+/// shares, a daemon's own counts cover nearly all load on its servers, and
+/// daemons need not exchange load information.
 ///
-/// How: all slots of a service lie on a line, ordered by failure domain, and so
-/// do the daemons; each daemon owns an equal stretch. Both orders begin alike,
-/// so a daemon's stretch lies mostly in its own failure domain. Views that
-/// differ for a moment only make shares overlap: a share is a preference.
+/// All slots of a service form a line ordered by failure domain, and so do the
+/// daemons; each daemon owns an equal contiguous range. Both orders start with
+/// the same domains, so a daemon's range lies mostly in its own failure domain.
+/// If the daemons' views differ for a moment, shares merely overlap, since a
+/// share is only a preference.
 ///
-/// \p slots holds the slots of the servers in order; \p daemons the number of
-/// daemons and \p self the place of this one among them. Returns the own slots
-/// of each server. Preconditions: self < daemons. Pure, thread-safe.
+/// \p slots holds the slots of each server in order, \p daemons the number of
+/// daemons and \p self the index of this daemon among them. Returns this
+/// daemon's slots of each server. Precondition: self < daemons. Pure,
+/// thread-safe.
 std::vector<double> slotShares(const std::vector<uint32_t> &slots,
                                size_t daemons, size_t self);
 
