--- a/UnitTests/Decisions/OpeningDecisionsTest.cpp
+++ b/UnitTests/Decisions/OpeningDecisionsTest.cpp
@@ -62,9 +62,9 @@
             expectedWait(candidate(0, 1), 0.5));
 }
 
-// Story: the site is overloaded many times over. The sum over other daemons'
-// flows was cut off after a few terms, so all servers seemed idle and a daemon
-// sent everything wherever chance would have it.
+// Guards against an expected wait of zero under heavy overload. The sum over
+// the flows of other daemons was truncated after a few terms, so all servers
+// seemed idle and a daemon placed flows at random.
 TEST(OpeningChoiceTest, ExpectedWaitHoldsUnderAnyLoad) {
   for (double load : {0.1, 1.0, 10.0, 1000.0}) {
     double others = 1.5 * load;
@@ -172,16 +172,17 @@
   EXPECT_FALSE(Detector.isSilent(0));
 }
 
-// Story: one caller's link is cut. Whatever it opens gets no answer, and that
-// says nothing of the servers.
+// A caller with a broken link gets no answers to its openings, which says
+// nothing about the servers.
 TEST_F(FailureDetectorTest, OneCallerAloneSilencesNobody) {
   for (int i = 0; i < 10; ++i)
     EXPECT_FALSE(Detector.reportUnanswered(Now, 0, Now - Duration(20'000), 7));
   EXPECT_TRUE(Detector.reportUnanswered(Now, 0, Now - Duration(20'000), 8));
 }
 
-// Story: two servers of a domain die, the third one lives. Judged with its
-// domain it gets no openings, so it could never prove itself.
+// Guards against a live server that stays silent forever with its domain: two
+// servers of the domain have died, and the third receives no openings through
+// which it could show that it is alive.
 TEST_F(FailureDetectorTest, ALivingServerSpeaksForItsDomain) {
   fallsSilent(0);
   EXPECT_FALSE(Detector.isDomainSilent(DomainId("a")));
@@ -213,9 +214,10 @@
   EXPECT_EQ(last, FailureDetectorSettings().MaxProbeInterval);
 }
 
-// Story: a domain is cut off, and the first sign is one request that comes
-// again. Its other servers are asked while that one is, so that the whole
-// domain is known after two attempts to connect instead of after more callers.
+// When a domain is partitioned, the first sign is one repeated request. The
+// other servers of the domain are probed along with the suspected one, so that
+// the whole domain is detected after two connection attempts instead of after
+// more callers.
 TEST_F(FailureDetectorTest, SuspicionOfOneServerIsSettledForItsDomain) {
   Detector.reportUndelivered(Now, 0, Now);
   EXPECT_EQ(Detector.takeDueProbes(Now), std::vector<size_t>{0});
@@ -239,9 +241,10 @@
   EXPECT_FALSE(Detector.isSilent(3));
 }
 
-// Story: a small VM's link is full for 200 ms, for a new configuration goes out
-// on it. Openings and attempts to connect are all late, and every server of the
-// site looked lost; open flows to living servers were reset on a quiet day.
+// Guards against resetting flows to live servers when this daemon's own link is
+// saturated. The link of a small VM was full for 200 ms while a new
+// configuration was sent over it; openings and connection attempts were all
+// late, and all servers of the site seemed lost.
 TEST_F(FailureDetectorTest, AFullLinkOfOurOwnLosesNobody) {
   fallsSilent(1);
   Detector.reportUndelivered(Now, 0, Now);
@@ -252,7 +255,7 @@
   for (size_t server : {0, 1, 2, 3})
     EXPECT_FALSE(Detector.isLost(server)) << server;
   EXPECT_FALSE(Detector.isSilent(0));
-  // A link that lets nothing through for a second is as good as cut.
+  // A link that passes nothing for a second counts as partitioned.
   for (; Now - began < Duration(2'500'000); Now += Duration(50'000))
     for (size_t server : Detector.takeDueProbes(Now))
       Detector.reportAttemptFailed(Now, server);
@@ -262,8 +265,9 @@
   }
 }
 
-// Story: a link that is full loses every third packet. Some attempts connect,
-// so that the link seems to work, and others fail; living servers looked lost.
+// Guards against losing live servers over a saturated link that drops every
+// third packet: some attempts connect, so the link seems to work, while others
+// fail.
 TEST_F(FailureDetectorTest, ALinkThatLosesPacketsLosesNobody) {
   SeededRandom random(7);
   for (int i = 0; i < 2000; ++i, Now += Duration(50'000)) {
@@ -284,9 +288,10 @@
   }
 }
 
-// Story: servers of a domain have died, and a daemon has just started there. It
-// has had no answer of the domain yet and takes it for silent as a whole; a
-// request that came again on an open flow to a living server of it was reset.
+// Guards against resetting flows to a live server of a domain in which others
+// have died. A daemon that has just started has no answer from the domain yet
+// and considers the whole domain silent; a repeated request on a flow to the
+// live server was reset.
 TEST_F(FailureDetectorTest, DeadServersLoseNoLivingOne) {
   for (size_t server : {0, 1}) {
     fallsSilent(server);
@@ -303,9 +308,9 @@
   EXPECT_FALSE(Detector.isLost(2));
 }
 
-// Story: a domain with a thousand servers is cut off from six hundred daemons.
-// Asked all at once, its servers would get a burst of attempts when the cut
-// heals, and the daemons' links one while it lasts.
+// Guards against bursts of probes when a domain with a thousand servers is
+// partitioned from six hundred daemons: to its servers when the partition
+// heals, and on the daemons' links while it lasts.
 TEST_F(FailureDetectorTest, ASuspectedDomainIsProbedByAFew) {
   for (size_t i = 100; i < 1100; ++i)
     Detector.add(i, DomainId("c"));
@@ -324,8 +329,9 @@
   EXPECT_LE(most, 1U + FailureDetectorSettings().MaxProbesPerDomain);
 }
 
-/// Attempts of one daemon of a fleet at a dead server in ten seconds.
-size_t attemptsAtDeadServer(size_t daemons, bool awaited) {
+/// Number of probes that one daemon of a fleet sends to a dead server in ten
+/// seconds.
+size_t attemptsAtDeadServer(size_t daemons, bool requestsPending) {
   FailureDetector detector{FailureDetectorSettings()};
   detector.setDaemonCount(daemons);
   detector.add(0, DomainId("a"));
@@ -338,26 +344,26 @@
     detector.reportDelivered(1, now);
     for (size_t server : detector.takeDueProbes(now)) {
       ++attempts;
-      detector.reportAttemptFailed(now, server, true, awaited);
+      detector.reportAttemptFailed(now, server, true, requestsPending);
     }
   }
   return attempts;
 }
 
-// Guards against a dead server that gets attempts in proportion to the fleet,
-// although none of its daemons has a request there.
+// Guards against a dead server receiving probes in proportion to the size of
+// the fleet, although no daemon has a request in progress there.
 TEST_F(FailureDetectorTest, AFleetOfHundredsAsksADeadServerAsOftenAsASmallOne) {
   constexpr size_t Small = 9, Large = 295;
   size_t small = Small * attemptsAtDeadServer(Small, false);
   size_t large = Large * attemptsAtDeadServer(Large, false);
-  // Each daemon needs a first look of its own.
-  constexpr size_t FirstLook = 5;
-  size_t firstLooks = Large * FirstLook;
-  EXPECT_LE(large, 2 * small + firstLooks);
+  // Each daemon needs some initial probes of its own.
+  constexpr size_t InitialProbes = 5;
+  size_t initialProbes = Large * InitialProbes;
+  EXPECT_LE(large, 2 * small + initialProbes);
 }
 
-// Guards against a request that is in progress at a dead server and is left
-// waiting for as long as a large fleet leaves that server alone.
+// Guards against a request in progress on a dead server that waits for as long
+// as the probe interval of a large fleet.
 TEST_F(FailureDetectorTest, AWaitingRequestIsSettledSoonInAnyFleet) {
   for (size_t daemons : {1, 9, 295, 610}) {
     FailureDetector detector{FailureDetectorSettings()};
@@ -365,25 +371,25 @@
     detector.add(0, DomainId("a"));
     detector.add(1, DomainId("b"));
     TimePoint now{Duration(10'000'000)};
-    // It fell silent while nothing waited there; a request comes two seconds
-    // later and is repeated.
+    // The server fell silent without requests in progress; a request arrives
+    // two seconds later and is repeated.
     detector.reportUndelivered(now, 0, now);
     TimePoint began = now + Duration(2'000'000);
     TimePoint limit = began + Duration(1'000'000);
     for (; now < limit && !detector.isLost(0); now += Duration(10'000)) {
       detector.reportDelivered(1, now);
-      bool awaited = now >= began;
+      bool requestsPending = now >= began;
       if (now == began)
         detector.reportUndelivered(now, 0, now);
       for (size_t server : detector.takeDueProbes(now))
-        detector.reportAttemptFailed(now, server, true, awaited);
+        detector.reportAttemptFailed(now, server, true, requestsPending);
     }
     EXPECT_TRUE(detector.isLost(0)) << daemons;
   }
 }
 
-// Guards against a silent domain whose living servers are never asked, since
-// few are asked at a time and the same ones each time.
+// Guards against a silent domain whose live servers are never probed, because
+// only a few are probed at a time and always the same ones.
 TEST_F(FailureDetectorTest, ALivingServerOfALargeSilentDomainIsFound) {
   constexpr size_t First = 100, Count = 40, Living = 137;
   for (size_t i = First; i < First + Count; ++i)
@@ -406,8 +412,8 @@
   EXPECT_FALSE(Detector.isDomainSilent(DomainId("c")));
 }
 
-// Story: a daemon has no room for one more attempt to connect. Asked for it
-// again at once, it did nothing else any more.
+// Guards against a busy loop: a daemon that could not make another connection
+// attempt was asked for it again at once, and did nothing else.
 TEST_F(FailureDetectorTest, AnAttemptThatCouldNotBeMadeComesLater) {
   Detector.reportUndelivered(Now, 0, Now);
   ASSERT_EQ(Detector.takeDueProbes(Now).size(), 1U);
@@ -428,8 +434,8 @@
   EXPECT_TRUE(Detector.takeDueProbes(Now).empty());
 }
 
-// Story: the last answers of a domain that has just been cut off still reach
-// their callers. They must not make its servers look well again.
+// The last answers of a domain that was just partitioned may still reach their
+// callers. They must not make its servers look healthy again.
 TEST_F(FailureDetectorTest, AnAnswerToWhatWasSentBeforeSaysNothing) {
   fallsSilent(0);
   Detector.reportDelivered(0, Now - Duration(50'000));
