--- a/Balsamrack/Decisions/AnswerTimes.h
+++ b/Balsamrack/Decisions/AnswerTimes.h
@@ -8,29 +8,30 @@
 
 namespace balsamrack {
 
-/// The answer times of one server, seen last. A window of 64 is small enough to
-/// follow a change within a second of a busy server and large enough for
+/// Sliding window of recent answer times of one server. 64 answers are few
+/// enough to follow a change within a second of a busy server and enough for
 /// quartiles. Not thread-safe.
 class AnswerTimes {
 public:
-  static constexpr size_t Window = 64; ///< Answers that are remembered.
+  static constexpr size_t Window = 64; ///< Number of answers in the window.
 
-  /// Notes an answer. Precondition: \p took is not negative.
+  /// Records an answer time. Precondition: \p took is not negative.
   void add(Duration took);
-  /// Forgets all.
+  /// Removes all answer times.
   void clear();
-  /// Number of answers remembered, at most Window.
+  /// Number of answer times recorded, at most Window.
   size_t count() const { return Count; }
-  /// Mean; zero when there is none.
+  /// Mean answer time; zero if there is none.
   Duration mean() const;
-  /// The time below which \p share of the answers lie; zero when there is
-  /// none. Precondition: 0 <= \p share <= 1.
+  /// The \p share quantile of the answer times; zero if there is none.
+  /// Precondition: 0 <= \p share <= 1.
   Duration quantile(double share) const;
 
 private:
-  std::array<Duration, Window> Seen{}; ///< Ring; the first Count are valid.
-  size_t Count = 0;                    ///< Valid entries.
-  size_t Next = 0;                     ///< Where the next one goes.
+  /// Ring buffer; the first Count entries are valid.
+  std::array<Duration, Window> Seen{};
+  size_t Count = 0; ///< Number of valid entries.
+  size_t Next = 0;  ///< Index of the next write.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/OwnerEvents.h
+++ b/Balsamrack/Decisions/OwnerEvents.h
@@ -13,72 +13,79 @@
 
 namespace balsamrack {
 
-/// A backend server that this daemon owns, and how it came to own it.
+/// A backend server that this daemon owns, and how the daemon became its owner.
 struct OwnedServer {
-  /// Whose the server was before.
+  /// Previous ownership of the server.
   enum class Origin {
-    Founded,    ///< Nobody's, or nobody knows: the worst case.
-    HandedOver, ///< The old owner passed it on by message.
-    TakenOver,  ///< The old owner's authority has expired.
+    Founded,    ///< No previous owner, or none known: assumes the worst case.
+    HandedOver, ///< The previous owner handed it over by message.
+    TakenOver,  ///< The previous owner's authority has expired.
   };
-  BackendServer Server;          ///< As the ticket in force describes it.
-  bool DomainInService = true;   ///< False once operators took its domain out.
-  Origin How = Origin::Founded;  ///< How the server came to this daemon.
-  ServerCondition LastKnown;     ///< What an earlier owner said of it.
-  uint32_t InProgress = 0;       ///< Requests that the owner before left there.
-  TimePoint DispatchAllowedFrom; ///< End of the wait for an earlier owner's
-                                 ///< authority to expire.
+  BackendServer Server; ///< Configuration from the ticket in force.
+  /// False while operators have its domain out of service.
+  bool DomainInService = true;
+  Origin How = Origin::Founded; ///< How this daemon became the owner.
+  ServerCondition LastKnown;    ///< Condition reported by an earlier owner.
+  /// Requests that the previous owner left in progress.
+  uint32_t InProgress = 0;
+  TimePoint DispatchAllowedFrom; ///< No dispatch before this time, when an
+                                 ///< earlier owner's authority has expired.
 };
 
-/// The whole new set of servers that this daemon owns of the service. A repeat
-/// changes nothing.
+/// The complete new set of servers of the service that this daemon owns. A
+/// repeated event changes nothing.
 struct ServersChanged {
-  TicketNumber Ticket;              ///< Highest ticket in force.
-  Service Settings;                 ///< The service, under that ticket.
+  TicketNumber Ticket; ///< Highest ticket in force.
+  Service Settings;    ///< Configuration of the service under that ticket.
   std::vector<OwnedServer> Servers; ///< All servers owned from now on.
 };
 
 /// A request for one owned server. Precondition: its RequestId is new.
 struct RequestArrived {
-  Envelope Head;              ///< Remaining counts from the time of the step.
-  ServerId Server;            ///< The server that its flow lives on.
-  bool NewFlow = false;       ///< It would open a flow on the server.
-  uint32_t FlowsOnServer = 0; ///< Flows that live there, without this one.
+  /// Request header; Remaining counts from the time of the step.
+  Envelope Head;
+  ServerId Server;      ///< The server that its flow is assigned to.
+  bool NewFlow = false; ///< The request would open a flow on the server.
+  /// Flows assigned to the server, without this one.
+  uint32_t FlowsOnServer = 0;
 };
 
-/// The caller is gone or the entry has given the attempt up.
+/// The caller has left, or the entry has abandoned the attempt.
 struct RequestCancelled {
-  RequestId Request; ///< The attempt; an unknown one is ignored.
+  RequestId Request; ///< Id of the attempt; unknown ids are ignored.
 };
 
-/// What the link says of an earlier StartDispatch, exactly once for each.
+/// Result of a StartDispatch as reported by the link, exactly once for each.
 struct DispatchEnded {
-  RequestId Request;                     ///< As dispatched.
-  DispatchEnd How = DispatchEnd::Failed; ///< What became of it.
-  InstanceId Instance; ///< Run of the server process that answered, if known.
-  Duration Took{0};    ///< From the send to the end.
-  Duration RetryAfter{0};  ///< The server's wish, when Shed.
-  uint32_t HttpStatus = 0; ///< Status, when Answered.
+  RequestId Request;                     ///< Id of the dispatched request.
+  DispatchEnd How = DispatchEnd::Failed; ///< Result of the dispatch.
+  /// Instance of the server process that answered, if known.
+  InstanceId Instance;
+  Duration Took{0};        ///< Time from sending to the end of the dispatch.
+  Duration RetryAfter{0};  ///< Delay requested by the server, if Shed.
+  uint32_t HttpStatus = 0; ///< HTTP status, if Answered.
 };
 
-/// A server's own word on its health. Only a hint: it may lag or lie, so it can
-/// make the owner more careful, never less.
+/// Health report of a server. It may lag or be wrong, so it is only a hint that
+/// can make the owner more cautious, never less.
 struct HealthReported {
   ServerId Server;         ///< Which server.
-  bool Ready = false;      ///< It says that it can take work.
-  uint32_t InProgress = 0; ///< Requests that it says it works on.
-  InstanceId Instance;     ///< Run of its process; may be empty.
+  bool Ready = false;      ///< The server reports that it accepts work.
+  uint32_t InProgress = 0; ///< Requests that the server reports as in progress.
+  InstanceId Instance;     ///< Instance of the server process; may be empty.
 };
 
-/// This daemon's authority over its servers expired or came back.
+/// The authority of this daemon over its servers expired or was restored.
 struct AuthorityChanged {
-  bool MayDispatch = false; ///< True while the daemon is surely the owner.
+  /// True while the daemon is certain to be the owner.
+  bool MayDispatch = false;
 };
 
-/// The daemon leaves: new requests are refused, queued and running ones end.
+/// The daemon is shutting down: new requests are refused, queued and running
+/// ones continue until they end.
 struct ShutdownBegan {};
 
-/// All that a ServiceOwner decides upon.
+/// Events that a ServiceOwner processes.
 using OwnerEvent = std::variant<ServersChanged, RequestArrived,
                                 RequestCancelled, DispatchEnded, HealthReported,
                                 AuthorityChanged, Ticked, ShutdownBegan>;
