--- a/Balsamrack/Decisions/AdmissionQueue.cpp
+++ b/Balsamrack/Decisions/AdmissionQueue.cpp
@@ -8,20 +8,20 @@
 AdmissionQueue::AdmissionQueue(uint32_t capacity, bool fair)
     : Capacity(capacity), Fair(fair) {}
 
-CallerId AdmissionQueue::lineOf(const QueuedRequest &request) const {
+CallerId AdmissionQueue::queueKey(const QueuedRequest &request) const {
   return Fair ? request.Head.Caller : CallerId{};
 }
 
 AdmissionQueue::Verdict AdmissionQueue::push(const QueuedRequest &request) {
   Verdict verdict;
-  CallerId caller = lineOf(request);
+  CallerId caller = queueKey(request);
   if (Size >= Capacity) {
     // Full: only a caller with fewer requests than the one with most may take
     // a place from it; otherwise two greedy callers would push each other out
     // for ever.
     auto own = ByCaller.find(caller);
     size_t held = own == ByCaller.end() ? 0 : own->second.Waiting.size();
-    auto longest = longestLine();
+    auto longest = longestQueue();
     if (longest == ByCaller.end() || !Fair) {
       verdict.Refused = Reason::QueueFull;
       return verdict;
@@ -31,9 +31,9 @@
       verdict.Refused = overShare ? Reason::CallerShare : Reason::QueueFull;
       return verdict;
     }
-    verdict.PushedOut = take(longest, longest->second.Waiting.size() - 1);
+    verdict.Evicted = removeAt(longest, longest->second.Waiting.size() - 1);
   }
-  Line &line = ByCaller[caller];
+  CallerQueue &line = ByCaller[caller];
   line.Round = std::max(line.Round, Round + 1);
   Entry entry{request, NextSequence++};
   auto before = [this](const Entry &a, const Entry &b) {
@@ -49,23 +49,23 @@
 
 std::optional<QueuedRequest> AdmissionQueue::pop(bool allowLong) {
   size_t index = 0;
-  auto line = nextLine(allowLong, index);
+  auto line = nextQueue(allowLong, index);
   if (line == ByCaller.end())
     return std::nullopt;
   Round = std::max(Round, line->second.Round);
   ++line->second.Round;
-  QueuedRequest request = take(line, index);
-  forgetServed();
+  QueuedRequest request = removeAt(line, index);
+  eraseServedCallers();
   return request;
 }
 
-void AdmissionQueue::passedBy(CallerId caller) {
+void AdmissionQueue::recordBypass(CallerId caller) {
   // Nobody waits, so the round is over; only the last caller is remembered.
   if (Size == 0)
     ++Round;
-  Line &line = ByCaller[Fair ? caller : CallerId{}];
+  CallerQueue &line = ByCaller[Fair ? caller : CallerId{}];
   line.Round = std::max(line.Round, Round) + 1;
-  forgetServed();
+  eraseServedCallers();
 }
 
 std::optional<QueuedRequest> AdmissionQueue::remove(RequestId request) {
@@ -73,12 +73,12 @@
     auto &waiting = it->second.Waiting;
     for (size_t n = 0; n < waiting.size(); ++n)
       if (waiting[n].What.Head.Request == request)
-        return take(it, n);
+        return removeAt(it, n);
   }
   return std::nullopt;
 }
 
-std::vector<QueuedRequest> AdmissionQueue::takeExpired(TimePoint when) {
+std::vector<QueuedRequest> AdmissionQueue::removeExpired(TimePoint when) {
   std::vector<Entry> expired;
   if (Deadlines.empty() || *Deadlines.begin() > when)
     return {};
@@ -96,21 +96,21 @@
   std::vector<QueuedRequest> out;
   out.reserve(expired.size());
   for (Entry &e : expired) {
-    forget(e.What);
+    releaseEntry(e.What);
     out.push_back(std::move(e.What));
   }
   return out;
 }
 
-std::vector<QueuedRequest> AdmissionQueue::takeAll() {
+std::vector<QueuedRequest> AdmissionQueue::removeAll() {
   std::vector<QueuedRequest> out;
   while (std::optional<QueuedRequest> next = pop(true))
     out.push_back(std::move(*next));
   return out;
 }
 
-uint32_t AdmissionQueue::ahead(CallerId caller, TimePoint deadline,
-                               bool longWork) const {
+uint32_t AdmissionQueue::countAhead(CallerId caller, TimePoint deadline,
+                                    bool longWork) const {
   auto same = [longWork](const Entry &e) {
     return e.What.LongWork == longWork;
   };
@@ -146,7 +146,7 @@
   return *Deadlines.begin();
 }
 
-AdmissionQueue::Lines::iterator AdmissionQueue::longestLine() {
+AdmissionQueue::CallerQueues::iterator AdmissionQueue::longestQueue() {
   return std::max_element(
       ByCaller.begin(), ByCaller.end(), [](const auto &a, const auto &b) {
         return a.second.Waiting.size() < b.second.Waiting.size();
@@ -159,8 +159,8 @@
   });
 }
 
-AdmissionQueue::Lines::iterator AdmissionQueue::nextLine(bool allowLong,
-                                                         size_t &index) {
+AdmissionQueue::CallerQueues::iterator
+AdmissionQueue::nextQueue(bool allowLong, size_t &index) {
   auto best = ByCaller.end();
   for (auto it = ByCaller.begin(); it != ByCaller.end(); ++it) {
     const auto &waiting = it->second.Waiting;
@@ -185,20 +185,21 @@
   return best;
 }
 
-QueuedRequest AdmissionQueue::take(Lines::iterator line, size_t index) {
+QueuedRequest AdmissionQueue::removeAt(CallerQueues::iterator line,
+                                       size_t index) {
   auto it = line->second.Waiting.begin() + static_cast<ptrdiff_t>(index);
   QueuedRequest request = std::move(it->What);
   line->second.Waiting.erase(it);
-  forget(request);
+  releaseEntry(request);
   return request;
 }
 
-void AdmissionQueue::forget(const QueuedRequest &request) {
+void AdmissionQueue::releaseEntry(const QueuedRequest &request) {
   Deadlines.erase(Deadlines.find(request.Deadline));
   --Size;
 }
 
-void AdmissionQueue::forgetServed() {
+void AdmissionQueue::eraseServedCallers() {
   // A caller that doesn't wait and may go in the next round anyway needs no
   // memory; this bounds the map by the callers of one round.
   for (auto it = ByCaller.begin(); it != ByCaller.end();)
--- a/Balsamrack/Decisions/AdmissionQueue.h
+++ b/Balsamrack/Decisions/AdmissionQueue.h
@@ -47,7 +47,7 @@
   struct Verdict {
     Reason Refused = Reason::None; ///< None: the request waits now.
     std::optional<QueuedRequest>
-        PushedOut; ///< Must be ended with CallerShare in its place.
+        Evicted; ///< Must be ended with CallerShare in its place.
   };
 
   /// \p fair false gives plain order of arrival, to compare with.
@@ -59,16 +59,16 @@
   /// is not long work. Nothing when there is none.
   std::optional<QueuedRequest> pop(bool allowLong);
   /// Counts a request of \p caller that went to the server without waiting.
-  void passedBy(CallerId caller);
+  void recordBypass(CallerId caller);
   /// Takes one request out. Nothing when it is not queued.
   std::optional<QueuedRequest> remove(RequestId request);
   /// Takes out those whose deadline is not after \p when, earliest first.
-  std::vector<QueuedRequest> takeExpired(TimePoint when);
+  std::vector<QueuedRequest> removeExpired(TimePoint when);
   /// Takes out all, in the order of their turns.
-  std::vector<QueuedRequest> takeAll();
+  std::vector<QueuedRequest> removeAll();
   /// Requests of the same kind that would be served before one of \p caller
   /// with \p deadline: long work and short don't wait for each other.
-  uint32_t ahead(CallerId caller, TimePoint deadline, bool longWork) const;
+  uint32_t countAhead(CallerId caller, TimePoint deadline, bool longWork) const;
   /// The earliest deadline; nothing when the queue is empty.
   std::optional<TimePoint> earliestDeadline() const;
 
@@ -88,19 +88,19 @@
     uint64_t Sequence;  ///< Order of arrival.
   };
   /// Requests of one caller.
-  struct Line {
+  struct CallerQueue {
     uint64_t Round = 0;         ///< Round in which its next one is served.
     std::vector<Entry> Waiting; ///< By deadline, then arrival.
   };
-  using Lines = std::map<CallerId, Line>;
+  using CallerQueues = std::map<CallerId, CallerQueue>;
 
-  CallerId lineOf(const QueuedRequest &request) const;
-  Lines::iterator longestLine();
+  CallerId queueKey(const QueuedRequest &request) const;
+  CallerQueues::iterator longestQueue();
   size_t waitingCallers() const;
-  Lines::iterator nextLine(bool allowLong, size_t &index);
-  void forget(const QueuedRequest &request);
-  QueuedRequest take(Lines::iterator line, size_t index);
-  void forgetServed();
+  CallerQueues::iterator nextQueue(bool allowLong, size_t &index);
+  void releaseEntry(const QueuedRequest &request);
+  QueuedRequest removeAt(CallerQueues::iterator line, size_t index);
+  void eraseServedCallers();
 
   uint32_t Capacity;                  ///< Bound of Size.
   bool Fair;                          ///< False: all callers share one line.
@@ -108,7 +108,7 @@
   uint64_t Round = 0;                 ///< Round in progress.
   uint64_t NextSequence = 0;          ///< For the next arrival.
   std::multiset<TimePoint> Deadlines; ///< Of all that wait.
-  Lines ByCaller; ///< Callers that wait or were served in this round.
+  CallerQueues ByCaller; ///< Callers that wait or were served in this round.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/ColdStartRamp.cpp
+++ b/Balsamrack/Decisions/ColdStartRamp.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 /// Warm answers that are needed before answers can be called slow.
-constexpr size_t LeastWarm = 32;
+constexpr size_t MinWarmSamples = 32;
 /// Jumps below this are noise of the network and of scheduling.
 constexpr Duration NoiseFloor{20'000};
 
-Duration times(Duration base, double factor) {
+Duration scale(Duration base, double factor) {
   return Duration(
       static_cast<int64_t>(static_cast<double>(base.count()) * factor));
 }
@@ -27,54 +27,55 @@
 }
 
 void ColdStartRamp::setSlots(uint32_t slots) {
-  bool all = warm();
+  bool all = isWarm();
   Slots = std::max(slots, 1U);
   // More slots on a warm server are no reason to call it cold.
   Limit = all ? Slots : std::min(Limit, Slots);
 }
 
-const char *ColdStartRamp::instanceSeen(TimePoint now,
-                                        const InstanceId &instance) {
+const char *ColdStartRamp::updateInstance(TimePoint now,
+                                          const InstanceId &instance) {
   if (instance.empty() || instance == Instance ||
-      std::find(Past.begin(), Past.end(), instance) != Past.end())
+      std::find(PastInstances.begin(), PastInstances.end(), instance) !=
+          PastInstances.end())
     return nullptr;
   bool first = Instance.empty();
   if (!first)
-    Past.push_back(Instance);
-  if (Past.size() > MostPast)
-    Past.pop_front();
+    PastInstances.push_back(Instance);
+  if (PastInstances.size() > MaxPastInstances)
+    PastInstances.pop_front();
   Instance = instance;
   // The first name that a new owner learns tells nothing of a restart, unless
   // the earlier owner knew another one; the limit is one then anyway.
-  return first ? nullptr : faltered(now, "instance-changed");
+  return first ? nullptr : recordFailure(now, "instance-changed");
 }
 
-void ColdStartRamp::startsFromIdle(TimePoint now) {
-  if (Settings.Enabled && now - LastProof > Settings.IdleSuspicion)
-    Suspected = true;
+void ColdStartRamp::recordStartFromIdle(TimePoint now) {
+  if (Settings.Enabled && now - LastDispatchEnd > Settings.IdleSuspicion)
+    MayHaveRestarted = true;
 }
 
-void ColdStartRamp::returned(TimePoint now) {
-  InstanceId known = warm() ? Instance : Trusted;
+void ColdStartRamp::resetForDomainReturn(TimePoint now) {
+  InstanceId known = isWarm() ? Instance : TrustedInstance;
   if (!Settings.Enabled)
     return;
-  fall(now);
-  Trusted = known;
+  resetLimit(now);
+  TrustedInstance = known;
 }
 
-const char *ColdStartRamp::answered(TimePoint now,
-                                    std::optional<Duration> took) {
-  Suspected = false;
+const char *ColdStartRamp::recordAnswer(TimePoint now,
+                                        std::optional<Duration> took) {
+  MayHaveRestarted = false;
   if (took)
-    Last.push_back(*took);
-  if (Last.size() > DriftWindow)
-    Last.pop_front();
-  if (jumped() && Limit > 1)
-    return faltered(now, "answers-slowed");
-  if (warm()) {
+    RecentAnswers.push_back(*took);
+  if (RecentAnswers.size() > DriftWindow)
+    RecentAnswers.pop_front();
+  if (hasSlowedDown() && Limit > 1)
+    return recordFailure(now, "answers-slowed");
+  if (isWarm()) {
     if (took)
-      Warm.add(*took);
-    Measured = Measured || Warm.count() >= LeastWarm;
+      WarmAnswers.add(*took);
+    HasWarmSamples = HasWarmSamples || WarmAnswers.count() >= MinWarmSamples;
     // A step that held for long was not too early.
     if (now - StepSince >= Settings.MostStepTime) {
       StepTime = Settings.LeastStepTime;
@@ -82,21 +83,23 @@
     }
     return nullptr;
   }
-  if (!Trusted.empty() && Trusted == Instance && !slow(took)) {
-    Trusted = InstanceId();
-    return lift(now, Slots, "known-warm");
+  if (!TrustedInstance.empty() && TrustedInstance == Instance &&
+      !isSlow(took)) {
+    TrustedInstance = InstanceId();
+    return raiseLimit(now, Slots, "known-warm");
   }
-  countAnswer(took);
+  addToGroup(took);
   bool enough = GoodGroups >= GoodGroupsPerStep ||
                 Answers >= Settings.SuccessesPerStep * Patience;
   const Duration atLeast =
-      Measured ? StepTime : std::max(StepTime, Settings.BlindStepTime);
+      HasWarmSamples ? StepTime
+                     : std::max(StepTime, Settings.UnmeasuredStepTime);
   if (!enough || now - StepSince < atLeast)
     return nullptr;
-  return lift(now, Limit + 1, "answered-well");
+  return raiseLimit(now, Limit + 1, "answered-well");
 }
 
-const char *ColdStartRamp::faltered(TimePoint now, const char *why) {
+const char *ColdStartRamp::recordFailure(TimePoint now, const char *why) {
   if (!Settings.Enabled)
     return nullptr;
   bool lowered = Limit > 1;
@@ -105,68 +108,72 @@
         std::min(std::max(StepTime * 2, Duration(1)), Settings.MostStepTime);
     Patience *= 2;
   }
-  Trusted = InstanceId();
-  fall(now);
+  TrustedInstance = InstanceId();
+  resetLimit(now);
   return lowered ? why : nullptr;
 }
 
-void ColdStartRamp::fall(TimePoint now) {
+void ColdStartRamp::resetLimit(TimePoint now) {
   Limit = 1;
-  startLevel(now);
+  startStep(now);
 }
 
-void ColdStartRamp::startLevel(TimePoint now) {
+void ColdStartRamp::startStep(TimePoint now) {
   Answers = GroupSize = GoodGroups = 0;
   GroupTime = Duration(0);
   StepSince = now;
-  Last.clear();
+  RecentAnswers.clear();
 }
 
-void ColdStartRamp::countAnswer(std::optional<Duration> took) {
+void ColdStartRamp::addToGroup(std::optional<Duration> took) {
   ++Answers;
   if (!took)
     return;
   GroupTime += *took;
   if (++GroupSize < Settings.SuccessesPerStep)
     return;
-  bool good = !slow(GroupTime / static_cast<int64_t>(GroupSize));
+  bool good = !isSlow(GroupTime / static_cast<int64_t>(GroupSize));
   GoodGroups = good ? GoodGroups + 1 : 0;
   GroupSize = 0;
   GroupTime = Duration(0);
 }
 
-const char *ColdStartRamp::lift(TimePoint now, uint32_t limit,
-                                const char *why) {
+const char *ColdStartRamp::raiseLimit(TimePoint now, uint32_t limit,
+                                      const char *why) {
   Limit = std::min(limit, Slots);
-  startLevel(now);
+  startStep(now);
   // The next warm answers are the new measure: the server may have become
   // slower for good.
-  if (warm())
-    Warm.clear();
+  if (isWarm())
+    WarmAnswers.clear();
   return why;
 }
 
-size_t ColdStartRamp::lastOver(size_t window, double factor) const {
-  Duration bound = std::max(times(Warm.quantile(0.5), factor), NoiseFloor);
-  size_t from = Last.size() > window ? Last.size() - window : 0;
-  return std::count_if(Last.begin() + static_cast<ptrdiff_t>(from), Last.end(),
+size_t ColdStartRamp::countRecentOver(size_t window, double factor) const {
+  Duration bound =
+      std::max(scale(WarmAnswers.quantile(0.5), factor), NoiseFloor);
+  size_t from =
+      RecentAnswers.size() > window ? RecentAnswers.size() - window : 0;
+  return std::count_if(RecentAnswers.begin() + static_cast<ptrdiff_t>(from),
+                       RecentAnswers.end(),
                        [bound](Duration took) { return took > bound; });
 }
 
-bool ColdStartRamp::jumped() const {
-  if (Warm.count() < LeastWarm)
+bool ColdStartRamp::hasSlowedDown() const {
+  if (WarmAnswers.count() < MinWarmSamples)
     return false;
-  return lastOver(JumpWindow, Settings.JumpFactor) == JumpWindow ||
-         lastOver(DriftWindow, Settings.DriftFactor) >= DriftSlow;
+  return countRecentOver(JumpWindow, Settings.JumpFactor) == JumpWindow ||
+         countRecentOver(DriftWindow, Settings.DriftFactor) >= DriftSlow;
 }
 
-bool ColdStartRamp::slow(std::optional<Duration> took) const {
+bool ColdStartRamp::isSlow(std::optional<Duration> took) const {
   // A new owner has seen no warm answer, and a server that starts cold answers
   // slowly from the first: without the operators' word a cold server's own
   // pace would pass for its usual one.
-  const Duration usual = Warm.count() >= LeastWarm ? Warm.mean() : Expected;
+  const Duration usual =
+      WarmAnswers.count() >= MinWarmSamples ? WarmAnswers.mean() : Expected;
   return took && usual > Duration::zero() &&
-         *took > times(usual, Settings.SlowFactor);
+         *took > scale(usual, Settings.SlowFactor);
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/ColdStartRamp.h
+++ b/Balsamrack/Decisions/ColdStartRamp.h
@@ -57,7 +57,8 @@
   static constexpr size_t DriftWindow = 16; ///< Or of these ...
   static constexpr size_t DriftSlow = 10;   ///< ... so many over a drift.
   static constexpr uint32_t GoodGroupsPerStep = 2; ///< In a row.
-  static constexpr size_t MostPast = 8; ///< Instances that are remembered.
+  static constexpr size_t MaxPastInstances =
+      8; ///< Instances that are remembered.
   static constexpr uint32_t PatienceFactor =
       8; ///< Slow answers count this many times less.
 
@@ -67,7 +68,7 @@
 
   /// An earlier owner knew \p instance as warm; it counts once that instance
   /// answers here.
-  void trust(const InstanceId &instance) { Trusted = instance; }
+  void trustInstance(const InstanceId &instance) { TrustedInstance = instance; }
   /// What operators expect of a warm server: the measure of slowness until
   /// warm answers were seen here.
   void setExpected(Duration usual) { Expected = usual; }
@@ -75,59 +76,59 @@
   void setSlots(uint32_t slots);
   /// The server named its instance. Returns the rule that changed the limit or
   /// null. An instance that is known to be past is ignored: answers may cross.
-  const char *instanceSeen(TimePoint now, const InstanceId &instance);
+  const char *updateInstance(TimePoint now, const InstanceId &instance);
   /// A good answer came; without \p took when its time tells nothing, as that
   /// of work known to be long. Returns the rule that changed the limit or null.
-  const char *answered(TimePoint now, std::optional<Duration> took);
+  const char *recordAnswer(TimePoint now, std::optional<Duration> took);
   /// The server shed a request, broke off, could not be reached, or says that
   /// it is not ready: \p why. Returns \p why if that lowered the limit, else
   /// null.
-  const char *faltered(TimePoint now, const char *why);
+  const char *recordFailure(TimePoint now, const char *why);
 
   /// Requests that may be in progress, in [1, slots].
-  uint32_t limit() const { return Suspected ? 1 : Limit; }
+  uint32_t limit() const { return MayHaveRestarted ? 1 : Limit; }
   /// A dispatch starts while nothing else is in progress.
-  void startsFromIdle(TimePoint now);
+  void recordStartFromIdle(TimePoint now);
   /// A dispatch ended, however it did: until now a restart would have shown.
-  void proved(TimePoint now) { LastProof = now; }
+  void recordDispatchEnd(TimePoint now) { LastDispatchEnd = now; }
   /// The domain of the server was out of service: starts again, but for the
   /// instance that was warm.
-  void returned(TimePoint now);
+  void resetForDomainReturn(TimePoint now);
   /// True at all slots.
-  bool warm() const { return Limit >= Slots; }
+  bool isWarm() const { return Limit >= Slots; }
   /// Last seen instance; may be empty.
   const InstanceId &instance() const { return Instance; }
   /// Time that the next step takes at least.
   Duration stepTime() const { return StepTime; }
 
 private:
-  void fall(TimePoint now);
-  void startLevel(TimePoint now);
-  const char *lift(TimePoint now, uint32_t limit, const char *why);
-  bool jumped() const;
-  bool slow(std::optional<Duration> took) const;
-  void countAnswer(std::optional<Duration> took);
-  size_t lastOver(size_t window, double factor) const;
+  void resetLimit(TimePoint now);
+  void startStep(TimePoint now);
+  const char *raiseLimit(TimePoint now, uint32_t limit, const char *why);
+  bool hasSlowedDown() const;
+  bool isSlow(std::optional<Duration> took) const;
+  void addToGroup(std::optional<Duration> took);
+  size_t countRecentOver(size_t window, double factor) const;
 
   RampSettings Settings;              ///< Limits.
   uint32_t Slots;                     ///< As the ticket says.
-  bool Measured = false;              ///< Warm answers were seen here once.
+  bool HasWarmSamples = false;        ///< Warm answers were seen here once.
   Duration Expected{0};               ///< Zero while nothing is expected.
   uint32_t Limit = 1;                 ///< See limit().
   uint32_t Answers = 0;               ///< Answers at this limit.
   uint32_t Patience = PatienceFactor; ///< Groups after which it rises anyway.
-  uint32_t GroupSize = 0;      ///< Answers in the group that is being seen.
-  Duration GroupTime{0};       ///< Sum of their times.
-  uint32_t GoodGroups = 0;     ///< Fast enough ones in a row.
-  TimePoint StepSince;         ///< When this limit began.
-  TimePoint LastProof;         ///< Up to here a restart would have shown.
-  bool Suspected = false;      ///< May have been restarted while idle.
-  Duration StepTime;           ///< See stepTime().
-  InstanceId Instance;         ///< See instance().
-  InstanceId Trusted;          ///< See trust(); empty once used.
-  std::deque<InstanceId> Past; ///< Earlier instances, oldest first.
-  AnswerTimes Warm;            ///< Answers given while warm.
-  std::deque<Duration> Last;   ///< Answers for jumped().
+  uint32_t GroupSize = 0;        ///< Answers in the group that is being seen.
+  Duration GroupTime{0};         ///< Sum of their times.
+  uint32_t GoodGroups = 0;       ///< Fast enough ones in a row.
+  TimePoint StepSince;           ///< When this limit began.
+  TimePoint LastDispatchEnd;     ///< Up to here a restart would have shown.
+  bool MayHaveRestarted = false; ///< May have been restarted while idle.
+  Duration StepTime;             ///< See stepTime().
+  InstanceId Instance;           ///< See instance().
+  InstanceId TrustedInstance;    ///< See trust(); empty once used.
+  std::deque<InstanceId> PastInstances; ///< Earlier instances, oldest first.
+  AnswerTimes WarmAnswers;              ///< Answers given while warm.
+  std::deque<Duration> RecentAnswers;   ///< Answers for jumped().
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/DrainTracker.cpp
+++ b/Balsamrack/Decisions/DrainTracker.cpp
@@ -5,7 +5,7 @@
 bool DrainTracker::update(TimePoint now, const BackendServer &server,
                           bool domainInService) {
   bool drains = server.Mode == ServerMode::Draining;
-  bool changed = drains != draining() || DomainOut == domainInService;
+  bool changed = drains != isDraining() || DomainOut == domainInService;
   // A repeated ticket must not move the limit.
   if (drains && !Since)
     Since = now;
@@ -16,8 +16,8 @@
   return changed;
 }
 
-std::optional<DrainTracker::Refusal> DrainTracker::refuses(TimePoint now,
-                                                           bool newFlow) const {
+std::optional<DrainTracker::Refusal>
+DrainTracker::checkRefusal(TimePoint now, bool newFlow) const {
   Ending how = newFlow ? Ending::NotRun : Ending::GivenUp;
   if (DomainOut)
     return Refusal{how, Reason::DomainOut};
--- a/Balsamrack/Decisions/DrainTracker.h
+++ b/Balsamrack/Decisions/DrainTracker.h
@@ -33,7 +33,7 @@
   bool update(TimePoint now, const BackendServer &server, bool domainInService);
   /// Why a request of a new or an established flow may not be served here;
   /// nothing when it may.
-  std::optional<Refusal> refuses(TimePoint now, bool newFlow) const;
+  std::optional<Refusal> checkRefusal(TimePoint now, bool newFlow) const;
   /// When flows on a draining server are given up; nothing when it stays.
   std::optional<TimePoint> limit() const;
   /// Name of the state for the journal.
@@ -41,9 +41,9 @@
   /// What it means for flows, as half a sentence.
   const char *result() const;
   /// True while operators drain the server.
-  bool draining() const { return Since.has_value(); }
+  bool isDraining() const { return Since.has_value(); }
   /// True while its domain is out of service.
-  bool domainOut() const { return DomainOut; }
+  bool isDomainOut() const { return DomainOut; }
 
 private:
   std::optional<TimePoint> Since; ///< When its drain was first seen.
--- a/Balsamrack/Decisions/LongWorkGuard.cpp
+++ b/Balsamrack/Decisions/LongWorkGuard.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr double ShortShare = 0.25; ///< The quartile that is short work's.
-constexpr double LearnRate = 0.3;   ///< Weight of the last answer.
-constexpr double FirstLong = 0.3;   ///< Share after a first, long answer.
-constexpr double LongFrom = 0.5;    ///< Share of long answers that is long.
-constexpr uint64_t FlowSalt = 1;    ///< Keeps flows and callers apart.
+constexpr double ShortQuantile = 0.25;   ///< The quartile that is short work's.
+constexpr double LearnRate = 0.3;        ///< Weight of the last answer.
+constexpr double InitialLongShare = 0.3; ///< Share after a first, long answer.
+constexpr double LongCallerShare = 0.5; ///< Share of long answers that is long.
+constexpr uint64_t FlowSalt = 1;        ///< Keeps flows and callers apart.
 constexpr uint64_t CallerSalt = 2;
 
 uint64_t keyOf(uint64_t id, uint64_t salt, Semantics kind) {
@@ -22,29 +22,29 @@
 LongWorkGuard::LongWorkGuard(const LongWorkSettings &settings)
     : Settings(settings) {}
 
-void LongWorkGuard::learn(const Envelope &head, Duration took) {
+void LongWorkGuard::recordAnswer(const Envelope &head, Duration took) {
   Times.add(took);
   bool wasLong = isLong(took);
-  note(keyOf(head.Flow.Value, FlowSalt, head.Kind), wasLong);
-  note(keyOf(head.Caller.Value, CallerSalt, head.Kind), wasLong);
+  updateHistory(keyOf(head.Flow.Value, FlowSalt, head.Kind), wasLong);
+  updateHistory(keyOf(head.Caller.Value, CallerSalt, head.Kind), wasLong);
 }
 
-bool LongWorkGuard::expectsLong(const Envelope &head,
-                                Duration typicalLong) const {
+bool LongWorkGuard::isExpectedLong(const Envelope &head,
+                                   Duration typicalLong) const {
   if (!Settings.Enabled || head.Remaining <= typicalLong)
     return false;
-  auto share = shareOf(keyOf(head.Flow.Value, FlowSalt, head.Kind));
+  auto share = longShare(keyOf(head.Flow.Value, FlowSalt, head.Kind));
   if (!share)
-    share = shareOf(keyOf(head.Caller.Value, CallerSalt, head.Kind));
-  return share && *share >= LongFrom;
+    share = longShare(keyOf(head.Caller.Value, CallerSalt, head.Kind));
+  return share && *share >= LongCallerShare;
 }
 
 bool LongWorkGuard::isLong(Duration took) const {
-  return Settings.Enabled && took >= longFrom();
+  return Settings.Enabled && took >= longThreshold();
 }
 
-Duration LongWorkGuard::longFrom() const {
-  auto quartile = static_cast<double>(Times.quantile(ShortShare).count());
+Duration LongWorkGuard::longThreshold() const {
+  auto quartile = static_cast<double>(Times.quantile(ShortQuantile).count());
   Duration from(static_cast<int64_t>(quartile * Settings.LongFactor));
   return std::max(from, Settings.LeastLong);
 }
@@ -53,30 +53,31 @@
                              uint32_t longRunning) const {
   if (!Settings.Enabled || !longWork || limit < 2 || !LastShort)
     return true;
-  return now >= keptUntil() || longRunning + 1 < limit;
+  return now >= reservedUntil() || longRunning + 1 < limit;
 }
 
-TimePoint LongWorkGuard::keptUntil() const {
+TimePoint LongWorkGuard::reservedUntil() const {
   return LastShort ? *LastShort + Settings.ShortMemory : TimePoint();
 }
 
-void LongWorkGuard::note(uint64_t key, bool wasLong) {
+void LongWorkGuard::updateHistory(uint64_t key, bool wasLong) {
   double last = wasLong ? 1.0 : 0.0;
-  auto [it, fresh] = Known.try_emplace(key, History{last * FirstLong});
+  auto [it, fresh] =
+      Histories.try_emplace(key, History{last * InitialLongShare});
   if (!fresh) {
     it->second.LongShare += LearnRate * (last - it->second.LongShare);
     return;
   }
   Order.push_back(key);
-  if (Order.size() > MostRemembered) {
-    Known.erase(Order.front());
+  if (Order.size() > MaxHistories) {
+    Histories.erase(Order.front());
     Order.pop_front();
   }
 }
 
-std::optional<double> LongWorkGuard::shareOf(uint64_t key) const {
-  auto it = Known.find(key);
-  if (it == Known.end())
+std::optional<double> LongWorkGuard::longShare(uint64_t key) const {
+  auto it = Histories.find(key);
+  if (it == Histories.end())
     return std::nullopt;
   return it->second.LongShare;
 }
--- a/Balsamrack/Decisions/LongWorkGuard.h
+++ b/Balsamrack/Decisions/LongWorkGuard.h
@@ -44,43 +44,43 @@
 /// all slots. With one slot there is nothing to keep. Not thread-safe.
 class LongWorkGuard {
 public:
-  static constexpr size_t MostRemembered = 8192; ///< Flows and callers.
+  static constexpr size_t MaxHistories = 8192; ///< Flows and callers.
 
   /// Precondition: \p settings were checked.
   explicit LongWorkGuard(const LongWorkSettings &settings);
 
   /// Notes an answer to \p head.
-  void learn(const Envelope &head, Duration took);
+  void recordAnswer(const Envelope &head, Duration took);
   /// Notes that short work came at \p now.
-  void shortCame(TimePoint now) { LastShort = now; }
+  void recordShortArrival(TimePoint now) { LastShort = now; }
   /// True when \p head is expected to be long, \p typicalLong being what long
   /// work takes.
-  bool expectsLong(const Envelope &head, Duration typicalLong) const;
+  bool isExpectedLong(const Envelope &head, Duration typicalLong) const;
   /// True when work that was answered after \p took, or has run for so long, is
   /// long.
   bool isLong(Duration took) const;
   /// From which time on work is long, if the guard is in use.
-  Duration longFrom() const;
+  Duration longThreshold() const;
   /// May work start on a server that may run \p limit requests and runs \p
   /// longRunning long ones? Short work always may.
   bool mayStart(TimePoint now, bool longWork, uint32_t limit,
                 uint32_t longRunning) const;
   /// Until when the slot is kept, if no more short work comes.
-  TimePoint keptUntil() const;
+  TimePoint reservedUntil() const;
 
 private:
   /// What is remembered of a flow or a caller.
   struct History {
     double LongShare = 0; ///< Moving share of long answers.
   };
-  void note(uint64_t key, bool wasLong);
-  std::optional<double> shareOf(uint64_t key) const;
+  void updateHistory(uint64_t key, bool wasLong);
+  std::optional<double> longShare(uint64_t key) const;
 
   LongWorkSettings Settings;          ///< Limits.
   AnswerTimes Times;                  ///< Answers of the whole service.
   std::optional<TimePoint> LastShort; ///< Last arrival of short work.
   std::unordered_map<uint64_t, History>
-      Known;                  ///< By flow or caller; never iterated.
+      Histories;              ///< By flow or caller; never iterated.
   std::deque<uint64_t> Order; ///< Keys of Known, oldest first.
 };
 
--- a/Balsamrack/Decisions/OutlierEjection.cpp
+++ b/Balsamrack/Decisions/OutlierEjection.cpp
@@ -21,14 +21,15 @@
     Servers.try_emplace(server);
 }
 
-const char *OutlierEjection::noted(TimePoint now, const ServerId &server,
-                                   bool good, std::optional<Duration> took) {
+const char *OutlierEjection::recordResult(TimePoint now, const ServerId &server,
+                                          bool good,
+                                          std::optional<Duration> took) {
   auto it = Servers.find(server);
   if (it == Servers.end() || !Settings.Enabled)
     return nullptr;
   Record &record = it->second;
   if (record.Ejected)
-    return judgeProbe(now, server, good, took.value_or(Duration(0)));
+    return evaluateProbe(now, server, good, took.value_or(Duration(0)));
   if (!good) {
     ++record.FailuresInRow;
     // A timeout tells how slow the server is at least; a quick failure doesn't.
@@ -42,12 +43,12 @@
     if (took)
       record.Times.add(*took);
   }
-  bool slow = slowerThanPeers(server, record);
+  bool slow = isSlowerThanPeers(server, record);
   return slow && eject(now, record) ? "slower-than-peers" : nullptr;
 }
 
-bool OutlierEjection::admits(TimePoint now, const ServerId &server,
-                             RequestId request) {
+bool OutlierEjection::tryAdmit(TimePoint now, const ServerId &server,
+                               RequestId request) {
   auto it = Servers.find(server);
   if (it == Servers.end() || !it->second.Ejected)
     return true;
@@ -58,27 +59,28 @@
   return true;
 }
 
-void OutlierEjection::ended(const ServerId &server, RequestId request) {
+void OutlierEjection::finishProbe(const ServerId &server, RequestId request) {
   auto it = Servers.find(server);
   // A probe that never reached the server must not block the next one.
   if (it != Servers.end() && it->second.Probe == request)
     it->second.Probe.reset();
 }
 
-bool OutlierEjection::ejected(const ServerId &server) const {
+bool OutlierEjection::isEjected(const ServerId &server) const {
   auto it = Servers.find(server);
   return it != Servers.end() && it->second.Ejected;
 }
 
 std::optional<TimePoint>
-OutlierEjection::heldUntil(const ServerId &server) const {
-  if (!ejected(server))
+OutlierEjection::holdEnd(const ServerId &server) const {
+  if (!isEjected(server))
     return std::nullopt;
   return Servers.at(server).HoldUntil;
 }
 
-const char *OutlierEjection::judgeProbe(TimePoint now, const ServerId &server,
-                                        bool good, Duration took) {
+const char *OutlierEjection::evaluateProbe(TimePoint now,
+                                           const ServerId &server, bool good,
+                                           Duration took) {
   Record &record = Servers.at(server);
   // Requests of established flows that end during the hold were sent before
   // the server could recover.
@@ -88,7 +90,7 @@
   record.ProbeTime += took;
   if (good && record.GoodProbes < Settings.ProbesToReturn)
     return nullptr;
-  if (!good || probesSlow(server, record)) {
+  if (!good || areProbesSlow(server, record)) {
     record.GoodProbes = 0;
     record.ProbeTime = Duration(0);
     record.Hold = std::min(record.Hold * 2, Settings.MostHold);
@@ -127,8 +129,8 @@
   return peers;
 }
 
-bool OutlierEjection::slowerThanPeers(const ServerId &server,
-                                      const Record &record) const {
+bool OutlierEjection::isSlowerThanPeers(const ServerId &server,
+                                        const Record &record) const {
   if (record.Times.count() < Settings.LeastSamples)
     return false;
   std::vector<Duration> times;
@@ -143,8 +145,8 @@
   return static_cast<double>(own.count()) > bound;
 }
 
-bool OutlierEjection::probesSlow(const ServerId &server,
-                                 const Record &record) const {
+bool OutlierEjection::areProbesSlow(const ServerId &server,
+                                    const Record &record) const {
   std::vector<const AnswerTimes *> peers = peersOf(server);
   if (peers.empty())
     return false;
--- a/Balsamrack/Decisions/OutlierEjection.h
+++ b/Balsamrack/Decisions/OutlierEjection.h
@@ -46,18 +46,18 @@
   /// A dispatch to \p server ended well or badly. Returns the rule that changed
   /// its state ("failures-in-row", "slower-than-peers", "probe-failed",
   /// "probes-good") or null. Without \p took its time tells nothing.
-  const char *noted(TimePoint now, const ServerId &server, bool good,
-                    std::optional<Duration> took);
+  const char *recordResult(TimePoint now, const ServerId &server, bool good,
+                           std::optional<Duration> took);
   /// May \p request open a flow on \p server now? Yes for a server that is not
   /// ejected, and for one request at a time after its hold: that one is its
   /// probe until ended() is called for it.
-  bool admits(TimePoint now, const ServerId &server, RequestId request);
+  bool tryAdmit(TimePoint now, const ServerId &server, RequestId request);
   /// \p request is over, however it ended.
-  void ended(const ServerId &server, RequestId request);
+  void finishProbe(const ServerId &server, RequestId request);
   /// True while \p server is ejected.
-  bool ejected(const ServerId &server) const;
+  bool isEjected(const ServerId &server) const;
   /// When the hold of \p server ends; nothing when it is not ejected.
-  std::optional<TimePoint> heldUntil(const ServerId &server) const;
+  std::optional<TimePoint> holdEnd(const ServerId &server) const;
 
 private:
   /// What is known of one server.
@@ -72,12 +72,12 @@
     Duration ProbeTime{0};          ///< Sum of their answer times.
   };
 
-  const char *judgeProbe(TimePoint now, const ServerId &server, bool good,
-                         Duration took);
+  const char *evaluateProbe(TimePoint now, const ServerId &server, bool good,
+                            Duration took);
   std::vector<const AnswerTimes *> peersOf(const ServerId &server) const;
-  bool probesSlow(const ServerId &server, const Record &record) const;
+  bool areProbesSlow(const ServerId &server, const Record &record) const;
   bool eject(TimePoint now, Record &record);
-  bool slowerThanPeers(const ServerId &server, const Record &record) const;
+  bool isSlowerThanPeers(const ServerId &server, const Record &record) const;
 
   EjectionSettings Settings;          ///< Limits.
   std::map<ServerId, Record> Servers; ///< All followed ones.
--- a/Balsamrack/Decisions/OwnerContext.h
+++ b/Balsamrack/Decisions/OwnerContext.h
@@ -36,7 +36,7 @@
 
   /// Until when requests wait for the authority to come back; nothing while it
   /// is in force.
-  std::optional<TimePoint> unsureFrom() const {
+  std::optional<TimePoint> authorityWaitEnd() const {
     if (MayDispatch)
       return std::nullopt;
     return ExpiredAt + Settings.Waits.AuthorityWait;
--- a/Balsamrack/Decisions/OwnerOutput.cpp
+++ b/Balsamrack/Decisions/OwnerOutput.cpp
@@ -23,8 +23,8 @@
   return std::exchange(Actions, {});
 }
 
-Decision OwnerOutput::about(const Envelope &head, const ServerId &server,
-                            Step step) const {
+Decision OwnerOutput::makeDecision(const Envelope &head, const ServerId &server,
+                                   Step step) const {
   Decision what;
   what.At = Now;
   what.Request = head.Request;
@@ -36,9 +36,9 @@
   return what;
 }
 
-void OwnerOutput::start(const QueuedRequest &request, const ServerId &server,
-                        DecisionInputs inputs) {
-  Decision what = about(request.Head, server, Step::Dispatch);
+void OwnerOutput::startDispatch(const QueuedRequest &request,
+                                const ServerId &server, DecisionInputs inputs) {
+  Decision what = makeDecision(request.Head, server, Step::Dispatch);
   what.Kind = DecisionKind::Admitted;
   what.Rule = "slot-free";
   what.Result = absl::StrCat("dispatched to ", server.str());
@@ -48,9 +48,9 @@
       StartDispatch{request.Head.Request, server, request.Deadline - Now});
 }
 
-void OwnerOutput::queued(const QueuedRequest &request, const ServerId &server,
-                         DecisionInputs inputs) {
-  Decision what = about(request.Head, server, Step::Admit);
+void OwnerOutput::explainQueued(const QueuedRequest &request,
+                                const ServerId &server, DecisionInputs inputs) {
+  Decision what = makeDecision(request.Head, server, Step::Admit);
   what.Kind = DecisionKind::Admitted;
   what.Rule = "wait-covered";
   what.Result = absl::StrCat("queued for ", server.str());
@@ -58,16 +58,17 @@
   Actions.emplace_back(Explain{std::move(what)});
 }
 
-void OwnerOutput::cancel(RequestId request, const ServerId &server) {
+void OwnerOutput::cancelDispatch(RequestId request, const ServerId &server) {
   Actions.emplace_back(CancelDispatch{request, server});
 }
 
-void OwnerOutput::end(const QueuedRequest &request, const ServerId &server,
-                      RequestEnd end, DecisionInputs inputs) {
+void OwnerOutput::endRequest(const QueuedRequest &request,
+                             const ServerId &server, RequestEnd end,
+                             DecisionInputs inputs) {
   bool says = end.How == Ending::NotRun || end.How == Ending::GivenUp;
   if (says && request.MayHaveRun)
     end.How = Ending::OutcomeUnknown;
-  Decision what = about(request.Head, server, end.At);
+  Decision what = makeDecision(request.Head, server, end.At);
   what.Kind = kindOf(end.How, end.At);
   what.Rule = end.Why == Reason::None ? "server-answered" : reasonName(end.Why);
   what.Result = absl::StrCat("ended ", endingName(end.How));
@@ -87,7 +88,7 @@
 void OwnerOutput::explain(DecisionKind kind, const ServerId &server,
                           const std::string &rule, const std::string &result,
                           DecisionInputs inputs) {
-  Decision what = about(Envelope(), server, Step::Admit);
+  Decision what = makeDecision(Envelope(), server, Step::Admit);
   what.Kind = kind;
   what.Rule = rule;
   what.Result = result;
@@ -95,9 +96,9 @@
   Actions.emplace_back(Explain{std::move(what)});
 }
 
-void OwnerOutput::retried(const QueuedRequest &request, const ServerId &server,
-                          DecisionInputs inputs) {
-  Decision what = about(request.Head, server, Step::AwaitAnswer);
+void OwnerOutput::explainRetry(const QueuedRequest &request,
+                               const ServerId &server, DecisionInputs inputs) {
+  Decision what = makeDecision(request.Head, server, Step::AwaitAnswer);
   what.Kind = DecisionKind::Retried;
   what.Rule = "retry-budget";
   what.Result = absl::StrCat("queued again for ", server.str());
@@ -105,7 +106,7 @@
   Actions.emplace_back(Explain{std::move(what)});
 }
 
-void OwnerOutput::condition(ServerCondition condition) {
+void OwnerOutput::publishCondition(ServerCondition condition) {
   Actions.emplace_back(ConditionLearned{std::move(condition)});
 }
 
--- a/Balsamrack/Decisions/OwnerOutput.h
+++ b/Balsamrack/Decisions/OwnerOutput.h
@@ -32,29 +32,30 @@
   std::vector<OwnerAction> finish();
 
   /// Dispatches \p request to \p server.
-  void start(const QueuedRequest &request, const ServerId &server,
-             DecisionInputs inputs);
+  void startDispatch(const QueuedRequest &request, const ServerId &server,
+                     DecisionInputs inputs);
   /// Explains that \p request waits.
-  void queued(const QueuedRequest &request, const ServerId &server,
-              DecisionInputs inputs);
+  void explainQueued(const QueuedRequest &request, const ServerId &server,
+                     DecisionInputs inputs);
   /// Tells the server that nobody waits for \p request.
-  void cancel(RequestId request, const ServerId &server);
+  void cancelDispatch(RequestId request, const ServerId &server);
   /// Ends \p request. An end that says "not run" becomes "outcome unknown" when
   /// an earlier dispatch of it may have run: that is true, the other is not.
-  void end(const QueuedRequest &request, const ServerId &server, RequestEnd end,
-           DecisionInputs inputs);
+  void endRequest(const QueuedRequest &request, const ServerId &server,
+                  RequestEnd end, DecisionInputs inputs);
   /// Explains a decision on a server.
   void explain(DecisionKind kind, const ServerId &server,
                const std::string &rule, const std::string &result,
                DecisionInputs inputs);
   /// Explains a retry.
-  void retried(const QueuedRequest &request, const ServerId &server,
-               DecisionInputs inputs);
+  void explainRetry(const QueuedRequest &request, const ServerId &server,
+                    DecisionInputs inputs);
   /// Passes on a server's condition.
-  void condition(ServerCondition condition);
+  void publishCondition(ServerCondition condition);
 
 private:
-  Decision about(const Envelope &head, const ServerId &server, Step step) const;
+  Decision makeDecision(const Envelope &head, const ServerId &server,
+                        Step step) const;
 
   TimePoint Now;                    ///< Time of the step.
   TicketNumber Ticket;              ///< Highest ticket in force.
--- a/Balsamrack/Decisions/OwnerSettings.h
+++ b/Balsamrack/Decisions/OwnerSettings.h
@@ -17,7 +17,7 @@
 
 /// Limits of what a refusal tells, see WaitEstimate.
 struct WaitSettings {
-  bool RefuseHopeless = true; ///< Refuse what can't be served in time.
+  bool RefuseLate = true;     ///< Refuse what can't be served in time.
   double MostWaitShare = 0.5; ///< A request waits if that is expected to take
                               ///< no more than this part of its remaining time.
   Duration LeastRetryAfter{50'000}; ///< A refused request comes back no sooner.
@@ -31,9 +31,9 @@
   bool Enabled = true;               ///< False: all slots at once.
   uint32_t SuccessesPerStep = 16;    ///< Answers that lift the limit by one.
   Duration LeastStepTime{1'000'000}; ///< Time at a limit before the next.
-  Duration BlindStepTime{5'000'000}; ///< The same while no warm answers of
-                                     ///< the server were seen yet.
-  Duration MostStepTime{16'000'000}; ///< Bound of its doubling.
+  Duration UnmeasuredStepTime{5'000'000}; ///< The same while no warm answers of
+                                          ///< the server were seen yet.
+  Duration MostStepTime{16'000'000};      ///< Bound of its doubling.
   Duration IdleSuspicion{2'000'000}; ///< Without an answer for so long, a warm
                                      ///< server is asked for one first.
   double SlowFactor = 1.5;  ///< A group of answers with a mean over this times
--- a/Balsamrack/Decisions/RetryBudget.cpp
+++ b/Balsamrack/Decisions/RetryBudget.cpp
@@ -7,15 +7,15 @@
 RetryBudget::RetryBudget(const RetrySettings &settings)
     : Settings(settings), Tokens(settings.MostTokens) {}
 
-void RetryBudget::succeeded() {
+void RetryBudget::recordSuccess() {
   Tokens = std::min(Settings.MostTokens, Tokens + Settings.PerSuccess);
 }
 
-void RetryBudget::refused() {
+void RetryBudget::recordRefusal() {
   Tokens = std::max(0.0, Tokens - Settings.PerSuccess);
 }
 
-bool RetryBudget::take() {
+bool RetryBudget::tryConsume() {
   if (!Settings.Enabled || Tokens < 1.0)
     return false;
   Tokens -= 1.0;
--- a/Balsamrack/Decisions/RetryBudget.h
+++ b/Balsamrack/Decisions/RetryBudget.h
@@ -22,11 +22,11 @@
   /// Starts full. Precondition: \p settings were checked.
   explicit RetryBudget(const RetrySettings &settings);
   /// An answer came.
-  void succeeded();
+  void recordSuccess();
   /// A request was refused for overload.
-  void refused();
+  void recordRefusal();
   /// Takes a retry from the budget; false when there is none.
-  bool take();
+  bool tryConsume();
   /// What is left, in retries.
   double left() const { return Tokens; }
 
--- a/Balsamrack/Decisions/ServerAdmission.cpp
+++ b/Balsamrack/Decisions/ServerAdmission.cpp
@@ -10,12 +10,12 @@
 
 /// Longer remaining times count as this: times are sums, which must not
 /// overflow on what a caller wrote.
-constexpr Duration MostRemaining{3'600'000'000};
+constexpr Duration MaxRemaining{3'600'000'000};
 /// A health report says nothing of what ended so shortly before: it may have
 /// been made earlier.
 constexpr Duration HealthLag{250'000};
 /// Work that the owner before left in progress is taken to last so long.
-constexpr Duration InheritedHold{1'000'000};
+constexpr Duration InheritedSlotHold{1'000'000};
 
 } // namespace
 
@@ -40,171 +40,178 @@
     Owned = true;
     Ramp = ColdStartRamp(Context.Settings.Ramp, Server.Slots, now);
     if (owned.LastKnown.Warm)
-      Ramp.trust(owned.LastKnown.Instance);
-    inherit(now, owned);
+      Ramp.trustInstance(owned.LastKnown.Instance);
+    inheritInProgress(now, owned);
   }
   Ramp.setSlots(Server.Slots);
   Ramp.setExpected(Context.Config.ExpectedServiceTime);
-  bool wasOut = Drain.domainOut();
+  bool wasOut = Drain.isDomainOut();
   if (Drain.update(now, Server, owned.DomainInService)) {
     // While the domain was out its servers may have been restarted; all of them
     // at their old limits would be more than cold ones bear.
-    if (wasOut && !Drain.domainOut())
-      Ramp.returned(now);
+    if (wasOut && !Drain.isDomainOut())
+      Ramp.resetForDomainReturn(now);
     Context.Out.explain(DecisionKind::Drained, Server.Id, Drain.rule(),
                         Drain.result(), inputs());
   }
 }
 
-void ServerAdmission::inherit(TimePoint now, const OwnedServer &owned) {
+void ServerAdmission::inheritInProgress(TimePoint now,
+                                        const OwnedServer &owned) {
   // What the owner before left in progress still holds its slots. Without this
   // the server got both owners' work for a moment, and shed it.
   for (uint32_t i = 0; i < owned.InProgress; ++i)
-    Slots.abandon(now, now + InheritedHold, Waits.slow(), owned.LastKnown.Warm);
+    Slots.abandon(now, now + InheritedSlotHold, Waits.slow(),
+                  owned.LastKnown.Warm);
 }
 
-void ServerAdmission::depart(TimePoint now) {
+void ServerAdmission::relinquish(TimePoint now) {
   Owned = false;
-  endAll(now, Ending::NotRun, Reason::NotOwner);
+  endQueued(now, Ending::NotRun, Reason::NotOwner);
 }
 
-void ServerAdmission::arrive(TimePoint now, const RequestArrived &event) {
-  settle(now);
+void ServerAdmission::handleArrival(TimePoint now,
+                                    const RequestArrived &event) {
+  processQueue(now);
   QueuedRequest what;
   what.Head = event.Head;
-  what.Deadline = now + std::min(event.Head.Remaining, MostRemaining);
+  what.Deadline = now + std::min(event.Head.Remaining, MaxRemaining);
   what.Since = now;
-  what.LongWork = Context.LongWork.expectsLong(event.Head, LongWaits.typical());
+  what.LongWork =
+      Context.LongWork.isExpectedLong(event.Head, LongWaits.typical());
   Flows = event.FlowsOnServer;
   if (!what.LongWork)
-    Context.LongWork.shortCame(now);
-  if (auto refused = refusal(now, event)) {
-    end(what, *refused);
+    Context.LongWork.recordShortArrival(now);
+  if (auto refused = checkAdmission(now, event)) {
+    endRequest(what, *refused);
     return;
   }
   // What waits could not start just now, so nobody is overtaken unfairly.
   if (canStart(now, what)) {
-    Queue.passedBy(what.Head.Caller);
+    Queue.recordBypass(what.Head.Caller);
     dispatch(now, std::move(what));
     return;
   }
-  if (auto refused = hopeless(now, what)) {
-    Context.Retries.refused();
-    end(what, *refused);
+  if (auto refused = checkDeadline(now, what)) {
+    Context.Retries.recordRefusal();
+    endRequest(what, *refused);
     return;
   }
   enqueue(now, what);
 }
 
 std::optional<RequestEnd>
-ServerAdmission::refusal(TimePoint now, const RequestArrived &event) {
+ServerAdmission::checkAdmission(TimePoint now, const RequestArrived &event) {
   if (Context.ShuttingDown)
-    return elsewhere(Reason::ShuttingDown);
+    return makeRetryElsewhere(Reason::ShuttingDown);
   if (!Owned)
-    return elsewhere(Reason::NotOwner);
-  if (auto out = Drain.refuses(now, event.NewFlow)) {
-    RequestEnd how = elsewhere(out->Why);
+    return makeRetryElsewhere(Reason::NotOwner);
+  if (auto out = Drain.checkRefusal(now, event.NewFlow)) {
+    RequestEnd how = makeRetryElsewhere(out->Why);
     how.How = out->How;
     return how;
   }
   if (event.Head.Remaining <= Duration(0))
     return RequestEnd{Ending::NotRun, Reason::DeadlinePassed};
   if (Pause.isUnreachable() && now < Pause.until())
-    return notRun(now, Reason::ServerUnreachable, Pause.until() - now);
-  auto unsure = Context.unsureFrom();
+    return makeNotRun(now, Reason::ServerUnreachable, Pause.until() - now);
+  auto unsure = Context.authorityWaitEnd();
   if (unsure && now >= *unsure)
-    return notRun(now, Reason::OwnerUnsure, Duration(0));
+    return makeNotRun(now, Reason::OwnerUnsure, Duration(0));
   if (!event.NewFlow)
     return std::nullopt;
   if (event.FlowsOnServer >= Server.Connections)
-    return elsewhere(Reason::ServerFull);
+    return makeRetryElsewhere(Reason::ServerFull);
   // A cold server's queue is for the flows that live there already; new ones
   // find a warmer server.
   double share = Context.Settings.Queue.ColdShare * Queue.capacity();
-  if (!Ramp.warm() && Queue.size() >= std::max(share, 1.0))
-    return elsewhere(Reason::ServerCold);
-  if (!Context.Ejection.admits(now, Server.Id, event.Head.Request))
-    return elsewhere(Reason::ServerEjected);
+  if (!Ramp.isWarm() && Queue.size() >= std::max(share, 1.0))
+    return makeRetryElsewhere(Reason::ServerCold);
+  if (!Context.Ejection.tryAdmit(now, Server.Id, event.Head.Request))
+    return makeRetryElsewhere(Reason::ServerEjected);
   return std::nullopt;
 }
 
-std::optional<RequestEnd> ServerAdmission::hopeless(TimePoint now,
-                                                    const QueuedRequest &what) {
-  if (!Context.Settings.Waits.RefuseHopeless)
+std::optional<RequestEnd>
+ServerAdmission::checkDeadline(TimePoint now, const QueuedRequest &what) {
+  if (!Context.Settings.Waits.RefuseLate)
     return std::nullopt;
-  const WaitEstimate &waits = waitsOf(what.LongWork);
-  uint32_t ahead = Queue.ahead(what.Head.Caller, what.Deadline, what.LongWork);
-  Duration blocked = blockedFor(now) + longBlock(now);
-  Duration wait = waits.waitFor(ahead, lanes(now, what.LongWork));
+  const WaitEstimate &waits = waitEstimate(what.LongWork);
+  uint32_t ahead =
+      Queue.countAhead(what.Head.Caller, what.Deadline, what.LongWork);
+  Duration blocked = dispatchBlockedFor(now) + longWorkBlockedFor(now);
+  Duration wait = waits.waitFor(ahead, usableSlots(now, what.LongWork));
   Duration left = what.Deadline - now - blocked;
-  Duration most = waits.mostWait(left);
+  Duration most = waits.maxWait(left);
   if (wait <= most)
     return std::nullopt;
   Reason why = Reason::DeadlineTooShort;
   if (what.Deadline - waits.fast() < DispatchAllowedFrom)
     why = Reason::OwnerUnsure;
-  else if (!Ramp.warm() && waits.waitFor(ahead, Server.Slots) <= most)
+  else if (!Ramp.isWarm() && waits.waitFor(ahead, Server.Slots) <= most)
     why = Reason::ServerCold;
-  return notRun(now, why, wait + blocked);
+  return makeNotRun(now, why, wait + blocked);
 }
 
 bool ServerAdmission::mayDispatch(TimePoint now) const {
   // Authority is looked at before each dispatch and not when a timer fires: a
   // process that was paused finds its timers late.
   return Owned && Context.MayDispatch && now >= DispatchAllowedFrom &&
-         now >= Pause.until() && !Drain.domainOut();
+         now >= Pause.until() && !Drain.isDomainOut();
 }
 
 bool ServerAdmission::canStart(TimePoint now, const QueuedRequest &what) const {
   return mayDispatch(now) && Slots.used() < Ramp.limit() &&
-         Context.LongWork.mayStart(now, what.LongWork, Ramp.limit(),
-                                   Slots.longRunning(now, Context.LongWork));
+         Context.LongWork.mayStart(
+             now, what.LongWork, Ramp.limit(),
+             Slots.longRunningCount(now, Context.LongWork));
 }
 
 void ServerAdmission::enqueue(TimePoint now, const QueuedRequest &what) {
   AdmissionQueue::Verdict verdict = Queue.push(what);
-  if (verdict.PushedOut) {
-    Context.Retries.refused();
-    end(*verdict.PushedOut, notRun(now, Reason::CallerShare, Duration(0)));
+  if (verdict.Evicted) {
+    Context.Retries.recordRefusal();
+    endRequest(*verdict.Evicted,
+               makeNotRun(now, Reason::CallerShare, Duration(0)));
   }
   if (verdict.Refused != Reason::None) {
-    Context.Retries.refused();
-    end(what, notRun(now, verdict.Refused, Duration(0)));
+    Context.Retries.recordRefusal();
+    endRequest(what, makeNotRun(now, verdict.Refused, Duration(0)));
     return;
   }
-  Context.Out.queued(what, Server.Id, inputs());
+  Context.Out.explainQueued(what, Server.Id, inputs());
 }
 
 void ServerAdmission::dispatch(TimePoint now, QueuedRequest what) {
   if (Slots.running() == 0)
-    Ramp.startsFromIdle(now);
+    Ramp.recordStartFromIdle(now);
   ++what.Attempts;
-  Context.Out.start(what, Server.Id, inputs());
+  Context.Out.startDispatch(what, Server.Id, inputs());
   Slots.start(RunningRequest{std::move(what), now});
 }
 
-void ServerAdmission::endAll(TimePoint now, Ending how, Reason why) {
-  for (const QueuedRequest &what : Queue.takeAll()) {
-    RequestEnd ending = notRun(now, why, Duration(0));
+void ServerAdmission::endQueued(TimePoint now, Ending how, Reason why) {
+  for (const QueuedRequest &what : Queue.removeAll()) {
+    RequestEnd ending = makeNotRun(now, why, Duration(0));
     ending.How = how;
-    end(what, ending);
+    endRequest(what, ending);
   }
 }
 
-void ServerAdmission::end(const QueuedRequest &what, RequestEnd how) {
-  Context.Ejection.ended(Server.Id, what.Head.Request);
-  Context.Out.end(what, Server.Id, how, inputs());
+void ServerAdmission::endRequest(const QueuedRequest &what, RequestEnd how) {
+  Context.Ejection.finishProbe(Server.Id, what.Head.Request);
+  Context.Out.endRequest(what, Server.Id, how, inputs());
 }
 
-RequestEnd ServerAdmission::notRun(TimePoint now, Reason why,
-                                   Duration backlog) {
+RequestEnd ServerAdmission::makeNotRun(TimePoint now, Reason why,
+                                       Duration backlog) {
   Duration queued = Waits.waitFor(Queue.size(), Ramp.limit());
-  Duration after = Waits.bookReturn(now, std::max(backlog, queued),
-                                    Ramp.limit(), Context.Random);
+  Duration after = Waits.scheduleRetry(now, std::max(backlog, queued),
+                                       Ramp.limit(), Context.Random);
   return RequestEnd{Ending::NotRun, why, after};
 }
 
-RequestEnd ServerAdmission::elsewhere(Reason why) const {
+RequestEnd ServerAdmission::makeRetryElsewhere(Reason why) const {
   // Another server or daemon may take it at once.
   return RequestEnd{Ending::NotRun, why,
                     Context.Settings.Waits.LeastRetryAfter};
@@ -212,8 +219,8 @@
 
 bool ServerAdmission::cancel(TimePoint now, RequestId request) {
   if (auto what = Queue.remove(request)) {
-    end(*what, RequestEnd{Ending::NotRun, Reason::CallerGone});
-    settle(now);
+    endRequest(*what, RequestEnd{Ending::NotRun, Reason::CallerGone});
+    processQueue(now);
     return true;
   }
   RunningRequest *run = Slots.find(request);
@@ -221,57 +228,60 @@
     return false;
   // The slot stays taken until the link says that the dispatch has ended.
   if (!run->Cancelled)
-    Context.Out.cancel(request, Server.Id);
+    Context.Out.cancelDispatch(request, Server.Id);
   run->Cancelled = true;
   return true;
 }
 
-void ServerAdmission::health(TimePoint now, const HealthReported &event) {
+void ServerAdmission::handleHealth(TimePoint now, const HealthReported &event) {
   // Only more careful on a server's own word: it may lag or lie. It frees
   // abandoned slots alone, whose time is bounded anyway, and not of a cold
   // server, which a wrong word would make fall over.
-  noteInstance(now, event.Instance);
+  updateInstance(now, event.Instance);
   // Only the change counts: health that is stuck at "not ready" while the
   // server answers well must not keep it at one request for ever.
-  if (!event.Ready && SaidReady)
-    explainRamp(Ramp.faltered(now, "not-ready"));
-  SaidReady = event.Ready;
-  if (Ramp.warm() && event.InProgress <= Slots.running())
-    Slots.releaseSince(now - HealthLag);
-  tellCondition();
-  settle(now);
+  if (!event.Ready && ReportedReady)
+    explainRamp(Ramp.recordFailure(now, "not-ready"));
+  ReportedReady = event.Ready;
+  if (Ramp.isWarm() && event.InProgress <= Slots.running())
+    Slots.releaseAbandonedUntil(now - HealthLag);
+  publishCondition();
+  processQueue(now);
 }
 
-void ServerAdmission::noteInstance(TimePoint now, const InstanceId &instance) {
+void ServerAdmission::updateInstance(TimePoint now,
+                                     const InstanceId &instance) {
   InstanceId before = Ramp.instance();
-  explainRamp(Ramp.instanceSeen(now, instance));
+  explainRamp(Ramp.updateInstance(now, instance));
   // Another process does not run what the one before it left.
   if (!before.empty() && Ramp.instance() != before)
-    Slots.releaseSince(now);
+    Slots.releaseAbandonedUntil(now);
 }
 
-void ServerAdmission::settle(TimePoint now) {
-  Slots.release(now);
+void ServerAdmission::processQueue(TimePoint now) {
+  Slots.releaseExpired(now);
   if (!Owned)
     return;
-  if (auto out = Drain.refuses(now, false))
-    endAll(now, out->How, out->Why);
-  auto unsure = Context.unsureFrom();
+  if (auto out = Drain.checkRefusal(now, false))
+    endQueued(now, out->How, out->Why);
+  auto unsure = Context.authorityWaitEnd();
   if (unsure && now >= *unsure)
-    endAll(now, Ending::NotRun, Reason::OwnerUnsure);
+    endQueued(now, Ending::NotRun, Reason::OwnerUnsure);
   // What can't be answered in time any more gets its ending now.
   // Nor is there hope once work that was not known as long holds all slots.
-  Duration block = longBlock(now);
+  Duration block = longWorkBlockedFor(now);
   bool blocked = block > Duration(0);
-  for (const QueuedRequest &what : Queue.takeExpired(now + needed() + block)) {
-    Context.Retries.refused();
-    end(what,
-        notRun(now, blocked ? Reason::DeadlineTooShort : Reason::DeadlinePassed,
-               block));
+  for (const QueuedRequest &what :
+       Queue.removeExpired(now + requiredTime() + block)) {
+    Context.Retries.recordRefusal();
+    endRequest(what, makeNotRun(now,
+                                blocked ? Reason::DeadlineTooShort
+                                        : Reason::DeadlinePassed,
+                                block));
   }
   while (mayDispatch(now) && Slots.used() < Ramp.limit()) {
     bool allowLong = Context.LongWork.mayStart(
-        now, true, Ramp.limit(), Slots.longRunning(now, Context.LongWork));
+        now, true, Ramp.limit(), Slots.longRunningCount(now, Context.LongWork));
     std::optional<QueuedRequest> next = Queue.pop(allowLong);
     if (!next)
       break;
@@ -288,12 +298,12 @@
   r.InProgress = Slots.running();
   r.Abandoned = Slots.abandoned();
   r.Queued = Queue.size();
-  r.LongRunning = Slots.longRunning(now, Context.LongWork);
+  r.LongRunning = Slots.longRunningCount(now, Context.LongWork);
   r.Flows = Flows;
-  r.Warm = Ramp.warm();
-  r.Ejected = Context.Ejection.ejected(Server.Id);
-  r.Draining = Drain.draining();
-  r.DomainOut = Drain.domainOut();
+  r.Warm = Ramp.isWarm();
+  r.Ejected = Context.Ejection.isEjected(Server.Id);
+  r.Draining = Drain.isDraining();
+  r.DomainOut = Drain.isDomainOut();
   r.MayDispatch = mayDispatch(now);
   r.TypicalAnswer = Waits.typical();
   r.ExpectedWait = Waits.waitFor(Queue.size(), Ramp.limit());
@@ -308,18 +318,18 @@
   };
   if (Queue.empty())
     return next;
-  add(*Queue.earliestDeadline() - needed());
-  add(Slots.nextLong(now, Context.LongWork));
+  add(*Queue.earliestDeadline() - requiredTime());
+  add(Slots.nextLongAt(now, Context.LongWork));
   // Until long work is known its expected end moves away as fast as time
   // passes, and meets the deadline halfway.
-  Duration block = longBlock(now);
-  if (block > Duration(0) && !LongWaits.known())
-    add(now + (*Queue.earliestDeadline() - needed() - block - now) / 2);
+  Duration block = longWorkBlockedFor(now);
+  if (block > Duration(0) && !LongWaits.hasSamples())
+    add(now + (*Queue.earliestDeadline() - requiredTime() - block - now) / 2);
   add(Slots.nextRelease());
   add(DispatchAllowedFrom);
   add(Pause.until());
-  add(Context.LongWork.keptUntil());
-  add(Context.unsureFrom());
+  add(Context.LongWork.reservedUntil());
+  add(Context.authorityWaitEnd());
   add(Drain.limit());
   return next;
 }
@@ -333,52 +343,53 @@
 void ServerAdmission::explainEjection(const char *rule) {
   if (rule == nullptr)
     return;
-  bool out = Context.Ejection.ejected(Server.Id);
+  bool out = Context.Ejection.isEjected(Server.Id);
   Context.Out.explain(DecisionKind::Ejected, Server.Id, rule,
                       out ? "takes no new flows" : "takes new flows", inputs());
 }
 
-void ServerAdmission::tellCondition() {
-  if (Told.Warm == Ramp.warm() && Told.Instance == Ramp.instance())
+void ServerAdmission::publishCondition() {
+  if (PublishedCondition.Warm == Ramp.isWarm() &&
+      PublishedCondition.Instance == Ramp.instance())
     return;
-  Told.Server = Server.Id;
-  Told.Warm = Ramp.warm();
-  Told.Instance = Ramp.instance();
-  ++Told.Version;
-  Context.Out.condition(Told);
+  PublishedCondition.Server = Server.Id;
+  PublishedCondition.Warm = Ramp.isWarm();
+  PublishedCondition.Instance = Ramp.instance();
+  ++PublishedCondition.Version;
+  Context.Out.publishCondition(PublishedCondition);
 }
 
-uint32_t ServerAdmission::lanes(TimePoint now, bool longWork) const {
+uint32_t ServerAdmission::usableSlots(TimePoint now, bool longWork) const {
   uint32_t limit = Ramp.limit();
   // Long work leaves one slot to short work, and short work can't use those
   // that long work holds.
-  uint32_t lost = longWork ? 1 : Slots.longRunning(now, Context.LongWork);
+  uint32_t lost = longWork ? 1 : Slots.longRunningCount(now, Context.LongWork);
   return limit > lost ? limit - lost : 1;
 }
 
-Duration ServerAdmission::blockedFor(TimePoint now) const {
+Duration ServerAdmission::dispatchBlockedFor(TimePoint now) const {
   return std::max(
       {DispatchAllowedFrom - now, Pause.until() - now, Duration(0)});
 }
 
-Duration ServerAdmission::needed() const {
-  if (!Context.Settings.Waits.RefuseHopeless)
+Duration ServerAdmission::requiredTime() const {
+  if (!Context.Settings.Waits.RefuseLate)
     return Duration(0);
   // While somebody else could use the slot, a request that will probably be
   // late takes an answer from one that won't.
-  bool pressed = Queue.size() >= Ramp.limit() || !Ramp.warm();
+  bool pressed = Queue.size() >= Ramp.limit() || !Ramp.isWarm();
   return pressed ? Waits.slow() : Waits.fast();
 }
 
-const WaitEstimate &ServerAdmission::waitsOf(bool longWork) const {
+const WaitEstimate &ServerAdmission::waitEstimate(bool longWork) const {
   return longWork ? LongWaits : Waits;
 }
 
-Duration ServerAdmission::longBlock(TimePoint now) const {
-  if (!Context.Settings.Waits.RefuseHopeless || Slots.running() == 0 ||
-      Slots.longRunning(now, Context.LongWork) < Ramp.limit())
+Duration ServerAdmission::longWorkBlockedFor(TimePoint now) const {
+  if (!Context.Settings.Waits.RefuseLate || Slots.running() == 0 ||
+      Slots.longRunningCount(now, Context.LongWork) < Ramp.limit())
     return Duration(0);
-  return Slots.leastRemaining(now, LongWaits);
+  return Slots.shortestRemaining(now, LongWaits);
 }
 
 DecisionInputs ServerAdmission::inputs() const {
--- a/Balsamrack/Decisions/ServerAdmission.h
+++ b/Balsamrack/Decisions/ServerAdmission.h
@@ -27,60 +27,62 @@
   /// Takes over what the ticket and control say of the server.
   void update(TimePoint now, const OwnedServer &owned);
   /// Counts what the owner before left in progress.
-  void inherit(TimePoint now, const OwnedServer &owned);
+  void inheritInProgress(TimePoint now, const OwnedServer &owned);
   /// The daemon owns the server no more: what waits ends, what runs goes on.
-  void depart(TimePoint now);
+  void relinquish(TimePoint now);
   /// Dispatches, queues or refuses a request.
-  void arrive(TimePoint now, const RequestArrived &event);
+  void handleArrival(TimePoint now, const RequestArrived &event);
   /// Ends \p request if it waits, tells the server if it runs. False when it is
   /// not here.
   bool cancel(TimePoint now, RequestId request);
   /// Ends or retries the request of a dispatch. False when it is not here.
-  bool dispatchEnded(TimePoint now, const DispatchEnded &event);
+  bool handleDispatchEnd(TimePoint now, const DispatchEnded &event);
   /// Takes in the server's own word.
-  void health(TimePoint now, const HealthReported &event);
+  void handleHealth(TimePoint now, const HealthReported &event);
   /// Ends what can't be served any more and dispatches what fits.
-  void settle(TimePoint now);
+  void processQueue(TimePoint now);
 
   /// State for operators.
   ServerReport report(TimePoint now) const;
   /// When settle() is due for time alone. \p now is the last step's.
   std::optional<TimePoint> nextWakeup(TimePoint now) const;
   /// Nothing waits and nothing runs.
-  bool idle() const { return Queue.empty() && Slots.running() == 0; }
+  bool isIdle() const { return Queue.empty() && Slots.running() == 0; }
   /// False after depart().
-  bool owned() const { return Owned; }
+  bool isOwned() const { return Owned; }
 
 private:
-  std::optional<RequestEnd> refusal(TimePoint now, const RequestArrived &event);
-  std::optional<RequestEnd> hopeless(TimePoint now, const QueuedRequest &what);
+  std::optional<RequestEnd> checkAdmission(TimePoint now,
+                                           const RequestArrived &event);
+  std::optional<RequestEnd> checkDeadline(TimePoint now,
+                                          const QueuedRequest &what);
   bool mayDispatch(TimePoint now) const;
   bool canStart(TimePoint now, const QueuedRequest &what) const;
   void enqueue(TimePoint now, const QueuedRequest &what);
   void dispatch(TimePoint now, QueuedRequest what);
-  void endAll(TimePoint now, Ending how, Reason why);
-  void end(const QueuedRequest &what, RequestEnd how);
-  RequestEnd notRun(TimePoint now, Reason why, Duration backlog);
-  RequestEnd elsewhere(Reason why) const;
-  void noteServer(TimePoint now, const RunningRequest &run,
-                  const DispatchEnded &event);
-  void noteUndelivered(TimePoint now, const DispatchEnded &event);
-  void noteFailed(TimePoint now, const RunningRequest &run,
-                  const DispatchEnded &event);
+  void endQueued(TimePoint now, Ending how, Reason why);
+  void endRequest(const QueuedRequest &what, RequestEnd how);
+  RequestEnd makeNotRun(TimePoint now, Reason why, Duration backlog);
+  RequestEnd makeRetryElsewhere(Reason why) const;
+  void recordDispatchEnd(TimePoint now, const RunningRequest &run,
+                         const DispatchEnded &event);
+  void recordUndelivered(TimePoint now, const DispatchEnded &event);
+  void recordFailedDispatch(TimePoint now, const RunningRequest &run,
+                            const DispatchEnded &event);
   bool retry(TimePoint now, const RunningRequest &run,
              const DispatchEnded &event);
-  RequestEnd endOf(TimePoint now, const RunningRequest &run,
-                   const DispatchEnded &event);
+  RequestEnd makeRequestEnd(TimePoint now, const RunningRequest &run,
+                            const DispatchEnded &event);
   void explainRamp(const char *rule);
   void explainEjection(const char *rule);
-  void noteInstance(TimePoint now, const InstanceId &instance);
-  void tellCondition();
+  void updateInstance(TimePoint now, const InstanceId &instance);
+  void publishCondition();
 
-  uint32_t lanes(TimePoint now, bool longWork) const;
-  Duration blockedFor(TimePoint now) const;
-  Duration longBlock(TimePoint now) const;
-  Duration needed() const;
-  const WaitEstimate &waitsOf(bool longWork) const;
+  uint32_t usableSlots(TimePoint now, bool longWork) const;
+  Duration dispatchBlockedFor(TimePoint now) const;
+  Duration longWorkBlockedFor(TimePoint now) const;
+  Duration requiredTime() const;
+  const WaitEstimate &waitEstimate(bool longWork) const;
   DecisionInputs inputs() const;
 
   OwnerContext &Context;         ///< Shared with the other servers.
@@ -95,10 +97,10 @@
   DrainTracker Drain;            ///< Its way out.
   uint32_t Flows = 0;            ///< At the last arrival.
   DispatchPause Pause;           ///< After a shed or an unreachable server.
-  bool SaidReady = true;         ///< Its last word on its health.
+  bool ReportedReady = true;     ///< Its last word on its health.
   TimePoint LastAnswer;          ///< When the server last answered anything.
 
-  ServerCondition Told; ///< What was last passed on.
+  ServerCondition PublishedCondition; ///< What was last passed on.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/ServerDispatchEnds.cpp
+++ b/Balsamrack/Decisions/ServerDispatchEnds.cpp
@@ -8,59 +8,61 @@
 
 /// A timed out dispatch is the server's fault from this many times on the time
 /// in which nine of ten are answered.
-constexpr int64_t TimeoutBlame = 3;
-constexpr uint32_t ServerErrorFrom = 500; ///< HTTP status codes.
+constexpr int64_t TimeoutFailureFactor = 3;
+constexpr uint32_t FirstServerError = 500; ///< HTTP status codes.
 constexpr uint32_t ServiceUnavailable = 503;
 
 } // namespace
 
-bool ServerAdmission::dispatchEnded(TimePoint now, const DispatchEnded &event) {
+bool ServerAdmission::handleDispatchEnd(TimePoint now,
+                                        const DispatchEnded &event) {
   std::optional<RunningRequest> run = Slots.end(event.Request);
   if (!run)
     return false;
-  Ramp.proved(now);
-  noteInstance(now, event.Instance);
-  noteServer(now, *run, event);
+  Ramp.recordDispatchEnd(now);
+  updateInstance(now, event.Instance);
+  recordDispatchEnd(now, *run, event);
   if (event.How == DispatchEnd::Failed)
     run->What.MayHaveRun = true;
   if (!retry(now, *run, event))
-    end(run->What, endOf(now, *run, event));
-  tellCondition();
-  settle(now);
+    endRequest(run->What, makeRequestEnd(now, *run, event));
+  publishCondition();
+  processQueue(now);
   return true;
 }
 
-void ServerAdmission::noteServer(TimePoint now, const RunningRequest &run,
-                                 const DispatchEnded &event) {
+void ServerAdmission::recordDispatchEnd(TimePoint now,
+                                        const RunningRequest &run,
+                                        const DispatchEnded &event) {
   if (event.How == DispatchEnd::Failed) {
-    noteFailed(now, run, event);
+    recordFailedDispatch(now, run, event);
     return;
   }
   if (event.How != DispatchEnd::Answered) {
-    noteUndelivered(now, event);
+    recordUndelivered(now, event);
     return;
   }
-  bool good = event.HttpStatus < ServerErrorFrom;
+  bool good = event.HttpStatus < FirstServerError;
   LastAnswer = now;
   Pause.reportAnswered();
   bool isLong = Context.LongWork.isLong(event.Took);
-  (isLong ? LongWaits : Waits).seen(event.Took);
-  Context.LongWork.learn(run.What.Head, event.Took);
+  (isLong ? LongWaits : Waits).recordAnswer(event.Took);
+  Context.LongWork.recordAnswer(run.What.Head, event.Took);
   // Work known to be long says nothing of the server's speed.
   std::optional<Duration> took = event.Took;
   if (run.What.LongWork)
     took.reset();
-  explainEjection(Context.Ejection.noted(now, Server.Id, good, took));
+  explainEjection(Context.Ejection.recordResult(now, Server.Id, good, took));
   if (good) {
-    Context.Retries.succeeded();
-    explainRamp(Ramp.answered(now, took));
+    Context.Retries.recordSuccess();
+    explainRamp(Ramp.recordAnswer(now, took));
   } else if (event.HttpStatus == ServiceUnavailable) {
-    explainRamp(Ramp.faltered(now, "server-unavailable"));
+    explainRamp(Ramp.recordFailure(now, "server-unavailable"));
   }
 }
 
-void ServerAdmission::noteUndelivered(TimePoint now,
-                                      const DispatchEnded &event) {
+void ServerAdmission::recordUndelivered(TimePoint now,
+                                        const DispatchEnded &event) {
   bool shed = event.How == DispatchEnd::Shed;
   // Without authority it was the daemon that did not send: no fault of the
   // server.
@@ -70,25 +72,30 @@
     Pause.reportShed(now, event.RetryAfter);
   else
     Pause.reportUnreachable(now);
-  Context.Retries.refused();
-  explainEjection(Context.Ejection.noted(now, Server.Id, false, event.Took));
-  explainRamp(Ramp.faltered(now, shed ? "server-shed" : "server-unreachable"));
+  Context.Retries.recordRefusal();
+  explainEjection(
+      Context.Ejection.recordResult(now, Server.Id, false, event.Took));
+  explainRamp(
+      Ramp.recordFailure(now, shed ? "server-shed" : "server-unreachable"));
   if (Pause.isUnreachable())
-    endAll(now, Ending::NotRun, Reason::ServerUnreachable);
+    endQueued(now, Ending::NotRun, Reason::ServerUnreachable);
 }
 
-void ServerAdmission::noteFailed(TimePoint now, const RunningRequest &run,
-                                 const DispatchEnded &event) {
-  Slots.abandon(now, run.What.Deadline, Waits.slow(), Ramp.warm());
+void ServerAdmission::recordFailedDispatch(TimePoint now,
+                                           const RunningRequest &run,
+                                           const DispatchEnded &event) {
+  Slots.abandon(now, run.What.Deadline, Waits.slow(), Ramp.isWarm());
   // A caller's short deadline or its leaving is no fault of the server, nor is
   // one slow request while it answers others.
   bool timedOut = now >= run.What.Deadline;
-  bool late =
-      event.Took >= Waits.slow() * TimeoutBlame && LastAnswer < run.StartedAt;
+  bool late = event.Took >= Waits.slow() * TimeoutFailureFactor &&
+              LastAnswer < run.StartedAt;
   if (run.Cancelled || (timedOut && !late))
     return;
-  explainEjection(Context.Ejection.noted(now, Server.Id, false, event.Took));
-  explainRamp(Ramp.faltered(now, timedOut ? "server-timeout" : "server-broke"));
+  explainEjection(
+      Context.Ejection.recordResult(now, Server.Id, false, event.Took));
+  explainRamp(
+      Ramp.recordFailure(now, timedOut ? "server-timeout" : "server-broke"));
 }
 
 bool ServerAdmission::retry(TimePoint now, const RunningRequest &run,
@@ -99,19 +106,21 @@
       event.How == DispatchEnd::Answered ||
       what.Attempts >= Context.Settings.Retries.MostAttempts)
     return false;
-  if (!Owned || Drain.refuses(now, false) || Queue.size() >= Queue.capacity() ||
-      hopeless(now, what) || !Context.Retries.take())
+  if (!Owned || Drain.checkRefusal(now, false) ||
+      Queue.size() >= Queue.capacity() || checkDeadline(now, what) ||
+      !Context.Retries.tryConsume())
     return false;
   Queue.push(what);
-  Context.Out.retried(what, Server.Id, inputs());
+  Context.Out.explainRetry(what, Server.Id, inputs());
   return true;
 }
 
-RequestEnd ServerAdmission::endOf(TimePoint now, const RunningRequest &run,
-                                  const DispatchEnded &event) {
+RequestEnd ServerAdmission::makeRequestEnd(TimePoint now,
+                                           const RunningRequest &run,
+                                           const DispatchEnded &event) {
   if (event.How == DispatchEnd::Answered)
     return {Ending::Answered, Reason::None, Duration(0), Step::AwaitAnswer};
-  RequestEnd how = notRun(now, Reason::ServerShed, blockedFor(now));
+  RequestEnd how = makeNotRun(now, Reason::ServerShed, dispatchBlockedFor(now));
   how.At = Step::Dispatch;
   if (event.How == DispatchEnd::Unreachable)
     how.Why =
--- a/Balsamrack/Decisions/ServersOfService.cpp
+++ b/Balsamrack/Decisions/ServersOfService.cpp
@@ -29,30 +29,30 @@
     owned.insert(server.Server.Id);
   Context.Ejection.setServers(owned);
   for (auto &[id, server] : Servers)
-    if (server.owned() && owned.count(id) == 0)
-      server.depart(Now);
+    if (server.isOwned() && owned.count(id) == 0)
+      server.relinquish(Now);
   for (const OwnedServer &server : event.Servers) {
     auto [it, fresh] =
         Servers.try_emplace(server.Server.Id, Context, server, Now);
     if (!fresh)
       it->second.update(Now, server);
-    it->second.settle(Now);
+    it->second.processQueue(Now);
   }
-  forgetDeparted();
+  eraseRelinquished();
 }
 
 void ServersOfService::on(const RequestArrived &event) {
   auto it = Servers.find(event.Server);
   if (it != Servers.end()) {
-    it->second.arrive(Now, event);
+    it->second.handleArrival(Now, event);
     return;
   }
   QueuedRequest what;
   what.Head = event.Head;
-  Context.Out.end(what, event.Server,
-                  RequestEnd{Ending::NotRun, Reason::NotOwner,
-                             Context.Settings.Waits.LeastRetryAfter},
-                  {});
+  Context.Out.endRequest(what, event.Server,
+                         RequestEnd{Ending::NotRun, Reason::NotOwner,
+                                    Context.Settings.Waits.LeastRetryAfter},
+                         {});
 }
 
 void ServersOfService::on(const RequestCancelled &event) {
@@ -63,15 +63,15 @@
 
 void ServersOfService::on(const DispatchEnded &event) {
   for (auto &[id, server] : Servers)
-    if (server.dispatchEnded(Now, event))
+    if (server.handleDispatchEnd(Now, event))
       break;
-  forgetDeparted();
+  eraseRelinquished();
 }
 
 void ServersOfService::on(const HealthReported &event) {
   auto it = Servers.find(event.Server);
   if (it != Servers.end())
-    it->second.health(Now, event);
+    it->second.handleHealth(Now, event);
 }
 
 void ServersOfService::on(const AuthorityChanged &event) {
@@ -83,23 +83,23 @@
 
 void ServersOfService::on(const Ticked &) {
   for (auto &[id, server] : Servers)
-    server.settle(Now);
+    server.processQueue(Now);
 }
 
 void ServersOfService::on(const ShutdownBegan &) {
   Context.ShuttingDown = true;
 }
 
-void ServersOfService::forgetDeparted() {
+void ServersOfService::eraseRelinquished() {
   for (auto it = Servers.begin(); it != Servers.end();)
-    it = !it->second.owned() && it->second.idle() ? Servers.erase(it)
-                                                  : std::next(it);
+    it = !it->second.isOwned() && it->second.isIdle() ? Servers.erase(it)
+                                                      : std::next(it);
 }
 
 std::vector<ServerReport> ServersOfService::report(TimePoint now) const {
   std::vector<ServerReport> out;
   for (const auto &[id, server] : Servers)
-    if (server.owned())
+    if (server.isOwned())
       out.push_back(server.report(now));
   return out;
 }
@@ -114,7 +114,7 @@
 
 bool ServersOfService::idle() const {
   return std::all_of(Servers.begin(), Servers.end(),
-                     [](const auto &entry) { return entry.second.idle(); });
+                     [](const auto &entry) { return entry.second.isIdle(); });
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/ServersOfService.h
+++ b/Balsamrack/Decisions/ServersOfService.h
@@ -32,7 +32,7 @@
   void on(const AuthorityChanged &event);
   void on(const Ticked &event);
   void on(const ShutdownBegan &event);
-  void forgetDeparted();
+  void eraseRelinquished();
 
   OwnerContext Context;                        ///< Shared by all servers.
   std::map<ServerId, ServerAdmission> Servers; ///< Owned, or still running
--- a/Balsamrack/Decisions/SlotTable.cpp
+++ b/Balsamrack/Decisions/SlotTable.cpp
@@ -22,17 +22,17 @@
                         bool warm) {
   Duration held = std::max(deadline - now, slow);
   if (!warm)
-    held = std::max(held, Duration(LeastHeldCold));
-  Abandoned.push_back({now, now + std::min(held, Duration(MostHeld))});
+    held = std::max(held, Duration(MinHoldCold));
+  Abandoned.push_back({now, now + std::min(held, Duration(MaxHold))});
 }
 
-void SlotTable::release(TimePoint now) {
+void SlotTable::releaseExpired(TimePoint now) {
   auto over = [now](const AbandonedSlot &slot) { return slot.Until <= now; };
   Abandoned.erase(std::remove_if(Abandoned.begin(), Abandoned.end(), over),
                   Abandoned.end());
 }
 
-void SlotTable::releaseSince(TimePoint since) {
+void SlotTable::releaseAbandonedUntil(TimePoint since) {
   auto over = [since](const AbandonedSlot &s) { return s.Since <= since; };
   Abandoned.erase(std::remove_if(Abandoned.begin(), Abandoned.end(), over),
                   Abandoned.end());
@@ -52,8 +52,8 @@
   return next;
 }
 
-uint32_t SlotTable::longRunning(TimePoint now,
-                                const LongWorkGuard &guard) const {
+uint32_t SlotTable::longRunningCount(TimePoint now,
+                                     const LongWorkGuard &guard) const {
   return static_cast<uint32_t>(
       std::count_if(Running.begin(), Running.end(), [&](const auto &entry) {
         const RunningRequest &run = entry.second;
@@ -61,19 +61,19 @@
       }));
 }
 
-std::optional<TimePoint> SlotTable::nextLong(TimePoint now,
-                                             const LongWorkGuard &guard) const {
+std::optional<TimePoint>
+SlotTable::nextLongAt(TimePoint now, const LongWorkGuard &guard) const {
   std::optional<TimePoint> next;
   for (const auto &[id, run] : Running) {
-    TimePoint when = run.StartedAt + guard.longFrom();
+    TimePoint when = run.StartedAt + guard.longThreshold();
     if (when > now)
       next = next ? std::min(*next, when) : when;
   }
   return next;
 }
 
-Duration SlotTable::leastRemaining(TimePoint now,
-                                   const WaitEstimate &waits) const {
+Duration SlotTable::shortestRemaining(TimePoint now,
+                                      const WaitEstimate &waits) const {
   std::optional<Duration> least;
   for (const auto &[id, run] : Running) {
     Duration remaining = waits.remaining(now - run.StartedAt);
--- a/Balsamrack/Decisions/SlotTable.h
+++ b/Balsamrack/Decisions/SlotTable.h
@@ -35,11 +35,11 @@
 class SlotTable {
 public:
   /// An abandoned slot is held no longer than this.
-  static constexpr Duration MostHeld{5'000'000};
+  static constexpr Duration MaxHold{5'000'000};
   /// Nor shorter than this while the server is cold: the answers seen while it
   /// was warm don't tell how long a cold server works on what timed out, and
   /// one request more than it bears makes it fall over.
-  static constexpr Duration LeastHeldCold{2'000'000};
+  static constexpr Duration MinHoldCold{2'000'000};
   /// Notes a dispatch. Precondition: the request is not running.
   void start(RunningRequest request);
   /// Takes out a dispatch that the link ended. Nothing when there is none.
@@ -48,9 +48,9 @@
   /// slow, the time in which nine of ten are answered, within the bounds above.
   void abandon(TimePoint now, TimePoint deadline, Duration slow, bool warm);
   /// Frees the abandoned slots whose time is over.
-  void release(TimePoint now);
+  void releaseExpired(TimePoint now);
   /// Frees those abandoned at or before \p since: the server runs them no more.
-  void releaseSince(TimePoint since);
+  void releaseAbandonedUntil(TimePoint since);
   /// The running dispatch of \p request, or null; valid until the next change.
   RunningRequest *find(RequestId request);
 
@@ -63,13 +63,13 @@
   /// When the next abandoned slot is freed.
   std::optional<TimePoint> nextRelease() const;
   /// Running dispatches that are long work, expected or by their age.
-  uint32_t longRunning(TimePoint now, const LongWorkGuard &guard) const;
+  uint32_t longRunningCount(TimePoint now, const LongWorkGuard &guard) const;
   /// When the next running dispatch counts as long work by its age.
-  std::optional<TimePoint> nextLong(TimePoint now,
-                                    const LongWorkGuard &guard) const;
+  std::optional<TimePoint> nextLongAt(TimePoint now,
+                                      const LongWorkGuard &guard) const;
   /// How long the first one to end will run, \p waits being that of its kind;
   /// zero when nothing runs.
-  Duration leastRemaining(TimePoint now, const WaitEstimate &waits) const;
+  Duration shortestRemaining(TimePoint now, const WaitEstimate &waits) const;
 
 private:
   /// A slot that an ended dispatch still holds.
--- a/Balsamrack/Decisions/WaitEstimate.cpp
+++ b/Balsamrack/Decisions/WaitEstimate.cpp
@@ -19,40 +19,40 @@
   return mean() * turns / static_cast<int64_t>(std::max(slots, 1U));
 }
 
-Duration WaitEstimate::mostWait(Duration left) const {
+Duration WaitEstimate::maxWait(Duration left) const {
   auto share = static_cast<double>(left.count()) * Settings.MostWaitShare;
   return std::min(left - fast(), Duration(static_cast<int64_t>(share)));
 }
 
 Duration WaitEstimate::remaining(Duration age) const {
-  return known() ? typical() - age : age;
+  return hasSamples() ? typical() - age : age;
 }
 
 Duration WaitEstimate::mean() const {
-  return known() ? Times.mean() : Expected;
+  return hasSamples() ? Times.mean() : Expected;
 }
 
 Duration WaitEstimate::fast() const {
-  return known() ? Times.quantile(FastShare) : Expected / 2;
+  return hasSamples() ? Times.quantile(FastShare) : Expected / 2;
 }
 
 Duration WaitEstimate::slow() const {
-  return known() ? Times.quantile(SlowShare) : Expected * 2;
+  return hasSamples() ? Times.quantile(SlowShare) : Expected * 2;
 }
 
 Duration WaitEstimate::typical() const {
-  return known() ? Times.quantile(0.5) : Expected;
+  return hasSamples() ? Times.quantile(0.5) : Expected;
 }
 
-Duration WaitEstimate::bookReturn(TimePoint now, Duration backlog,
-                                  uint32_t slots, RandomSource &random) {
+Duration WaitEstimate::scheduleRetry(TimePoint now, Duration backlog,
+                                     uint32_t slots, RandomSource &random) {
   Duration pace = mean() / static_cast<int64_t>(std::max(slots, 1U));
   // Bookings reach no further than the longest return time, so that callers who
   // never come back can't push the others away for good.
   TimePoint first = now + std::max(backlog, Settings.LeastRetryAfter);
-  NextReturn = std::clamp(NextReturn + pace, first,
-                          std::max(first, now + Settings.MostRetryAfter));
-  Duration base = NextReturn - now;
+  NextRetry = std::clamp(NextRetry + pace, first,
+                         std::max(first, now + Settings.MostRetryAfter));
+  Duration base = NextRetry - now;
   double jitter = static_cast<double>(base.count()) * JitterShare;
   base += Duration(static_cast<int64_t>(jitter * random.unit()));
   return std::clamp(base, Settings.LeastRetryAfter, Settings.MostRetryAfter);
--- a/Balsamrack/Decisions/WaitEstimate.h
+++ b/Balsamrack/Decisions/WaitEstimate.h
@@ -31,22 +31,22 @@
 /// 1993). Not thread-safe.
 class WaitEstimate {
 public:
-  static constexpr size_t LeastSeen = 4; ///< Answers before they count.
+  static constexpr size_t MinSamples = 4; ///< Answers before they count.
 
   /// Precondition: \p settings were checked.
   explicit WaitEstimate(const WaitSettings &settings);
 
   /// False while the first guess has to do.
-  bool known() const { return Times.count() >= LeastSeen; }
+  bool hasSamples() const { return Times.count() >= MinSamples; }
   /// Sets the first guess of an answer time, from the ticket.
   void setExpected(Duration expected) { Expected = expected; }
   /// Notes an answer.
-  void seen(Duration took) { Times.add(took); }
+  void recordAnswer(Duration took) { Times.add(took); }
   /// Expected wait of a request with \p ahead requests before it, all of \p
   /// slots being in use. A server without slots counts as one with one.
   Duration waitFor(uint32_t ahead, uint32_t slots) const;
   /// The longest wait that a request with \p left may be queued for.
-  Duration mostWait(Duration left) const;
+  Duration maxWait(Duration left) const;
   /// How long work that has run for \p age will go on. Until answers were seen
   /// it is expected to run for as long again.
   Duration remaining(Duration age) const;
@@ -60,14 +60,14 @@
   Duration typical() const;
   /// When a request refused at \p now, with \p backlog of waiting work, should
   /// come back.
-  Duration bookReturn(TimePoint now, Duration backlog, uint32_t slots,
-                      RandomSource &random);
+  Duration scheduleRetry(TimePoint now, Duration backlog, uint32_t slots,
+                         RandomSource &random);
 
 private:
   WaitSettings Settings;     ///< Limits.
   Duration Expected{50'000}; ///< First guess of an answer time.
   AnswerTimes Times;         ///< Answers seen.
-  TimePoint NextReturn;      ///< Up to here returns are booked.
+  TimePoint NextRetry;       ///< Up to here returns are booked.
 };
 
 } // namespace balsamrack
--- a/PerformanceTest/LoadScenarios.cpp
+++ b/PerformanceTest/LoadScenarios.cpp
@@ -60,7 +60,7 @@
   ScenarioLimits limits = ourLimits();
   limits.Config.QueuePerServer = 1'000'000;
   limits.Owner.Queue.FairAmongCallers = false;
-  limits.Owner.Waits.RefuseHopeless = false;
+  limits.Owner.Waits.RefuseLate = false;
   return limits;
 }
 
--- a/UnitTests/Decisions/AdmissionQueueTest.cpp
+++ b/UnitTests/Decisions/AdmissionQueueTest.cpp
@@ -48,12 +48,12 @@
       EXPECT_STREQ(reasonName(verdict.Refused), reasonName(test.Why));
       refused.push_back(n + 1);
     }
-    if (verdict.PushedOut)
-      refused.push_back(verdict.PushedOut->Head.Request.Value);
+    if (verdict.Evicted)
+      refused.push_back(verdict.Evicted->Head.Request.Value);
   }
   EXPECT_EQ(refused, test.Refused);
   std::vector<uint64_t> popped;
-  for (const QueuedRequest &r : queue.takeAll())
+  for (const QueuedRequest &r : queue.removeAll())
     popped.push_back(r.Head.Request.Value);
   EXPECT_EQ(popped, test.Popped);
 }
@@ -151,20 +151,20 @@
             if (auto r = queue.remove(RequestId{next / 2}))
               left.insert(r->Head.Request.Value);
           } else if (step % 16 == 5) {
-            for (auto &r : queue.takeExpired(TimePoint(Duration(deadline))))
+            for (auto &r : queue.removeExpired(TimePoint(Duration(deadline))))
               left.insert(r.Head.Request.Value);
           } else {
             Waiting w{caller, deadline, step % 3 == 0};
             auto verdict = queue.push(make(next, w));
             if (verdict.Refused != Reason::None)
               left.insert(next);
-            if (verdict.PushedOut)
-              left.insert(verdict.PushedOut->Head.Request.Value);
+            if (verdict.Evicted)
+              left.insert(verdict.Evicted->Head.Request.Value);
             ++next;
           }
           RC_ASSERT(queue.size() <= 6U);
         }
-        for (auto &r : queue.takeAll())
+        for (auto &r : queue.removeAll())
           left.insert(r.Head.Request.Value);
         RC_ASSERT(queue.empty() && !queue.earliestDeadline());
         RC_ASSERT(left.size() == next - 1);
--- a/UnitTests/Decisions/ColdStartRampTest.cpp
+++ b/UnitTests/Decisions/ColdStartRampTest.cpp
@@ -12,23 +12,23 @@
 constexpr Duration Second{1'000'000};
 
 /// A ramp with its own time.
-struct RampStory {
-  explicit RampStory(bool enabled = true)
+struct RampFixture {
+  explicit RampFixture(bool enabled = true)
       : Ramp(settings(enabled), 2, TimePoint(Second)) {}
   static RampSettings settings(bool enabled) {
     RampSettings s;
     s.Enabled = enabled;
     // The stories are told in steps of a second; blind ones have a test below.
-    s.BlindStepTime = s.LeastStepTime;
+    s.UnmeasuredStepTime = s.LeastStepTime;
     return s;
   }
   void answers(int count, Duration took, const char *instance = "a") {
     for (int n = 0; n < count; ++n) {
       Now += took;
-      Ramp.startsFromIdle(Now);
-      Ramp.proved(Now);
-      Ramp.instanceSeen(Now, InstanceId(instance));
-      Ramp.answered(Now, took);
+      Ramp.recordStartFromIdle(Now);
+      Ramp.recordDispatchEnd(Now);
+      Ramp.updateInstance(Now, InstanceId(instance));
+      Ramp.recordAnswer(Now, took);
     }
   }
   TimePoint Now{Second};
@@ -37,7 +37,7 @@
 
 struct RampCase {
   const char *Name;
-  std::function<void(RampStory &)> Story;
+  std::function<void(RampFixture &)> Scenario;
   uint32_t Limit;
 };
 
@@ -47,61 +47,63 @@
 // comes up cold and falls over again; callers see broken requests for minutes.
 TEST_P(RampTest, LimitFollowsWhatTheServerShows) {
   const RampCase &test = GetParam();
-  RampStory story;
-  test.Story(story);
+  RampFixture story;
+  test.Scenario(story);
   EXPECT_EQ(story.Ramp.limit(), test.Limit);
   // The baseline lets all slots in, whatever happens.
-  RampStory baseline(false);
-  test.Story(baseline);
+  RampFixture baseline(false);
+  test.Scenario(baseline);
   EXPECT_EQ(baseline.Ramp.limit(), 2U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Signs, RampTest,
     testing::Values(
-        RampCase{"StartsAtOne", [](RampStory &) {}, 1},
-        RampCase{"TooFewAnswers", [](RampStory &s) { s.answers(31, Slow); }, 1},
-        RampCase{"TooSoon", [](RampStory &s) { s.answers(99, Fast / 5); }, 1},
-        RampCase{"AnsweredWell", [](RampStory &s) { s.answers(32, Fast); }, 2},
+        RampCase{"StartsAtOne", [](RampFixture &) {}, 1},
+        RampCase{"TooFewAnswers", [](RampFixture &s) { s.answers(31, Slow); },
+                 1},
+        RampCase{"TooSoon", [](RampFixture &s) { s.answers(99, Fast / 5); }, 1},
+        RampCase{"AnsweredWell", [](RampFixture &s) { s.answers(32, Fast); },
+                 2},
         RampCase{"NewInstance",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.answers(80, Fast);
                    s.answers(1, Fast, "b");
                  },
                  1},
         RampCase{"LateAnswerOfThePastInstance",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.answers(80, Fast);
                    s.answers(80, Fast, "b");
                    s.answers(1, Fast, "a");
                  },
                  2},
         RampCase{"Sheds",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.answers(80, Fast);
-                   s.Ramp.faltered(s.Now, "server-shed");
+                   s.Ramp.recordFailure(s.Now, "server-shed");
                  },
                  1},
         RampCase{"OneSlowAnswerIsNoSign",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.answers(80, Fast);
                    s.answers(1, Slow);
                  },
                  2},
         RampCase{"AllAnswersSlow",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.answers(80, Fast);
                    s.answers(6, Slow);
                  },
                  1},
         RampCase{"SlowerForGoodRisesInTheEnd",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.answers(80, Fast);
                    s.answers(6 + 16 * 16, Slow);
                  },
                  2},
         RampCase{"MostAnswersThreeTimesSlower",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.answers(80, Fast);
                    for (int n = 0; n < 5; ++n) {
                      s.answers(3, Fast * 7 / 2);
@@ -110,9 +112,9 @@
                  },
                  1},
         RampCase{"SomeFastAnswersOfAColdServerAreNoGroup",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.answers(80, Fast);
-                   s.Ramp.faltered(s.Now, "server-shed");
+                   s.Ramp.recordFailure(s.Now, "server-shed");
                    for (int n = 0; n < 15; ++n) {
                      s.answers(1, Fast);
                      s.answers(3, Fast * 3);
@@ -120,55 +122,55 @@
                  },
                  1},
         RampCase{"SlowAnswersOfANewOwnersColdServer",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.Ramp.setExpected(Fast);
                    s.answers(80, Fast * 3);
                  },
                  1},
         RampCase{"SecondFallTakesLonger",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.answers(80, Fast);
-                   s.Ramp.faltered(s.Now, "server-shed");
+                   s.Ramp.recordFailure(s.Now, "server-shed");
                    s.answers(39, Fast); // Under 2 s, which are needed now.
                  },
                  1},
         RampCase{"IdleServerIsAskedFirst",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.answers(80, Fast);
                    s.Now += Second * 3;
-                   s.Ramp.startsFromIdle(s.Now);
+                   s.Ramp.recordStartFromIdle(s.Now);
                  },
                  1},
         RampCase{"IdleServerAnsweredTheSame",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.answers(80, Fast);
                    s.Now += Second * 3;
                    s.answers(1, Fast);
                  },
                  2},
         RampCase{"KnownWarmInstance",
-                 [](RampStory &s) {
-                   s.Ramp.trust(InstanceId("a"));
+                 [](RampFixture &s) {
+                   s.Ramp.trustInstance(InstanceId("a"));
                    s.answers(1, Fast);
                  },
                  2},
         RampCase{"AnotherInstanceThanKnown",
-                 [](RampStory &s) {
-                   s.Ramp.trust(InstanceId("z"));
+                 [](RampFixture &s) {
+                   s.Ramp.trustInstance(InstanceId("z"));
                    s.answers(1, Fast);
                  },
                  1},
         RampCase{"DomainReturnsRestarted",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.answers(80, Fast);
-                   s.Ramp.returned(s.Now);
+                   s.Ramp.resetForDomainReturn(s.Now);
                    s.answers(1, Fast, "b");
                  },
                  1},
         RampCase{"DomainReturnsWarm",
-                 [](RampStory &s) {
+                 [](RampFixture &s) {
                    s.answers(80, Fast);
-                   s.Ramp.returned(s.Now);
+                   s.Ramp.resetForDomainReturn(s.Now);
                    s.answers(1, Fast);
                  },
                  2}),
@@ -183,12 +185,12 @@
   TimePoint now(Second);
   for (int n = 0; n < 49; ++n) {
     now += Duration(100'000);
-    ramp.instanceSeen(now, InstanceId("a"));
-    ramp.answered(now, Fast);
+    ramp.updateInstance(now, InstanceId("a"));
+    ramp.recordAnswer(now, Fast);
     EXPECT_EQ(ramp.limit(), 1U) << "after " << n << " answers";
   }
   now += Duration(200'000);
-  ramp.answered(now, Fast);
+  ramp.recordAnswer(now, Fast);
   EXPECT_EQ(ramp.limit(), 2U);
 }
 
--- a/UnitTests/Decisions/DecisionPartsTest.cpp
+++ b/UnitTests/Decisions/DecisionPartsTest.cpp
@@ -53,15 +53,15 @@
   RetryBudget budget{RetrySettings()};
   uint32_t calm = 0;
   for (int n = 0; n < 1000; ++n) {
-    budget.succeeded();
-    calm += budget.take() ? 1 : 0;
+    budget.recordSuccess();
+    calm += budget.tryConsume() ? 1 : 0;
   }
   EXPECT_LE(calm, 110U); // A tenth, and the bucket.
   uint32_t overloaded = 0;
   for (int n = 0; n < 1000; ++n) {
-    budget.succeeded();
-    budget.refused();
-    overloaded += budget.take() ? 1 : 0;
+    budget.recordSuccess();
+    budget.recordRefusal();
+    overloaded += budget.tryConsume() ? 1 : 0;
   }
   EXPECT_LE(overloaded, 1U);
 }
@@ -75,11 +75,11 @@
   EXPECT_TRUE(drain.update(Start, server, true));
   EXPECT_FALSE(drain.update(Start + Second, server, true));
   EXPECT_EQ(*drain.limit(), Start + server.DrainLimit);
-  EXPECT_TRUE(drain.refuses(Start, true).has_value());
-  EXPECT_FALSE(drain.refuses(Start, false).has_value());
+  EXPECT_TRUE(drain.checkRefusal(Start, true).has_value());
+  EXPECT_FALSE(drain.checkRefusal(Start, false).has_value());
   server.Mode = ServerMode::Active;
   EXPECT_TRUE(drain.update(Start + Second, server, true));
-  EXPECT_FALSE(drain.refuses(Start + Second, true).has_value());
+  EXPECT_FALSE(drain.checkRefusal(Start + Second, true).has_value());
 }
 
 // A server is down for a minute. Sent one by one, all that wait would come back
@@ -105,7 +105,7 @@
   waits.setExpected(Duration(50'000));
   EXPECT_EQ(waits.waitFor(3, 2), Duration(100'000));
   for (int n = 0; n < 64; ++n)
-    waits.seen(Duration(200'000));
+    waits.recordAnswer(Duration(200'000));
   EXPECT_EQ(waits.waitFor(3, 2), Duration(400'000));
   EXPECT_EQ(waits.waitFor(3, 1), Duration(800'000));
   EXPECT_EQ(waits.slow(), Duration(200'000));
@@ -117,9 +117,9 @@
   SeededRandom random(1);
   Duration last(0);
   for (int n = 0; n < 100'000; ++n)
-    last = waits.bookReturn(Start, Second, 2, random);
+    last = waits.scheduleRetry(Start, Second, 2, random);
   EXPECT_LE(last, WaitSettings().MostRetryAfter);
-  last = waits.bookReturn(Start + Second * 60, Second, 2, random);
+  last = waits.scheduleRetry(Start + Second * 60, Second, 2, random);
   EXPECT_LE(last, Second * 2);
 }
 
@@ -137,22 +137,22 @@
 TEST(LongWorkGuardTest, LearnsCallersAndKeepsASlot) {
   LongWorkGuard guard{LongWorkSettings()};
   for (int n = 0; n < 32; ++n)
-    guard.learn(from(1), Duration(50'000));
-  guard.learn(from(2), Second * 2);
-  EXPECT_FALSE(guard.expectsLong(from(2), Second));
-  guard.learn(from(2), Second * 2);
-  EXPECT_TRUE(guard.expectsLong(from(2), Second));
-  EXPECT_FALSE(guard.expectsLong(from(1), Second));
-  EXPECT_FALSE(guard.expectsLong(from(3), Second));
-  EXPECT_FALSE(guard.expectsLong(from(2), Second * 10));
-  guard.shortCame(Start);
+    guard.recordAnswer(from(1), Duration(50'000));
+  guard.recordAnswer(from(2), Second * 2);
+  EXPECT_FALSE(guard.isExpectedLong(from(2), Second));
+  guard.recordAnswer(from(2), Second * 2);
+  EXPECT_TRUE(guard.isExpectedLong(from(2), Second));
+  EXPECT_FALSE(guard.isExpectedLong(from(1), Second));
+  EXPECT_FALSE(guard.isExpectedLong(from(3), Second));
+  EXPECT_FALSE(guard.isExpectedLong(from(2), Second * 10));
+  guard.recordShortArrival(Start);
   EXPECT_TRUE(guard.mayStart(Start, true, 2, 0));
   EXPECT_FALSE(guard.mayStart(Start, true, 2, 1));
   EXPECT_TRUE(guard.mayStart(Start, false, 2, 1));
   // Without short work long work gets all slots.
   EXPECT_TRUE(guard.mayStart(Start + Second * 2, true, 2, 1));
-  guard.learn(from(2), Duration(50'000));
-  EXPECT_FALSE(guard.expectsLong(from(2), Second));
+  guard.recordAnswer(from(2), Duration(50'000));
+  EXPECT_FALSE(guard.isExpectedLong(from(2), Second));
 }
 
 TEST(SlotTableTest, AbandonedSlotsAreFreedInTime) {
@@ -162,10 +162,10 @@
   slots.start(run);
   slots.abandon(Start, Start + Second, Duration(50'000), true);
   EXPECT_EQ(slots.used(), 2U);
-  slots.releaseSince(Start - Second);
-  slots.release(Start + Second - Duration(1));
+  slots.releaseAbandonedUntil(Start - Second);
+  slots.releaseExpired(Start + Second - Duration(1));
   EXPECT_EQ(slots.used(), 2U);
-  slots.release(*slots.nextRelease());
+  slots.releaseExpired(*slots.nextRelease());
   EXPECT_EQ(slots.used(), 1U);
   EXPECT_TRUE(slots.end(RequestId{1}).has_value());
   EXPECT_FALSE(slots.end(RequestId{1}).has_value());
--- a/UnitTests/Decisions/OutlierEjectionTest.cpp
+++ b/UnitTests/Decisions/OutlierEjectionTest.cpp
@@ -13,8 +13,8 @@
 ServerId server(int n) { return ServerId("s" + std::to_string(n)); }
 
 /// Servers s1 to s4 of one owner.
-struct EjectionStory {
-  explicit EjectionStory(int servers = 4) : Ejection(EjectionSettings()) {
+struct EjectionFixture {
+  explicit EjectionFixture(int servers = 4) : Ejection(EjectionSettings()) {
     std::set<ServerId> all;
     for (int n = 1; n <= servers; ++n)
       all.insert(server(n));
@@ -22,7 +22,7 @@
   }
   void answers(int n, int count, Duration took, bool good = true) {
     for (int i = 0; i < count; ++i)
-      Ejection.noted(Now, server(n), good, took);
+      Ejection.recordResult(Now, server(n), good, took);
   }
   void peersAnswer() {
     for (int n = 2; n <= 4; ++n)
@@ -34,7 +34,7 @@
 
 struct EjectionCase {
   const char *Name;
-  std::function<void(EjectionStory &)> Story;
+  std::function<void(EjectionFixture &)> Scenario;
   bool Ejected; // Server s1 at the end.
 };
 
@@ -43,9 +43,9 @@
 // One of four servers fails or has become slow, and its health says "ready".
 // New flows go on being placed there, and each waits or fails.
 TEST_P(EjectionTest, JudgesByWhatWasSeen) {
-  EjectionStory story;
-  GetParam().Story(story);
-  EXPECT_EQ(story.Ejection.ejected(server(1)), GetParam().Ejected);
+  EjectionFixture story;
+  GetParam().Scenario(story);
+  EXPECT_EQ(story.Ejection.isEjected(server(1)), GetParam().Ejected);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -111,22 +111,22 @@
 // After the hold all waiting flows would rush to the server at once; only one
 // request may probe it, and one that never got there must not block the next.
 TEST(OutlierEjectionTest, ProbesOneAtATime) {
-  EjectionStory s;
+  EjectionFixture s;
   s.answers(1, 5, Fast, false);
-  EXPECT_FALSE(s.Ejection.admits(s.Now, server(1), RequestId{1}));
+  EXPECT_FALSE(s.Ejection.tryAdmit(s.Now, server(1), RequestId{1}));
   s.Now += Duration(5'000'000);
-  EXPECT_TRUE(s.Ejection.admits(s.Now, server(1), RequestId{2}));
-  EXPECT_FALSE(s.Ejection.admits(s.Now, server(1), RequestId{3}));
-  s.Ejection.ended(server(1), RequestId{2});
-  EXPECT_TRUE(s.Ejection.admits(s.Now, server(1), RequestId{4}));
+  EXPECT_TRUE(s.Ejection.tryAdmit(s.Now, server(1), RequestId{2}));
+  EXPECT_FALSE(s.Ejection.tryAdmit(s.Now, server(1), RequestId{3}));
+  s.Ejection.finishProbe(server(1), RequestId{2});
+  EXPECT_TRUE(s.Ejection.tryAdmit(s.Now, server(1), RequestId{4}));
 }
 
 // A daemon that owns a single server of a service has no peer to compare it
 // with, but must not send new flows to a dead one.
 TEST(OutlierEjectionTest, SingleServerIsEjectedByFailures) {
-  EjectionStory s(1);
+  EjectionFixture s(1);
   s.answers(1, 5, Fast, false);
-  EXPECT_TRUE(s.Ejection.ejected(server(1)));
+  EXPECT_TRUE(s.Ejection.isEjected(server(1)));
 }
 
 } // namespace
--- a/UnitTests/Decisions/ServiceOwnerTest.cpp
+++ b/UnitTests/Decisions/ServiceOwnerTest.cpp
@@ -16,7 +16,7 @@
 /// been dispatched.
 struct EndingCase {
   const char *Name;
-  std::function<void(OwnerFixture &)> Story;
+  std::function<void(OwnerFixture &)> Scenario;
   Ending How;
   Reason Why;
   size_t Dispatches;
@@ -227,10 +227,10 @@
 // A caller is told how its request ended, once, and it must be true: after a
 // false "not run" a seller pays a second deposit, after a missing ending a
 // clerk waits in vain. Each case is one way a request can go.
-TEST_P(EndingTest, IsToldOnceAndTrue) {
+TEST_P(EndingTest, ReportsOneCorrectResult) {
   const EndingCase &test = GetParam();
   OwnerFixture fixture;
-  test.Story(fixture);
+  test.Scenario(fixture);
   EXPECT_EQ(fixture.Endings[1], 1U);
   EXPECT_STREQ(endingName(fixture.ending(1).How), endingName(test.How));
   EXPECT_STREQ(reasonName(fixture.ending(1).Why), reasonName(test.Why));
@@ -339,7 +339,7 @@
 // Two plans from callers that nobody knew take both slots, and a lookup waits.
 // When it shows that they are plans, the lookup is told at once, so that it can
 // go elsewhere; kept waiting, it was refused at the end of its time.
-TEST(ServiceOwnerTest, QueuedRequestIsToldWhenLongWorkShows) {
+TEST(ServiceOwnerTest, QueuedRequestIsRefusedWhenLongWorkShows) {
   OwnerFixture f;
   f.warm();
   for (uint64_t id = 1; id <= 3; ++id) {
@@ -378,7 +378,7 @@
 }
 
 /// Plays a random story and checks at each step what must always hold.
-void playRandomStory(uint64_t seed, std::vector<std::string> *log) {
+void runRandomScenario(uint64_t seed, std::vector<std::string> *log) {
   SeededRandom random(seed);
   OwnerFixture f(OwnerSettings(), 2);
   f.Journal = log;
@@ -467,12 +467,12 @@
 // Whatever comes in whatever order: never over the slots, no dispatch without
 // authority, nothing lost, each request ended exactly once, and "not run" only
 // for what never left.
-TEST(ServiceOwnerProperty, HoldsInRandomStories) {
+TEST(ServiceOwnerProperty, HoldsInRandomScenarios) {
   rc::detail::TestParams params;
   params.seed = 20240901;
   params.maxSuccess = 200;
   auto result = rc::detail::checkTestable(
-      [](uint64_t seed) { playRandomStory(seed, nullptr); },
+      [](uint64_t seed) { runRandomScenario(seed, nullptr); },
       rc::detail::TestMetadata(), params);
   EXPECT_TRUE(result.is<rc::detail::SuccessResult>());
 }
@@ -481,8 +481,8 @@
 TEST(ServiceOwnerProperty, SameEventsSameDecisions) {
   std::vector<std::string> first;
   std::vector<std::string> second;
-  playRandomStory(42, &first);
-  playRandomStory(42, &second);
+  runRandomScenario(42, &first);
+  runRandomScenario(42, &second);
   EXPECT_GT(first.size(), 300U);
   EXPECT_EQ(first, second);
 }
