--- a/Balsamrack/Decisions/AdmissionQueue.cpp
+++ b/Balsamrack/Decisions/AdmissionQueue.cpp
@@ -16,9 +16,9 @@
   Verdict verdict;
   CallerId caller = queueKey(request);
   if (Size >= Capacity) {
-    // Full: only a caller with fewer requests than the one with most may take
-    // a place from it; otherwise two greedy callers would push each other out
-    // for ever.
+    // The queue is full: only a caller with fewer requests than the one with
+    // the most may take a place from it. Otherwise two greedy callers would
+    // evict each other forever.
     auto own = ByCaller.find(caller);
     size_t held = own == ByCaller.end() ? 0 : own->second.Waiting.size();
     auto longest = longestQueue();
@@ -60,7 +60,8 @@
 }
 
 void AdmissionQueue::recordBypass(CallerId caller) {
-  // Nobody waits, so the round is over; only the last caller is remembered.
+  // No request is queued, so the round is over, and only the last caller needs
+  // to be remembered.
   if (Size == 0)
     ++Round;
   CallerQueue &line = ByCaller[Fair ? caller : CallerId{}];
@@ -114,7 +115,8 @@
   auto same = [longWork](const Entry &e) {
     return e.What.LongWork == longWork;
   };
-  // The turn of the new request: its own caller's earlier deadlines first.
+  // Determines the round of the new request: earlier deadlines of its own
+  // caller come first.
   auto own = ByCaller.find(Fair ? caller : CallerId{});
   uint64_t turn = Round + 1;
   uint32_t count = 0;
@@ -123,7 +125,7 @@
       count += same(e) && (!Fair || e.What.Deadline <= deadline) ? 1 : 0;
     turn = std::max(turn, own->second.Round) + count;
   }
-  // Each other caller is served once a round until then.
+  // Every other caller is served once per round until then.
   for (const auto &[other, line] : ByCaller) {
     if (!Fair || other == caller)
       continue;
@@ -200,8 +202,8 @@
 }
 
 void AdmissionQueue::eraseServedCallers() {
-  // A caller that doesn't wait and may go in the next round anyway needs no
-  // memory; this bounds the map by the callers of one round.
+  // A caller without queued requests that may be served in the next round
+  // anyway needs no entry. This bounds the map by the callers of one round.
   for (auto it = ByCaller.begin(); it != ByCaller.end();)
     it = it->second.Waiting.empty() && it->second.Round <= Round
              ? ByCaller.erase(it)
--- a/Balsamrack/Decisions/AdmissionQueue.h
+++ b/Balsamrack/Decisions/AdmissionQueue.h
@@ -13,84 +13,88 @@
 
 namespace balsamrack {
 
-/// A request that waits, or is about to.
+/// A request that is queued, or about to be.
 struct QueuedRequest {
-  Envelope Head;           ///< As it arrived.
-  TimePoint Deadline;      ///< When its remaining time is over.
-  TimePoint Since;         ///< When it arrived.
-  bool LongWork = false;   ///< Expected to be long, see LongWorkGuard.
-  uint32_t Attempts = 0;   ///< Dispatches so far.
-  bool MayHaveRun = false; ///< An earlier dispatch failed after it had left.
+  Envelope Head;         ///< Request header as received.
+  TimePoint Deadline;    ///< End of its remaining time.
+  TimePoint Since;       ///< Time of arrival.
+  bool LongWork = false; ///< Expected to be long work, see LongWorkGuard.
+  uint32_t Attempts = 0; ///< Number of dispatches so far.
+  /// An earlier dispatch failed after the request had been sent.
+  bool MayHaveRun = false;
 };
 
-/// The requests that wait for one backend server.
+/// Queue of the requests for one backend server.
 ///
-/// Answers: bursts, and a few callers that take most of the load. Without a
-/// bound the wait grows past every deadline, so that under lasting overload the
-/// server works for callers who have left. In order of arrival a caller with a
-/// hundred requests makes everybody else wait for all of them.
+/// Guards against bursts, and against a few callers that cause most of the
+/// load. Without a bound, the wait exceeds every deadline, so under sustained
+/// overload the server works for callers that have left. In order of arrival, a
+/// caller with a hundred requests makes everyone else wait for all of them.
 ///
-/// How: callers are served in rounds, one request of each caller a round (fair
-/// queueing: Nagle 1987; Demers, Keshav, Shenker 1989); within a round, and
-/// among one caller's own requests, the earliest deadline goes first. A caller
-/// that joins waits for the round in progress at most, so a stream of new
-/// callers can't starve the old ones. When the queue is full, the caller with
-/// most requests loses its latest one to a caller with fewer (longest queue
-/// drop: Suter, Lakshman, Stiliadis, Choudhury 1999): a caller alone may use
-/// the whole queue, and nobody needs a fixed share.
+/// Callers are served in rounds, one request of each caller per round (fair
+/// queueing: Nagle 1987; Demers, Keshav, Shenker 1989). Within a round, and
+/// among the requests of one caller, the earliest deadline comes first. A new
+/// caller waits at most for the round in progress, so a stream of new callers
+/// cannot starve the old ones. When the queue is full, the caller with the most
+/// requests loses its last one to a caller with fewer (longest queue drop:
+/// Suter, Lakshman, Stiliadis, Choudhury 1999): a single caller may use the
+/// whole queue, and no caller needs a fixed share.
 ///
-/// Thresholds: the capacity comes from the ticket (Service::QueuePerServer);
-/// at 2 slots and 50 ms an answer 32 requests wait 0.8 s. Not thread-safe.
+/// The capacity comes from the ticket (Service::QueuePerServer). With 2 slots
+/// and 50 ms per answer, 32 requests wait 0.8 s. Not thread-safe.
 class AdmissionQueue {
 public:
-  /// What push() decided.
+  /// Result of push().
   struct Verdict {
-    Reason Refused = Reason::None; ///< None: the request waits now.
-    std::optional<QueuedRequest>
-        Evicted; ///< Must be ended with CallerShare in its place.
+    Reason Refused = Reason::None; ///< Reason::None if the request was queued.
+    /// A request removed in its favour, to be ended with CallerShare.
+    std::optional<QueuedRequest> Evicted;
   };
 
-  /// \p fair false gives plain order of arrival, to compare with.
+  /// If \p fair is false, requests are served in order of arrival, for
+  /// comparison.
   AdmissionQueue(uint32_t capacity, bool fair);
 
-  /// Queues \p request, or says why not. Precondition: its id is not queued.
+  /// Queues \p request, or returns the reason for refusing it. Precondition:
+  /// its id is not queued.
   Verdict push(const QueuedRequest &request);
-  /// Takes the request whose turn it is; without \p allowLong the next one that
-  /// is not long work. Nothing when there is none.
+  /// Removes and returns the next request; without \p allowLong the next one
+  /// that is not long work. Nothing if there is none.
   std::optional<QueuedRequest> pop(bool allowLong);
-  /// Counts a request of \p caller that went to the server without waiting.
+  /// Counts a request of \p caller that was dispatched without queueing.
   void recordBypass(CallerId caller);
-  /// Takes one request out. Nothing when it is not queued.
+  /// Removes and returns \p request. Nothing if it is not queued.
   std::optional<QueuedRequest> remove(RequestId request);
-  /// Takes out those whose deadline is not after \p when, earliest first.
+  /// Removes and returns the requests whose deadline is not after \p when,
+  /// earliest first.
   std::vector<QueuedRequest> removeExpired(TimePoint when);
-  /// Takes out all, in the order of their turns.
+  /// Removes and returns all requests in service order.
   std::vector<QueuedRequest> removeAll();
-  /// Requests of the same kind that would be served before one of \p caller
-  /// with \p deadline: long work and short don't wait for each other.
+  /// Number of requests of the same kind that would be served before one of \p
+  /// caller with \p deadline. Long and short work do not wait for each other.
   uint32_t countAhead(CallerId caller, TimePoint deadline, bool longWork) const;
-  /// The earliest deadline; nothing when the queue is empty.
+  /// The earliest deadline; nothing if the queue is empty.
   std::optional<TimePoint> earliestDeadline() const;
 
-  /// Changes the bound; what waits already stays.
+  /// Changes the capacity; requests already queued stay.
   void setCapacity(uint32_t capacity) { Capacity = capacity; }
-  /// The bound.
+  /// Maximum number of queued requests.
   uint32_t capacity() const { return Capacity; }
-  /// Requests that wait.
+  /// Number of queued requests.
   uint32_t size() const { return Size; }
-  /// True when none waits.
+  /// True if no request is queued.
   bool empty() const { return Size == 0; }
 
 private:
-  /// A waiting request with its place among equals.
+  /// A queued request with its order of arrival.
   struct Entry {
     QueuedRequest What; ///< The request.
     uint64_t Sequence;  ///< Order of arrival.
   };
   /// Requests of one caller.
   struct CallerQueue {
-    uint64_t Round = 0;         ///< Round in which its next one is served.
-    std::vector<Entry> Waiting; ///< By deadline, then arrival.
+    uint64_t Round = 0;         ///< Round in which its next request is served.
+    std::vector<Entry> Waiting; ///< Ordered by deadline, then arrival.
   };
   using CallerQueues = std::map<CallerId, CallerQueue>;
 
@@ -102,13 +106,14 @@
   QueuedRequest removeAt(CallerQueues::iterator line, size_t index);
   void eraseServedCallers();
 
-  uint32_t Capacity;                  ///< Bound of Size.
-  bool Fair;                          ///< False: all callers share one line.
-  uint32_t Size = 0;                  ///< Requests in all lines.
-  uint64_t Round = 0;                 ///< Round in progress.
-  uint64_t NextSequence = 0;          ///< For the next arrival.
-  std::multiset<TimePoint> Deadlines; ///< Of all that wait.
-  CallerQueues ByCaller; ///< Callers that wait or were served in this round.
+  uint32_t Capacity;         ///< Upper bound of Size.
+  bool Fair;                 ///< If false, all callers share one queue.
+  uint32_t Size = 0;         ///< Number of requests of all callers.
+  uint64_t Round = 0;        ///< Round in progress.
+  uint64_t NextSequence = 0; ///< Sequence number of the next arrival.
+  std::multiset<TimePoint> Deadlines; ///< Deadlines of all queued requests.
+  /// Callers with queued requests, or served in this round.
+  CallerQueues ByCaller;
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/ColdStartRamp.cpp
+++ b/Balsamrack/Decisions/ColdStartRamp.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Warm answers that are needed before answers can be called slow.
+/// Number of warm answers needed before answers can be classified as slow.
 constexpr size_t MinWarmSamples = 32;
-/// Jumps below this are noise of the network and of scheduling.
+/// Answer times below this are noise of the network and of scheduling.
 constexpr Duration NoiseFloor{20'000};
 
 Duration scale(Duration base, double factor) {
@@ -29,7 +29,7 @@
 void ColdStartRamp::setSlots(uint32_t slots) {
   bool all = isWarm();
   Slots = std::max(slots, 1U);
-  // More slots on a warm server are no reason to call it cold.
+  // A warm server stays warm when it gets more slots.
   Limit = all ? Slots : std::min(Limit, Slots);
 }
 
@@ -45,8 +45,9 @@
   if (PastInstances.size() > MaxPastInstances)
     PastInstances.pop_front();
   Instance = instance;
-  // The first name that a new owner learns tells nothing of a restart, unless
-  // the earlier owner knew another one; the limit is one then anyway.
+  // The first instance id that a new owner sees does not indicate a restart,
+  // unless the earlier owner knew another one, in which case the limit is one
+  // anyway.
   return first ? nullptr : recordFailure(now, "instance-changed");
 }
 
@@ -76,7 +77,7 @@
     if (took)
       WarmAnswers.add(*took);
     HasWarmSamples = HasWarmSamples || WarmAnswers.count() >= MinWarmSamples;
-    // A step that held for long was not too early.
+    // A step that was kept for long was not too early.
     if (now - StepSince >= Settings.MostStepTime) {
       StepTime = Settings.LeastStepTime;
       Patience = PatienceFactor;
@@ -142,8 +143,8 @@
                                       const char *why) {
   Limit = std::min(limit, Slots);
   startStep(now);
-  // The next warm answers are the new measure: the server may have become
-  // slower for good.
+  // The next warm answers become the new reference, since the server may have
+  // become permanently slower.
   if (isWarm())
     WarmAnswers.clear();
   return why;
@@ -167,9 +168,9 @@
 }
 
 bool ColdStartRamp::isSlow(std::optional<Duration> took) const {
-  // A new owner has seen no warm answer, and a server that starts cold answers
-  // slowly from the first: without the operators' word a cold server's own
-  // pace would pass for its usual one.
+  // A new owner has seen no warm answers, and a server that starts cold answers
+  // slowly from the start. Without the expected time, a cold server's own pace
+  // would count as normal.
   const Duration usual =
       WarmAnswers.count() >= MinWarmSamples ? WarmAnswers.mean() : Expected;
   return took && usual > Duration::zero() &&
--- a/Balsamrack/Decisions/DrainTracker.cpp
+++ b/Balsamrack/Decisions/DrainTracker.cpp
@@ -6,7 +6,7 @@
                           bool domainInService) {
   bool drains = server.Mode == ServerMode::Draining;
   bool changed = drains != isDraining() || DomainOut == domainInService;
-  // A repeated ticket must not move the limit.
+  // A repeated ticket must not restart the limit.
   if (drains && !Since)
     Since = now;
   if (!drains)
--- a/Balsamrack/Decisions/DrainTracker.h
+++ b/Balsamrack/Decisions/DrainTracker.h
@@ -9,36 +9,38 @@
 
 namespace balsamrack {
 
-/// Follows one backend server on its way out: drained by operators, or with its
-/// failure domain out of service.
+/// Tracks whether one backend server is being removed from service: drained by
+/// operators, or with its failure domain out of service.
 ///
-/// Answers: planned leaving. Without it a leaving server gets new flows until
-/// it is gone, and each of them breaks; without the limit one open page keeps a
-/// server from ever leaving.
+/// Guards against breaking flows during planned maintenance. Without it, a
+/// server being drained receives new flows until it is gone, and each of them
+/// breaks. Without the limit, a single open page keeps a server from ever being
+/// drained.
 ///
-/// Thresholds: the drain limit comes from the ticket. It counts from when this
-/// owner first saw the drain: a new owner starts it again, which keeps flows
-/// longer but never cuts one early. Domain out knows no limit: operators need
-/// the domain empty now, so what waits is given up at once, and only what runs
-/// already is left to end. Not thread-safe.
+/// The drain limit comes from the ticket. It counts from the time this owner
+/// first saw the drain: a new owner restarts it, which keeps flows longer but
+/// never ends one early. There is no time limit for a domain out of service:
+/// operators need the domain empty now, so queued requests are given up at once
+/// and only running ones may finish. Not thread-safe.
 class DrainTracker {
 public:
-  /// How a request that may not be served ends.
+  /// Result for a request that must not be served.
   struct Refusal {
     Ending How; ///< NotRun for a new flow, GivenUp for an established one.
     Reason Why; ///< ServerDraining or DomainOut.
   };
 
-  /// Takes over what the ticket says; true when that changed something.
+  /// Applies the ticket's state of the server. Returns true if it changed.
   bool update(TimePoint now, const BackendServer &server, bool domainInService);
-  /// Why a request of a new or an established flow may not be served here;
-  /// nothing when it may.
+  /// Returns why a request of a new or an established flow must not be served
+  /// here; nothing if it may be.
   std::optional<Refusal> checkRefusal(TimePoint now, bool newFlow) const;
-  /// When flows on a draining server are given up; nothing when it stays.
+  /// Time at which flows on a draining server are given up; nothing if it is
+  /// not draining.
   std::optional<TimePoint> limit() const;
-  /// Name of the state for the journal.
+  /// Name of the state, as the rule in the journal.
   const char *rule() const;
-  /// What it means for flows, as half a sentence.
+  /// Effect of the state on flows, as the result in the journal.
   const char *result() const;
   /// True while operators drain the server.
   bool isDraining() const { return Since.has_value(); }
@@ -46,9 +48,9 @@
   bool isDomainOut() const { return DomainOut; }
 
 private:
-  std::optional<TimePoint> Since; ///< When its drain was first seen.
-  Duration Limit{0};              ///< Flows are given up so long after Since.
-  bool DomainOut = false;         ///< Its domain is out of service.
+  std::optional<TimePoint> Since; ///< Time at which the drain was first seen.
+  Duration Limit{0};              ///< Flows are given up this long after Since.
+  bool DomainOut = false;         ///< The server's domain is out of service.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/LongWorkGuard.cpp
+++ b/Balsamrack/Decisions/LongWorkGuard.cpp
@@ -6,11 +6,16 @@
 
 namespace {
 
-constexpr double ShortQuantile = 0.25;   ///< The quartile that is short work's.
-constexpr double LearnRate = 0.3;        ///< Weight of the last answer.
-constexpr double InitialLongShare = 0.3; ///< Share after a first, long answer.
-constexpr double LongCallerShare = 0.5; ///< Share of long answers that is long.
-constexpr uint64_t FlowSalt = 1;        ///< Keeps flows and callers apart.
+/// Quantile of the answer times that represents short work.
+constexpr double ShortQuantile = 0.25;
+/// Weight of the latest answer in the moving average.
+constexpr double LearnRate = 0.3;
+/// Initial fraction after a first answer that was long.
+constexpr double InitialLongShare = 0.3;
+/// Fraction of long answers from which work is expected to be long.
+constexpr double LongCallerShare = 0.5;
+/// Distinguishes the keys of flows and callers.
+constexpr uint64_t FlowSalt = 1;
 constexpr uint64_t CallerSalt = 2;
 
 uint64_t keyOf(uint64_t id, uint64_t salt, Semantics kind) {
--- a/Balsamrack/Decisions/LongWorkGuard.h
+++ b/Balsamrack/Decisions/LongWorkGuard.h
@@ -14,74 +14,77 @@
 
 namespace balsamrack {
 
-/// Keeps a slot of each backend server free of long work while there is short
+/// Reserves one slot of each backend server for short work while there is short
 /// work.
 ///
-/// Answers: long work among short, such as site plans among lookups. With two
-/// slots a server, two long requests at a time stop it for everybody, and a few
-/// callers of long work reach all servers within seconds: a lookup of 50 ms
-/// then waits for seconds behind no queue at all.
+/// Guards against long work that blocks short work, such as site plans among
+/// lookups. With two slots per server, two long requests at a time block the
+/// server for everyone, and a few callers with long work occupy all servers
+/// within seconds: a 50 ms lookup then waits for seconds even though the queue
+/// is empty.
 ///
-/// How: content is opaque, so work is classed by what the flow, or else the
-/// caller, was answered before, reads and writes apart, and by how long it runs
-/// already. Work expected to be long may start only while it leaves one slot
-/// without long work. Unknown work counts as short: each caller surprises at
-/// most once a server. (Size-based isolation: Harchol-Balter, Crovella, Murta
-/// 1999.)
+/// Content is opaque, so work is classified by the previous answer times of its
+/// flow, or else of its caller, separately for reads and writes, and by how
+/// long it has been running. Work expected to be long may start only if it
+/// leaves one slot without long work. Unknown work counts as short, so each
+/// caller can occupy a server unexpectedly at most once. (Size-based isolation:
+/// Harchol-Balter, Crovella, Murta 1999.)
 ///
-/// Thresholds: long is eight times the lower quartile of the service's answers
-/// (a tenth of exponentially distributed work; the quartile stays that of short
+/// Long means at least eight times the lower quartile of the service's answer
+/// times (a tenth of exponentially distributed work), and at least 200 ms,
+/// below which hardly any user at a counter notices the wait: 2% of
+/// exponentially distributed work of 50 ms. The quartile remains that of short
 /// work until three quarters of the answers are long, while the median flipped
-/// in a trial as soon as short work was refused), and at
-/// least 200 ms, below which hardly anybody at a counter notices: 2% of
-/// exponentially distributed work of 50 ms. When most work is long there is
-/// nothing to protect. Two long answers in a
-/// row class a caller, so that one slow lookup doesn't. A request that leaves
-/// less time than long work takes is short whatever its caller had before: as
-/// long work it could only be refused, and a caller that is always refused
-/// could never show that it has changed. The slot is
-/// kept for 2 s after the last short request: without short work long work gets
-/// all slots. With one slot there is nothing to keep. Not thread-safe.
+/// in a trial as soon as short work was refused. If most work is long there is
+/// nothing to protect. Two long answers in a row classify a caller, so that a
+/// single slow lookup does not. A request with less remaining time than long
+/// work takes counts as short whatever its caller's history: as long work it
+/// could only be refused, and a caller that is always refused could never show
+/// that its work has changed. The slot is reserved for 2 s after the last short
+/// request: without short work, long work gets all slots. With one slot there
+/// is nothing to reserve. Not thread-safe.
 class LongWorkGuard {
 public:
-  static constexpr size_t MaxHistories = 8192; ///< Flows and callers.
+  /// Maximum number of flows and callers remembered.
+  static constexpr size_t MaxHistories = 8192;
 
   /// Precondition: \p settings were checked.
   explicit LongWorkGuard(const LongWorkSettings &settings);
 
-  /// Notes an answer to \p head.
+  /// Records the time of an answer to \p head.
   void recordAnswer(const Envelope &head, Duration took);
-  /// Notes that short work came at \p now.
+  /// Records the arrival of short work at \p now.
   void recordShortArrival(TimePoint now) { LastShort = now; }
-  /// True when \p head is expected to be long, \p typicalLong being what long
-  /// work takes.
+  /// Returns true if \p head is expected to be long work, \p typicalLong being
+  /// the typical time of long work.
   bool isExpectedLong(const Envelope &head, Duration typicalLong) const;
-  /// True when work that was answered after \p took, or has run for so long, is
-  /// long.
+  /// Returns true if work that was answered after \p took, or has been running
+  /// for that time, is long.
   bool isLong(Duration took) const;
-  /// From which time on work is long, if the guard is in use.
+  /// Minimum duration of long work, if the guard is enabled.
   Duration longThreshold() const;
-  /// May work start on a server that may run \p limit requests and runs \p
-  /// longRunning long ones? Short work always may.
+  /// Returns whether work may start on a server with a limit of \p limit
+  /// requests that is running \p longRunning long ones. Short work always may.
   bool mayStart(TimePoint now, bool longWork, uint32_t limit,
                 uint32_t longRunning) const;
-  /// Until when the slot is kept, if no more short work comes.
+  /// End of the slot's reservation if no more short work arrives.
   TimePoint reservedUntil() const;
 
 private:
-  /// What is remembered of a flow or a caller.
+  /// History of a flow or caller.
   struct History {
-    double LongShare = 0; ///< Moving share of long answers.
+    double LongShare = 0; ///< Moving average of the fraction of long answers.
   };
   void updateHistory(uint64_t key, bool wasLong);
   std::optional<double> longShare(uint64_t key) const;
 
-  LongWorkSettings Settings;          ///< Limits.
-  AnswerTimes Times;                  ///< Answers of the whole service.
-  std::optional<TimePoint> LastShort; ///< Last arrival of short work.
-  std::unordered_map<uint64_t, History>
-      Histories;              ///< By flow or caller; never iterated.
-  std::deque<uint64_t> Order; ///< Keys of Known, oldest first.
+  LongWorkSettings Settings; ///< Thresholds and durations.
+  AnswerTimes Times;         ///< Answer times of the whole service.
+  /// Time of the last arrival of short work.
+  std::optional<TimePoint> LastShort;
+  /// Histories by flow or caller; never iterated.
+  std::unordered_map<uint64_t, History> Histories;
+  std::deque<uint64_t> Order; ///< Keys of Histories, oldest first.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/OutlierEjection.cpp
+++ b/Balsamrack/Decisions/OutlierEjection.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The answer time that servers are compared by.
+/// Quantile of the answer times by which servers are compared.
 constexpr double ComparedShare = 0.25;
 
 } // namespace
@@ -32,7 +32,8 @@
     return evaluateProbe(now, server, good, took.value_or(Duration(0)));
   if (!good) {
     ++record.FailuresInRow;
-    // A timeout tells how slow the server is at least; a quick failure doesn't.
+    // A timeout is a lower bound on the server's answer time; a quick failure
+    // is not.
     if (took && *took > record.Times.quantile(0.5))
       record.Times.add(*took);
     bool many = record.FailuresInRow >= Settings.FailuresInRow;
@@ -97,7 +98,7 @@
     record.HoldUntil = now + record.Hold;
     return "probe-failed";
   }
-  // Times from before the ejection would eject it again at once.
+  // Answer times from before the ejection would eject the server again at once.
   record = Record();
   return "probes-good";
 }
--- a/Balsamrack/Decisions/OutlierEjection.h
+++ b/Balsamrack/Decisions/OutlierEjection.h
@@ -14,62 +14,64 @@
 
 namespace balsamrack {
 
-/// Takes slow and failing backend servers from new flows, and gives them back.
+/// Stops sending new flows to slow or failing backend servers, and readmits
+/// them once they recover.
 ///
-/// Answers: one server that is slow or fails while its health says "ready".
-/// Without it flows keep being placed there, each to wait or to fail; and a
-/// server that fails fast has free slots, so it draws more work than others.
+/// Guards against a server that is slow or fails while its health check reports
+/// "ready". Without it, flows continue to be placed there, to wait or fail; a
+/// server that fails fast even attracts more work than others, since it has
+/// free slots.
 ///
-/// How: by the owner's own observations. Failures in a row eject a server, as
-/// does a lower quartile of answer times far above the median of its peers'
-/// (long work among the answers doesn't move that quartile). Established flows
-/// stay. After a hold single requests probe it; some good ones in a row, not
-/// slower on average than four times its peers, return it; others double the
-/// hold. At most a part of the owned servers is
-/// ejected, the first that failed: when most look bad the cause is elsewhere,
-/// and the rest could not bear the load.
+/// Works from the owner's own observations. A server is ejected after
+/// consecutive failures, or when the lower quartile of its answer times is far
+/// above the median of its peers' (long work among the answers does not move
+/// that quartile). Established flows stay. After a hold time, single requests
+/// probe the server. Some good probes in a row, on average not slower than four
+/// times its peers, readmit it; otherwise the hold time doubles. At most a
+/// fraction of the owned servers is ejected, the first that failed: if most
+/// look bad, the cause is elsewhere, and the rest could not handle the load.
 ///
-/// Thresholds: five failures in a row happen by chance once in 3 million
-/// requests at 5% failures; four times slower is beyond what placement and mix
-/// explain (PerformanceTest shows the spread); 16 answers make a quartile. The
-/// hold of 5 s costs a probe in five seconds to a dead server. Half of the
-/// owned ones at most, and at least one, since a daemon may own only one server
-/// of a service: that one is ejected by failures alone, having no peer to be
-/// compared with. Not thread-safe.
+/// Five failures in a row happen by chance once in 3 million requests at a
+/// failure rate of 5%. Four times slower is beyond what placement and workload
+/// mix explain (PerformanceTest shows the spread). 16 answers give a usable
+/// quartile. A hold time of 5 s costs one probe every five seconds to a dead
+/// server. At most half of the owned servers are ejected, but at least one,
+/// since a daemon may own only one server of a service; that one is ejected by
+/// failures alone, since it has no peer to compare with. Not thread-safe.
 class OutlierEjection {
 public:
   /// Precondition: \p settings were checked.
   explicit OutlierEjection(const EjectionSettings &settings);
 
-  /// Follows exactly the servers of \p servers from now on.
+  /// Sets the monitored servers to exactly \p servers.
   void setServers(const std::set<ServerId> &servers);
-  /// A dispatch to \p server ended well or badly. Returns the rule that changed
-  /// its state ("failures-in-row", "slower-than-peers", "probe-failed",
-  /// "probes-good") or null. Without \p took its time tells nothing.
+  /// Records the result of a dispatch to \p server. Returns the rule that
+  /// changed its state ("failures-in-row", "slower-than-peers", "probe-failed",
+  /// "probes-good") or null. Without \p took, its time is not used.
   const char *recordResult(TimePoint now, const ServerId &server, bool good,
                            std::optional<Duration> took);
-  /// May \p request open a flow on \p server now? Yes for a server that is not
-  /// ejected, and for one request at a time after its hold: that one is its
-  /// probe until ended() is called for it.
+  /// Returns whether \p request may open a flow on \p server now: always if the
+  /// server is not ejected, otherwise one request at a time after the hold
+  /// time. That request is the probe until finishProbe() is called for it.
   bool tryAdmit(TimePoint now, const ServerId &server, RequestId request);
-  /// \p request is over, however it ended.
+  /// Reports that \p request has ended with any result.
   void finishProbe(const ServerId &server, RequestId request);
   /// True while \p server is ejected.
   bool isEjected(const ServerId &server) const;
-  /// When the hold of \p server ends; nothing when it is not ejected.
+  /// End of the hold time of \p server; nothing if it is not ejected.
   std::optional<TimePoint> holdEnd(const ServerId &server) const;
 
 private:
-  /// What is known of one server.
+  /// State of one server.
   struct Record {
-    AnswerTimes Times;              ///< Good answers since it was given back.
-    uint32_t FailuresInRow = 0;     ///< Up to the last answer.
-    bool Ejected = false;           ///< Takes no new flows.
-    TimePoint HoldUntil;            ///< Probes from then on.
-    Duration Hold{0};               ///< Length of the current hold.
-    std::optional<RequestId> Probe; ///< The probe under way.
-    uint32_t GoodProbes = 0;        ///< In a row.
-    Duration ProbeTime{0};          ///< Sum of their answer times.
+    AnswerTimes Times;          ///< Good answers since it was readmitted.
+    uint32_t FailuresInRow = 0; ///< Consecutive failures up to the last answer.
+    bool Ejected = false;       ///< Receives no new flows.
+    TimePoint HoldUntil;        ///< Probes are sent from this time on.
+    Duration Hold{0};           ///< Duration of the current hold.
+    std::optional<RequestId> Probe; ///< The probe in progress.
+    uint32_t GoodProbes = 0;        ///< Consecutive good probes.
+    Duration ProbeTime{0}; ///< Sum of the answer times of these probes.
   };
 
   const char *evaluateProbe(TimePoint now, const ServerId &server, bool good,
@@ -80,7 +82,7 @@
   bool isSlowerThanPeers(const ServerId &server, const Record &record) const;
 
   EjectionSettings Settings;          ///< Limits.
-  std::map<ServerId, Record> Servers; ///< All followed ones.
+  std::map<ServerId, Record> Servers; ///< All monitored servers.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/OwnerContext.h
+++ b/Balsamrack/Decisions/OwnerContext.h
@@ -13,7 +13,7 @@
 
 namespace balsamrack {
 
-/// What all servers of one owned service share. Not thread-safe.
+/// State shared by all servers of one owned service. Not thread-safe.
 struct OwnerContext {
   /// Precondition: \p settings were checked.
   OwnerContext(const OwnerSettings &settings, ServiceId service, uint64_t seed)
@@ -22,20 +22,20 @@
     Config.Id = std::move(service);
   }
 
-  OwnerSettings Settings;    ///< Limits that are not in the tickets.
-  Service Config;            ///< The service under the ticket in force.
-  TicketNumber Ticket;       ///< That ticket.
-  LongWorkGuard LongWork;    ///< Long work among short.
-  OutlierEjection Ejection;  ///< Slow and failing servers.
-  RetryBudget Retries;       ///< Retries of the service.
-  SeededRandom Random;       ///< For the jitter of refusals.
-  OwnerOutput Out;           ///< Actions of the step in progress.
-  bool MayDispatch = false;  ///< The owner's authority is in force.
-  TimePoint ExpiredAt;       ///< Since when it is not, if it is not.
-  bool ShuttingDown = false; ///< The daemon leaves.
-
-  /// Until when requests wait for the authority to come back; nothing while it
-  /// is in force.
+  OwnerSettings Settings; ///< Settings that are not in the tickets.
+  Service Config; ///< Configuration of the service under the ticket in force.
+  TicketNumber Ticket;       ///< The ticket in force.
+  LongWorkGuard LongWork;    ///< Reserves slots for short work.
+  OutlierEjection Ejection;  ///< Ejection of slow and failing servers.
+  RetryBudget Retries;       ///< Retry budget of the service.
+  SeededRandom Random;       ///< Source of the jitter of retry times.
+  OwnerOutput Out;           ///< Actions of the current step.
+  bool MayDispatch = false;  ///< The owner has authority to dispatch.
+  TimePoint ExpiredAt;       ///< Time at which authority expired, if it has.
+  bool ShuttingDown = false; ///< The daemon is shutting down.
+
+  /// Time until which requests wait for authority to be restored; nothing while
+  /// the owner has it.
   std::optional<TimePoint> authorityWaitEnd() const {
     if (MayDispatch)
       return std::nullopt;
--- a/Balsamrack/Decisions/OwnerOutput.h
+++ b/Balsamrack/Decisions/OwnerOutput.h
@@ -11,46 +11,47 @@
 
 namespace balsamrack {
 
-/// Inputs of a rule by name, as the journal shows them.
+/// Inputs of a rule by name, as shown in the journal.
 using DecisionInputs = std::vector<std::pair<std::string, std::string>>;
 
-/// How a request is to end.
+/// How a request ends.
 struct RequestEnd {
-  Ending How = Ending::NotRun; ///< What the caller is told.
-  Reason Why = Reason::None;   ///< The rule behind it.
-  Duration RetryAfter{0};      ///< When to come back.
+  Ending How = Ending::NotRun; ///< Result reported to the caller.
+  Reason Why = Reason::None;   ///< Reason for the result.
+  Duration RetryAfter{0};      ///< Delay before a retry.
   Step At = Step::Admit;       ///< Step at which it ended.
 };
 
-/// Collects the actions of one step and writes their explanations, so that no
-/// action goes without one. Not thread-safe.
+/// Collects the actions of one step together with their explanations, so that
+/// every action has one. Not thread-safe.
 class OwnerOutput {
 public:
-  /// Begins a step at \p now under \p ticket.
+  /// Starts a step at \p now under \p ticket.
   void begin(TimePoint now, TicketNumber ticket);
-  /// The actions since begin().
+  /// Returns the actions since begin().
   std::vector<OwnerAction> finish();
 
   /// Dispatches \p request to \p server.
   void startDispatch(const QueuedRequest &request, const ServerId &server,
                      DecisionInputs inputs);
-  /// Explains that \p request waits.
+  /// Explains that \p request was queued.
   void explainQueued(const QueuedRequest &request, const ServerId &server,
                      DecisionInputs inputs);
-  /// Tells the server that nobody waits for \p request.
+  /// Cancels \p request on the server.
   void cancelDispatch(RequestId request, const ServerId &server);
-  /// Ends \p request. An end that says "not run" becomes "outcome unknown" when
-  /// an earlier dispatch of it may have run: that is true, the other is not.
+  /// Ends \p request. A result "not run" or "given up" becomes "outcome
+  /// unknown" if an earlier dispatch of the request may have run, since it
+  /// would be false.
   void endRequest(const QueuedRequest &request, const ServerId &server,
                   RequestEnd end, DecisionInputs inputs);
-  /// Explains a decision on a server.
+  /// Explains a decision about a server.
   void explain(DecisionKind kind, const ServerId &server,
                const std::string &rule, const std::string &result,
                DecisionInputs inputs);
   /// Explains a retry.
   void explainRetry(const QueuedRequest &request, const ServerId &server,
                     DecisionInputs inputs);
-  /// Passes on a server's condition.
+  /// Publishes the condition of a server.
   void publishCondition(ServerCondition condition);
 
 private:
--- a/Balsamrack/Decisions/OwnerSettings.cpp
+++ b/Balsamrack/Decisions/OwnerSettings.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// One limit with the verdict on it.
+/// Result of checking one setting.
 struct Check {
-  bool Good;           ///< True when the limit makes sense.
-  const char *Message; ///< What is wrong otherwise.
+  bool Good;           ///< True if the setting is valid.
+  const char *Message; ///< Error message otherwise.
 };
 
 } // namespace
--- a/Balsamrack/Decisions/OwnerSettings.h
+++ b/Balsamrack/Decisions/OwnerSettings.h
@@ -8,81 +8,93 @@
 
 namespace balsamrack {
 
-/// Limits of the queue before each backend server, see AdmissionQueue.
+/// Settings of the queue for each backend server, see AdmissionQueue.
 struct QueueSettings {
-  bool FairAmongCallers = true; ///< False: one queue in order of arrival.
-  double ColdShare = 0.03;      ///< Part of the queue that new flows may fill
-                                ///< while the server is cold.
+  bool FairAmongCallers = true; ///< If false, one queue in order of arrival.
+  double ColdShare = 0.03; ///< Fraction of the queue that new flows may fill
+                           ///< while the server is cold.
 };
 
-/// Limits of what a refusal tells, see WaitEstimate.
+/// Settings of wait estimates and retry times, see WaitEstimate.
 struct WaitSettings {
-  bool RefuseLate = true;     ///< Refuse what can't be served in time.
-  double MostWaitShare = 0.5; ///< A request waits if that is expected to take
-                              ///< no more than this part of its remaining time.
-  Duration LeastRetryAfter{50'000}; ///< A refused request comes back no sooner.
-  Duration MostRetryAfter{30'000'000}; ///< Nor is it sent away for longer.
-  Duration AuthorityWait{500'000}; ///< A request waits so long for the owner's
-                                   ///< authority to come back.
+  bool RefuseLate = true; ///< Refuse requests that cannot be served in time.
+  double MostWaitShare = 0.5; ///< A request is queued if its expected wait is
+                              ///< at most this fraction of its remaining time.
+  /// Minimum retry delay of a refused request.
+  Duration LeastRetryAfter{50'000};
+  /// Maximum retry delay of a refused request.
+  Duration MostRetryAfter{30'000'000};
+  Duration AuthorityWait{500'000}; ///< Maximum time that a request waits for
+                                   ///< the owner's authority to be restored.
 };
 
-/// Limits of the ramp of a cold server, see ColdStartRamp.
+/// Settings of the ramp of a cold server, see ColdStartRamp.
 struct RampSettings {
-  bool Enabled = true;               ///< False: all slots at once.
-  uint32_t SuccessesPerStep = 16;    ///< Answers that lift the limit by one.
-  Duration LeastStepTime{1'000'000}; ///< Time at a limit before the next.
-  Duration UnmeasuredStepTime{5'000'000}; ///< The same while no warm answers of
-                                          ///< the server were seen yet.
-  Duration MostStepTime{16'000'000};      ///< Bound of its doubling.
-  Duration IdleSuspicion{2'000'000}; ///< Without an answer for so long, a warm
-                                     ///< server is asked for one first.
-  double SlowFactor = 1.5;  ///< A group of answers with a mean over this times
-                            ///< the warm one doesn't count.
-  double JumpFactor = 4.0;  ///< Recent answers all this many times over the
-                            ///< warm median mean cold.
-  double DriftFactor = 3.0; ///< As do most of them this many times over it.
+  bool Enabled = true; ///< If false, all slots are used at once.
+  /// Number of answers in a group that counts towards a step.
+  uint32_t SuccessesPerStep = 16;
+  Duration LeastStepTime{1'000'000}; ///< Minimum duration of a step.
+  /// Minimum duration of a step until warm answers of the server were seen.
+  Duration UnmeasuredStepTime{5'000'000};
+  Duration MostStepTime{16'000'000}; ///< Upper bound of the doubled value.
+  /// After this long without an answer, a warm server must answer one request
+  /// first.
+  Duration IdleSuspicion{2'000'000};
+  double SlowFactor = 1.5; ///< A group of answers counts only if its mean is at
+                           ///< most this multiple of the warm mean.
+  double JumpFactor = 4.0; ///< Recent answers that all exceed this multiple of
+                           ///< the warm median indicate a cold server.
+  /// So do recent answers of which most exceed this multiple of it.
+  double DriftFactor = 3.0;
 };
 
-/// Limits of long work, see LongWorkGuard.
+/// Settings for long work, see LongWorkGuard.
 struct LongWorkSettings {
-  bool Enabled = true;             ///< False: long work may hold all slots.
-  double LongFactor = 8.0;         ///< Over this many lower quartiles is long.
-  Duration LeastLong{200'000};     ///< Nothing shorter counts as long.
-  Duration ShortMemory{2'000'000}; ///< The free slot is kept for so long after
+  bool Enabled = true;         ///< If false, long work may occupy all slots.
+  double LongFactor = 8.0;     ///< Work is long from this multiple of the lower
+                               ///< quartile of answer times.
+  Duration LeastLong{200'000}; ///< Minimum duration of long work.
+  Duration ShortMemory{2'000'000}; ///< The slot is reserved for this long after
                                    ///< the last short request.
 };
 
-/// Limits of ejection, see OutlierEjection.
+/// Settings of ejection, see OutlierEjection.
 struct EjectionSettings {
-  bool Enabled = true;           ///< False: nothing is ejected.
-  uint32_t FailuresInRow = 5;    ///< Eject after so many failures in a row.
-  double SlowFactor = 4.0;       ///< Eject when this much slower than peers.
-  uint32_t LeastSamples = 16;    ///< Answers before slowness is judged.
-  double MostEjected = 0.5;      ///< Part of the owned servers, at least one.
-  Duration FirstHold{5'000'000}; ///< Before the first probe.
-  Duration MostHold{60'000'000}; ///< Bound of its doubling.
-  uint32_t ProbesToReturn = 3;   ///< Good probes in a row that return it.
+  bool Enabled = true; ///< If false, no server is ejected.
+  /// Consecutive failures after which a server is ejected.
+  uint32_t FailuresInRow = 5;
+  double SlowFactor = 4.0; ///< A server is ejected when it is slower than its
+                           ///< peers by more than this factor.
+  /// Number of answers needed to evaluate slowness.
+  uint32_t LeastSamples = 16;
+  double MostEjected = 0.5; ///< Maximum fraction of the owned servers that may
+                            ///< be ejected, at least one server.
+  Duration FirstHold{5'000'000}; ///< Hold time before the first probe.
+  Duration MostHold{60'000'000}; ///< Upper bound of the doubled value.
+  /// Consecutive good probes that readmit a server.
+  uint32_t ProbesToReturn = 3;
 };
 
-/// Limits of retries, see RetryBudget.
+/// Settings of retries, see RetryBudget.
 struct RetrySettings {
-  bool Enabled = true;       ///< False: no retry at all.
-  uint32_t MostAttempts = 2; ///< Dispatches of one idempotent request.
-  double PerSuccess = 0.1;   ///< Tokens that a success adds.
-  double MostTokens = 10.0;  ///< Bound of the bucket.
+  bool Enabled = true; ///< If false, no request is retried.
+  /// Maximum number of dispatches of one idempotent request.
+  uint32_t MostAttempts = 2;
+  double PerSuccess = 0.1;  ///< Tokens added by a success.
+  double MostTokens = 10.0; ///< Capacity of the token bucket.
 };
 
-/// All limits of a ServiceOwner that are not in the tickets.
+/// All settings of a ServiceOwner that are not in the tickets.
 struct OwnerSettings {
-  QueueSettings Queue;       ///< Queueing.
-  WaitSettings Waits;        ///< Refusals.
+  QueueSettings Queue;       ///< Queueing of requests.
+  WaitSettings Waits;        ///< Wait estimates and retry times.
   RampSettings Ramp;         ///< Cold servers.
   LongWorkSettings LongWork; ///< Long work among short.
   EjectionSettings Ejection; ///< Slow and failing servers.
   RetrySettings Retries;     ///< Retries.
 
-  /// Ok when every limit makes sense. Error kInvalidArgument (step
-  /// read-settings) names the first that doesn't. Thread-safe.
+  /// Returns OK if all settings are valid, otherwise kInvalidArgument (step
+  /// read-settings) naming the first that is not. Thread-safe.
   absl::Status check() const;
 };
 
--- a/Balsamrack/Decisions/RetryBudget.h
+++ b/Balsamrack/Decisions/RetryBudget.h
@@ -5,33 +5,35 @@
 
 namespace balsamrack {
 
-/// Bounds the retries of one service's idempotent requests.
+/// Limits the retries of idempotent requests of one service.
 ///
-/// Answers: a server that fails a few requests now and then, and overload.
-/// Without it a retry for each failure multiplies the load just when servers
-/// fail because of load, and the overload feeds itself after its cause is gone
-/// (metastable failures: Bronson, Aghayev, Charapko, Zhu 2021).
+/// Guards against retry amplification, when a server occasionally fails
+/// requests and under overload. Without it, a retry for each failure multiplies
+/// the load just when servers fail because of load, and the overload sustains
+/// itself after its cause is gone (metastable failures: Bronson, Aghayev,
+/// Charapko, Zhu 2021).
 ///
-/// Thresholds: a success adds a tenth of a retry, so that retries stay under a
-/// tenth of the answered work (a common practice: Brooker 2015, Beyer et al.
-/// 2016); each refusal takes as much away, so that at twice the capacity, with
-/// as many refusals as answers, nothing is left. Ten tokens at most: a burst of
-/// failures after a calm hour can't spend the hour's savings. Not thread-safe.
+/// A success adds a tenth of a retry, so that retries stay below a tenth of the
+/// answered requests (a common practice: Brooker 2015, Beyer et al. 2016). Each
+/// refusal removes as much, so that at twice the capacity, with as many
+/// refusals as answers, no budget is left. The budget holds at most ten tokens,
+/// so a burst of failures after a quiet hour cannot spend an hour of
+/// accumulated tokens. Not thread-safe.
 class RetryBudget {
 public:
-  /// Starts full. Precondition: \p settings were checked.
+  /// Starts with a full budget. Precondition: \p settings were checked.
   explicit RetryBudget(const RetrySettings &settings);
-  /// An answer came.
+  /// Records a successful answer.
   void recordSuccess();
-  /// A request was refused for overload.
+  /// Records a request refused because of overload.
   void recordRefusal();
-  /// Takes a retry from the budget; false when there is none.
+  /// Consumes one retry. Returns false if the budget is exhausted.
   bool tryConsume();
-  /// What is left, in retries.
+  /// Remaining budget, in retries.
   double left() const { return Tokens; }
 
 private:
-  RetrySettings Settings; ///< Limits.
+  RetrySettings Settings; ///< Rates and bounds.
   double Tokens;          ///< In [0, MostTokens].
 };
 
--- a/Balsamrack/Decisions/ServerAdmission.cpp
+++ b/Balsamrack/Decisions/ServerAdmission.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// Longer remaining times count as this: times are sums, which must not
-/// overflow on what a caller wrote.
+/// Upper bound on remaining times, so that sums of times do not overflow on
+/// values supplied by callers.
 constexpr Duration MaxRemaining{3'600'000'000};
-/// A health report says nothing of what ended so shortly before: it may have
-/// been made earlier.
+/// A health report may have been made before dispatches that ended this
+/// recently, so it says nothing about them.
 constexpr Duration HealthLag{250'000};
-/// Work that the owner before left in progress is taken to last so long.
+/// Assumed duration of requests that the previous owner left in progress.
 constexpr Duration InheritedSlotHold{1'000'000};
 
 } // namespace
@@ -35,8 +35,8 @@
   Waits.setExpected(Context.Config.ExpectedServiceTime);
   LongWaits.setExpected(Context.Config.ExpectedServiceTime);
   if (!Owned) {
-    // New, or back from another owner, which may have seen it restart: the
-    // worst case.
+    // The server is new here, or returned from another owner during whose
+    // ownership it may have restarted. Assumes the worst case.
     Owned = true;
     Ramp = ColdStartRamp(Context.Settings.Ramp, Server.Slots, now);
     if (owned.LastKnown.Warm)
@@ -47,8 +47,8 @@
   Ramp.setExpected(Context.Config.ExpectedServiceTime);
   bool wasOut = Drain.isDomainOut();
   if (Drain.update(now, Server, owned.DomainInService)) {
-    // While the domain was out its servers may have been restarted; all of them
-    // at their old limits would be more than cold ones bear.
+    // The servers of the domain may have restarted while it was out of service.
+    // Starting all of them at their old limits would overload cold servers.
     if (wasOut && !Drain.isDomainOut())
       Ramp.resetForDomainReturn(now);
     Context.Out.explain(DecisionKind::Drained, Server.Id, Drain.rule(),
@@ -58,8 +58,9 @@
 
 void ServerAdmission::inheritInProgress(TimePoint now,
                                         const OwnedServer &owned) {
-  // What the owner before left in progress still holds its slots. Without this
-  // the server got both owners' work for a moment, and shed it.
+  // Requests that the previous owner left in progress still occupy slots.
+  // Without this the server briefly received the work of both owners and shed
+  // it.
   for (uint32_t i = 0; i < owned.InProgress; ++i)
     Slots.abandon(now, now + InheritedSlotHold, Waits.slow(),
                   owned.LastKnown.Warm);
@@ -86,7 +87,7 @@
     endRequest(what, *refused);
     return;
   }
-  // What waits could not start just now, so nobody is overtaken unfairly.
+  // No queued request could start now, so starting this one is fair.
   if (canStart(now, what)) {
     Queue.recordBypass(what.Head.Caller);
     dispatch(now, std::move(what));
@@ -122,8 +123,8 @@
     return std::nullopt;
   if (event.FlowsOnServer >= Server.Connections)
     return makeRetryElsewhere(Reason::ServerFull);
-  // A cold server's queue is for the flows that live there already; new ones
-  // find a warmer server.
+  // The queue of a cold server is for its established flows; new flows go to a
+  // warmer server.
   double share = Context.Settings.Queue.ColdShare * Queue.capacity();
   if (!Ramp.isWarm() && Queue.size() >= std::max(share, 1.0))
     return makeRetryElsewhere(Reason::ServerCold);
@@ -154,8 +155,8 @@
 }
 
 bool ServerAdmission::mayDispatch(TimePoint now) const {
-  // Authority is looked at before each dispatch and not when a timer fires: a
-  // process that was paused finds its timers late.
+  // Checks authority before each dispatch and not by a timer, since timers fire
+  // late in a process that was paused.
   return Owned && Context.MayDispatch && now >= DispatchAllowedFrom &&
          now >= Pause.until() && !Drain.isDomainOut();
 }
@@ -212,7 +213,7 @@
 }
 
 RequestEnd ServerAdmission::makeRetryElsewhere(Reason why) const {
-  // Another server or daemon may take it at once.
+  // Another server or daemon may accept the request at once.
   return RequestEnd{Ending::NotRun, why,
                     Context.Settings.Waits.LeastRetryAfter};
 }
@@ -226,7 +227,7 @@
   RunningRequest *run = Slots.find(request);
   if (run == nullptr)
     return false;
-  // The slot stays taken until the link says that the dispatch has ended.
+  // The slot stays in use until the link reports that the dispatch has ended.
   if (!run->Cancelled)
     Context.Out.cancelDispatch(request, Server.Id);
   run->Cancelled = true;
@@ -234,12 +235,12 @@
 }
 
 void ServerAdmission::handleHealth(TimePoint now, const HealthReported &event) {
-  // Only more careful on a server's own word: it may lag or lie. It frees
-  // abandoned slots alone, whose time is bounded anyway, and not of a cold
-  // server, which a wrong word would make fall over.
+  // Health reports may lag or be wrong, so they only reduce load. Only
+  // abandoned slots, whose hold time is bounded anyway, are freed by them, and
+  // not on a cold server, which one extra request could bring down.
   updateInstance(now, event.Instance);
-  // Only the change counts: health that is stuck at "not ready" while the
-  // server answers well must not keep it at one request for ever.
+  // Only a change counts: a server that answers well but is stuck at "not
+  // ready" must not be limited to one request forever.
   if (!event.Ready && ReportedReady)
     explainRamp(Ramp.recordFailure(now, "not-ready"));
   ReportedReady = event.Ready;
@@ -253,7 +254,7 @@
                                      const InstanceId &instance) {
   InstanceId before = Ramp.instance();
   explainRamp(Ramp.updateInstance(now, instance));
-  // Another process does not run what the one before it left.
+  // A new server process does not run the requests of the previous one.
   if (!before.empty() && Ramp.instance() != before)
     Slots.releaseAbandonedUntil(now);
 }
@@ -267,8 +268,8 @@
   auto unsure = Context.authorityWaitEnd();
   if (unsure && now >= *unsure)
     endQueued(now, Ending::NotRun, Reason::OwnerUnsure);
-  // What can't be answered in time any more gets its ending now.
-  // Nor is there hope once work that was not known as long holds all slots.
+  // Ends requests that can no longer be answered in time, including when work
+  // that was not known to be long occupies all slots.
   Duration block = longWorkBlockedFor(now);
   bool blocked = block > Duration(0);
   for (const QueuedRequest &what :
@@ -320,8 +321,8 @@
     return next;
   add(*Queue.earliestDeadline() - requiredTime());
   add(Slots.nextLongAt(now, Context.LongWork));
-  // Until long work is known its expected end moves away as fast as time
-  // passes, and meets the deadline halfway.
+  // Until answer times of long work are known, its expected end recedes as fast
+  // as time passes, so it meets the deadline halfway.
   Duration block = longWorkBlockedFor(now);
   if (block > Duration(0) && !LongWaits.hasSamples())
     add(now + (*Queue.earliestDeadline() - requiredTime() - block - now) / 2);
@@ -361,8 +362,8 @@
 
 uint32_t ServerAdmission::usableSlots(TimePoint now, bool longWork) const {
   uint32_t limit = Ramp.limit();
-  // Long work leaves one slot to short work, and short work can't use those
-  // that long work holds.
+  // Long work leaves one slot to short work, and short work cannot use the
+  // slots that long work occupies.
   uint32_t lost = longWork ? 1 : Slots.longRunningCount(now, Context.LongWork);
   return limit > lost ? limit - lost : 1;
 }
@@ -375,8 +376,8 @@
 Duration ServerAdmission::requiredTime() const {
   if (!Context.Settings.Waits.RefuseLate)
     return Duration(0);
-  // While somebody else could use the slot, a request that will probably be
-  // late takes an answer from one that won't.
+  // While other requests could use the slot, a request that will probably be
+  // late would take it from one that will not.
   bool pressed = Queue.size() >= Ramp.limit() || !Ramp.isWarm();
   return pressed ? Waits.slow() : Waits.fast();
 }
--- a/Balsamrack/Decisions/ServerAdmission.h
+++ b/Balsamrack/Decisions/ServerAdmission.h
@@ -16,39 +16,43 @@
 
 namespace balsamrack {
 
-/// Admission to one owned backend server: joins its queue, slots, ramp, wait
-/// estimate and drain into one verdict for each request. Not thread-safe.
+/// Admission control for one owned backend server. Combines its queue, slots,
+/// ramp, wait estimates and drain state into a decision for each request. Not
+/// thread-safe.
 class ServerAdmission {
 public:
-  /// Precondition: \p context outlives this.
+  /// Precondition: \p context outlives this object.
   ServerAdmission(OwnerContext &context, const OwnedServer &owned,
                   TimePoint now);
 
-  /// Takes over what the ticket and control say of the server.
+  /// Applies the server's configuration from the ticket and from operators.
   void update(TimePoint now, const OwnedServer &owned);
-  /// Counts what the owner before left in progress.
+  /// Holds slots for requests that the previous owner left in progress.
   void inheritInProgress(TimePoint now, const OwnedServer &owned);
-  /// The daemon owns the server no more: what waits ends, what runs goes on.
+  /// Gives up ownership: queued requests end, running ones continue.
   void relinquish(TimePoint now);
   /// Dispatches, queues or refuses a request.
   void handleArrival(TimePoint now, const RequestArrived &event);
-  /// Ends \p request if it waits, tells the server if it runs. False when it is
-  /// not here.
+  /// Ends \p request if it is queued, or cancels it on the server if it is
+  /// running. Returns false if it is neither.
   bool cancel(TimePoint now, RequestId request);
-  /// Ends or retries the request of a dispatch. False when it is not here.
+  /// Ends or retries the request of a finished dispatch. Returns false if the
+  /// dispatch is unknown.
   bool handleDispatchEnd(TimePoint now, const DispatchEnded &event);
-  /// Takes in the server's own word.
+  /// Processes a health report of the server.
   void handleHealth(TimePoint now, const HealthReported &event);
-  /// Ends what can't be served any more and dispatches what fits.
+  /// Ends queued requests that can no longer be served in time, and dispatches
+  /// those that fit.
   void processQueue(TimePoint now);
 
-  /// State for operators.
+  /// Returns the state for operators.
   ServerReport report(TimePoint now) const;
-  /// When settle() is due for time alone. \p now is the last step's.
+  /// Time at which processQueue() must be called even without an event. \p now
+  /// is the time of the last step.
   std::optional<TimePoint> nextWakeup(TimePoint now) const;
-  /// Nothing waits and nothing runs.
+  /// True if nothing is queued or running.
   bool isIdle() const { return Queue.empty() && Slots.running() == 0; }
-  /// False after depart().
+  /// False after relinquish().
   bool isOwned() const { return Owned; }
 
 private:
@@ -85,22 +89,23 @@
   const WaitEstimate &waitEstimate(bool longWork) const;
   DecisionInputs inputs() const;
 
-  OwnerContext &Context;         ///< Shared with the other servers.
-  BackendServer Server;          ///< As the ticket says.
-  bool Owned = false;            ///< See owned().
-  TimePoint DispatchAllowedFrom; ///< End of an earlier owner's authority.
-  AdmissionQueue Queue;          ///< What waits.
-  SlotTable Slots;               ///< What is in progress.
-  ColdStartRamp Ramp;            ///< How much may be in progress.
-  WaitEstimate Waits;            ///< How long short work will wait.
-  WaitEstimate LongWaits;        ///< How long long work will wait.
-  DrainTracker Drain;            ///< Its way out.
-  uint32_t Flows = 0;            ///< At the last arrival.
-  DispatchPause Pause;           ///< After a shed or an unreachable server.
-  bool ReportedReady = true;     ///< Its last word on its health.
-  TimePoint LastAnswer;          ///< When the server last answered anything.
+  OwnerContext &Context; ///< Shared with the other servers of the service.
+  BackendServer Server;  ///< Configuration from the ticket.
+  bool Owned = false;    ///< See isOwned().
+  TimePoint DispatchAllowedFrom; ///< No dispatch before this time, when an
+                                 ///< earlier owner's authority ends.
+  AdmissionQueue Queue;          ///< Queued requests.
+  SlotTable Slots;               ///< Requests in progress.
+  ColdStartRamp Ramp;            ///< Limit on requests in progress.
+  WaitEstimate Waits;            ///< Wait estimate for short work.
+  WaitEstimate LongWaits;        ///< Wait estimate for long work.
+  DrainTracker Drain;            ///< Drain state.
+  uint32_t Flows = 0;            ///< Flows on the server at the last arrival.
+  DispatchPause Pause;       ///< Pause after shed load or failed connections.
+  bool ReportedReady = true; ///< Readiness in its last health report.
+  TimePoint LastAnswer;      ///< Time of the server's last answer.
 
-  ServerCondition PublishedCondition; ///< What was last passed on.
+  ServerCondition PublishedCondition; ///< The condition published last.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/ServerDispatchEnds.cpp
+++ b/Balsamrack/Decisions/ServerDispatchEnds.cpp
@@ -1,13 +1,13 @@
 #include "Balsamrack/Decisions/ServerAdmission.h"
 
-// The part of ServerAdmission that learns from the ends of dispatches.
+// The part of ServerAdmission that processes the results of dispatches.
 
 namespace balsamrack {
 
 namespace {
 
-/// A timed out dispatch is the server's fault from this many times on the time
-/// in which nine of ten are answered.
+/// A dispatch that timed out counts as a server failure if it took at least
+/// this many times the duration within which nine of ten requests are answered.
 constexpr int64_t TimeoutFailureFactor = 3;
 constexpr uint32_t FirstServerError = 500; ///< HTTP status codes.
 constexpr uint32_t ServiceUnavailable = 503;
@@ -48,7 +48,7 @@
   bool isLong = Context.LongWork.isLong(event.Took);
   (isLong ? LongWaits : Waits).recordAnswer(event.Took);
   Context.LongWork.recordAnswer(run.What.Head, event.Took);
-  // Work known to be long says nothing of the server's speed.
+  // Work known to be long is no measure of the server's speed.
   std::optional<Duration> took = event.Took;
   if (run.What.LongWork)
     took.reset();
@@ -64,8 +64,8 @@
 void ServerAdmission::recordUndelivered(TimePoint now,
                                         const DispatchEnded &event) {
   bool shed = event.How == DispatchEnd::Shed;
-  // Without authority it was the daemon that did not send: no fault of the
-  // server.
+  // Without authority the daemon itself did not send the request, which is no
+  // fault of the server.
   if (!shed && !Context.MayDispatch)
     return;
   if (shed)
@@ -85,8 +85,8 @@
                                            const RunningRequest &run,
                                            const DispatchEnded &event) {
   Slots.abandon(now, run.What.Deadline, Waits.slow(), Ramp.isWarm());
-  // A caller's short deadline or its leaving is no fault of the server, nor is
-  // one slow request while it answers others.
+  // A short deadline or a cancellation by the caller is no fault of the server,
+  // nor is a single slow request while it answers others.
   bool timedOut = now >= run.What.Deadline;
   bool late = event.Took >= Waits.slow() * TimeoutFailureFactor &&
               LastAnswer < run.StartedAt;
@@ -101,7 +101,7 @@
 bool ServerAdmission::retry(TimePoint now, const RunningRequest &run,
                             const DispatchEnded &event) {
   const QueuedRequest &what = run.What;
-  // Never a second dispatch of a RunOnce request, whatever the server said.
+  // Never dispatches a RunOnce request twice, whatever the result was.
   if (what.Head.Kind != Semantics::Idempotent || run.Cancelled ||
       event.How == DispatchEnd::Answered ||
       what.Attempts >= Context.Settings.Retries.MostAttempts)
--- a/Balsamrack/Decisions/ServersOfService.cpp
+++ b/Balsamrack/Decisions/ServersOfService.cpp
@@ -11,7 +11,7 @@
 
 std::vector<OwnerAction> ServersOfService::step(TimePoint now,
                                                 const OwnerEvent &event) {
-  // An owner has no authority before it was given any.
+  // An owner has no authority until it is granted.
   if (Now == TimePoint())
     Context.ExpiredAt = now;
   Now = now;
--- a/Balsamrack/Decisions/ServersOfService.h
+++ b/Balsamrack/Decisions/ServersOfService.h
@@ -9,8 +9,8 @@
 
 namespace balsamrack {
 
-/// The ServiceOwner: hands each event to the admission of the server that it
-/// concerns. Not thread-safe.
+/// Implementation of ServiceOwner: passes each event to the ServerAdmission of
+/// the server concerned. Not thread-safe.
 class ServersOfService final : public ServiceOwner {
 public:
   /// Precondition: \p settings were checked, \p service is not empty.
@@ -34,10 +34,10 @@
   void on(const ShutdownBegan &event);
   void eraseRelinquished();
 
-  OwnerContext Context;                        ///< Shared by all servers.
-  std::map<ServerId, ServerAdmission> Servers; ///< Owned, or still running
-                                               ///< something.
-  TimePoint Now;                               ///< Time of the last step.
+  OwnerContext Context; ///< State shared by all servers.
+  /// Owned servers, and former ones with requests still running.
+  std::map<ServerId, ServerAdmission> Servers;
+  TimePoint Now; ///< Time of the previous step.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/ServiceOwner.h
+++ b/Balsamrack/Decisions/ServiceOwner.h
@@ -15,34 +15,37 @@
 
 namespace balsamrack {
 
-/// Decides for all backend servers of one service that this daemon owns: what
-/// is let in, what waits and for how long, what is turned away, and how fast a
-/// cold server is filled. Pure and deterministic: the same events at the same
-/// times lead to the same actions, byte for byte.
+/// Makes all admission decisions for the backend servers of one service that
+/// this daemon owns: which requests are dispatched, queued or refused, how long
+/// they wait, and how fast the load on a cold server rises. Pure and
+/// deterministic: the same events at the same times give the same actions, byte
+/// for byte.
 ///
-/// Each RequestArrived leads to exactly one EndRequest, perhaps later. A
-/// RunOnce request is dispatched at most once; nothing is dispatched unless
-/// AuthorityChanged{true} is in force and the server's DispatchAllowedFrom has
-/// come. Not thread-safe: the lock of its shard is held.
+/// Each RequestArrived results in exactly one EndRequest, possibly later. A
+/// RunOnce request is dispatched at most once. Nothing is dispatched unless the
+/// last AuthorityChanged had MayDispatch set and the server's
+/// DispatchAllowedFrom has passed. Not thread-safe: calls must hold the lock of
+/// the shard.
 class ServiceOwner {
 public:
-  /// Makes the owner of \p service, without servers nor authority. \p seed
-  /// feeds the jitter of refusals. Error kInvalidArgument (step read-settings)
-  /// when \p settings make no sense or the service is empty.
+  /// Creates the owner of \p service, without servers or authority. \p seed
+  /// seeds the jitter of retry times. Returns kInvalidArgument (step
+  /// read-settings) if \p settings are invalid or the service is empty.
   static absl::StatusOr<std::unique_ptr<ServiceOwner>>
   create(const OwnerSettings &settings, ServiceId service, uint64_t seed);
   virtual ~ServiceOwner() = default;
 
-  /// Decides upon \p event. Precondition: \p now is not before that of the last
-  /// step. The actions are to be done in their order.
+  /// Processes \p event and returns the resulting actions, to be carried out in
+  /// order. Precondition: \p now is not before that of the previous step.
   virtual std::vector<OwnerAction> step(TimePoint now,
                                         const OwnerEvent &event) = 0;
-  /// State of each owned server, by id.
+  /// Returns the state of each owned server, ordered by id.
   virtual std::vector<ServerReport> report(TimePoint now) const = 0;
-  /// When a Ticked is due; nothing when time alone changes nothing.
+  /// Time at which a Ticked event is due; nothing if no action depends on time
+  /// alone.
   virtual std::optional<TimePoint> nextWakeup() const = 0;
-  /// True when nothing is queued nor in progress, so that a leaving daemon may
-  /// go.
+  /// True if nothing is queued or in progress, so that a daemon that is
+  /// shutting down may exit.
   virtual bool idle() const = 0;
 };
 
--- a/Balsamrack/Decisions/SlotTable.h
+++ b/Balsamrack/Decisions/SlotTable.h
@@ -14,71 +14,80 @@
 
 namespace balsamrack {
 
-/// A dispatch that the link has not ended.
+/// A dispatch whose end the link has not reported yet.
 struct RunningRequest {
-  QueuedRequest What;     ///< The request.
-  TimePoint StartedAt;    ///< When it was dispatched.
-  bool Cancelled = false; ///< Its caller is gone, the server was told.
+  QueuedRequest What;  ///< The request.
+  TimePoint StartedAt; ///< Time of dispatch.
+  /// The caller has left and the server was sent a cancellation.
+  bool Cancelled = false;
 };
 
-/// What one backend server has in progress, as its owner counts it.
+/// Tracks the slots that requests occupy on one backend server, from the
+/// owner's point of view.
 ///
-/// Guards against counting less than the server really runs, which shows as a
-/// cold server that falls over though "one request at a time" was kept. A
-/// dispatch holds its slot until the link says that it ended, also when it was
-/// cancelled. One that failed after it had left may still run on the server:
-/// its slot stays taken ("abandoned") for a bounded time, until the server's
-/// process is another one, or until, being warm, its health says that it runs
-/// no more than we know of. The bound is the time in which nine of ten requests
-/// end, since the server was given the deadline and need not keep to it;
-/// unbounded, a lost connection would cost a slot for good. Not thread-safe.
+/// Guards against undercounting what the server really runs, which brings down
+/// a cold server even though the limit of one request at a time was kept. A
+/// dispatch occupies its slot until the link reports its end, even after
+/// cancellation. A dispatch that failed after it was sent may still be running
+/// on the server. Its slot stays occupied ("abandoned") for a bounded time, or
+/// until the server process has been replaced, or until a warm server's health
+/// report shows no more requests than the owner knows of. The bound is the time
+/// in which nine of ten requests end, since the server was given the deadline
+/// but need not honour it. Without a bound, a lost connection would cost a slot
+/// permanently. Not thread-safe.
 class SlotTable {
 public:
-  /// An abandoned slot is held no longer than this.
+  /// Maximum time that an abandoned slot is held.
   static constexpr Duration MaxHold{5'000'000};
-  /// Nor shorter than this while the server is cold: the answers seen while it
-  /// was warm don't tell how long a cold server works on what timed out, and
-  /// one request more than it bears makes it fall over.
+  /// Minimum time that an abandoned slot is held while the server is cold.
+  /// Answer times seen while it was warm do not show how long a cold server
+  /// works on a request that timed out, and one request too many brings a cold
+  /// server down.
   static constexpr Duration MinHoldCold{2'000'000};
-  /// Notes a dispatch. Precondition: the request is not running.
+  /// Records a dispatch. Precondition: the request is not running.
   void start(RunningRequest request);
-  /// Takes out a dispatch that the link ended. Nothing when there is none.
+  /// Removes and returns a dispatch that the link reported as ended. Nothing if
+  /// it is unknown.
   std::optional<RunningRequest> end(RequestId request);
-  /// Keeps the slot of an ended dispatch taken: until \p deadline and for \p
-  /// slow, the time in which nine of ten are answered, within the bounds above.
+  /// Keeps the slot of a failed dispatch occupied until \p deadline, and at
+  /// least for \p slow, the time in which nine of ten requests are answered,
+  /// within the bounds above.
   void abandon(TimePoint now, TimePoint deadline, Duration slow, bool warm);
-  /// Frees the abandoned slots whose time is over.
+  /// Frees the abandoned slots whose hold time is over.
   void releaseExpired(TimePoint now);
-  /// Frees those abandoned at or before \p since: the server runs them no more.
+  /// Frees the slots abandoned at or before \p since, because the server no
+  /// longer runs their requests.
   void releaseAbandonedUntil(TimePoint since);
-  /// The running dispatch of \p request, or null; valid until the next change.
+  /// Returns the running dispatch of \p request, or null. The pointer is valid
+  /// until the next change.
   RunningRequest *find(RequestId request);
 
-  /// Slots taken.
+  /// Number of occupied slots, abandoned ones included.
   uint32_t used() const;
-  /// Dispatches that the link has not ended.
+  /// Number of dispatches that the link has not reported as ended.
   uint32_t running() const { return static_cast<uint32_t>(Running.size()); }
-  /// Slots that ended dispatches still hold.
+  /// Number of abandoned slots.
   uint32_t abandoned() const { return static_cast<uint32_t>(Abandoned.size()); }
-  /// When the next abandoned slot is freed.
+  /// Time at which the next abandoned slot is freed.
   std::optional<TimePoint> nextRelease() const;
-  /// Running dispatches that are long work, expected or by their age.
+  /// Number of running dispatches that are long work, by expectation or by age.
   uint32_t longRunningCount(TimePoint now, const LongWorkGuard &guard) const;
-  /// When the next running dispatch counts as long work by its age.
+  /// Time at which the next running dispatch counts as long work by its age.
   std::optional<TimePoint> nextLongAt(TimePoint now,
                                       const LongWorkGuard &guard) const;
-  /// How long the first one to end will run, \p waits being that of its kind;
-  /// zero when nothing runs.
+  /// Shortest expected remaining time of the running dispatches, where \p waits
+  /// is the estimate for their kind; zero if nothing runs.
   Duration shortestRemaining(TimePoint now, const WaitEstimate &waits) const;
 
 private:
-  /// A slot that an ended dispatch still holds.
+  /// A slot still held for a failed dispatch.
   struct AbandonedSlot {
-    TimePoint Since; ///< When the dispatch ended for us.
-    TimePoint Until; ///< When the slot is freed at the latest.
+    TimePoint Since; ///< Time at which the owner saw the dispatch end.
+    TimePoint Until; ///< Latest time at which the slot is freed.
   };
-  std::map<RequestId, RunningRequest> Running; ///< Not ended by the link.
-  std::vector<AbandonedSlot> Abandoned;        ///< In order of Since.
+  /// Dispatches that the link has not reported as ended.
+  std::map<RequestId, RunningRequest> Running;
+  std::vector<AbandonedSlot> Abandoned; ///< Ordered by Since.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/WaitEstimate.cpp
+++ b/Balsamrack/Decisions/WaitEstimate.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-constexpr double FastShare = 0.1;   ///< See fast().
-constexpr double SlowShare = 0.9;   ///< See slow().
-constexpr double JitterShare = 0.5; ///< Random part of a return time.
+constexpr double FastShare = 0.1; ///< See fast().
+constexpr double SlowShare = 0.9; ///< See slow().
+/// Maximum random part, as a fraction of the delay.
+constexpr double JitterShare = 0.5;
 
 } // namespace
 
@@ -47,8 +48,8 @@
 Duration WaitEstimate::scheduleRetry(TimePoint now, Duration backlog,
                                      uint32_t slots, RandomSource &random) {
   Duration pace = mean() / static_cast<int64_t>(std::max(slots, 1U));
-  // Bookings reach no further than the longest return time, so that callers who
-  // never come back can't push the others away for good.
+  // Retry times are reserved no further ahead than the maximum delay, so that
+  // callers that never return cannot delay the others indefinitely.
   TimePoint first = now + std::max(backlog, Settings.LeastRetryAfter);
   NextRetry = std::clamp(NextRetry + pace, first,
                          std::max(first, now + Settings.MostRetryAfter));
--- a/Balsamrack/Decisions/WaitEstimate.h
+++ b/Balsamrack/Decisions/WaitEstimate.h
@@ -10,64 +10,70 @@
 
 namespace balsamrack {
 
-/// Expected wait before one backend server, and when the refused come back.
+/// Estimates the wait for one backend server, and assigns retry times to
+/// refused requests.
 ///
-/// Answers: saturation, and callers that come back. Without it a request whose
-/// time can't cover the wait takes a place, is dispatched late, and its answer
-/// reaches nobody: at ten times the capacity hardly an answer is in time. And
-/// when all refused requests are told the same time they return in one herd.
+/// Guards against saturation and synchronised retries. Without it, a request
+/// whose remaining time cannot cover the wait takes a place in the queue, is
+/// dispatched late, and its answer reaches nobody: at ten times the capacity
+/// hardly any answer is in time. If all refused requests were given the same
+/// time, they would return as one burst.
 ///
-/// Thresholds: the wait is the mean of the last answer times over the slots in
-/// use, because a queue's length in time is a sum. A request waits only if that
-/// takes half its remaining time at most: the other half is for its own work,
-/// which varies (with a tenth left, as a full queue leaves it, a third of the
-/// work done under overload comes too late), and keeps the queue from standing
-/// full. While nobody else needs the slot, a request may try with the time in
-/// which the fastest tenth is answered; under pressure it must have the time in
-/// which nine tenths are, or it takes the slot from one that can make it. Each
-/// refusal books a return at the pace at which the server works, so that what
-/// returns is what can be served, plus a random part of up to a half of the
-/// booked time against callers that move in step (jitter: Floyd, Jacobson
-/// 1993). Not thread-safe.
+/// The wait is the mean of recent answer times divided by the slots in use,
+/// because the time to serve a queue is a sum. A request is queued only if the
+/// expected wait is at most half of its remaining time. The other half is for
+/// its own processing, which varies (with only a tenth left, as a full queue
+/// leaves it, a third of the work done under overload is late), and keeps the
+/// queue from being permanently full. While no other request needs the slot, a
+/// request may be tried if its remaining time covers the time in which the
+/// fastest tenth is answered. Under pressure it must cover the time in which
+/// nine tenths are answered; otherwise it would take the slot from a request
+/// that can be answered in time. Each refusal reserves a retry time at the rate
+/// at which the server works, so that as many requests return as can be served,
+/// plus a random part of up to half of that delay against synchronised callers
+/// (jitter: Floyd, Jacobson 1993). Not thread-safe.
 class WaitEstimate {
 public:
-  static constexpr size_t MinSamples = 4; ///< Answers before they count.
+  /// Number of answers needed before measured times are used.
+  static constexpr size_t MinSamples = 4;
 
   /// Precondition: \p settings were checked.
   explicit WaitEstimate(const WaitSettings &settings);
 
-  /// False while the first guess has to do.
+  /// False while the initial estimate is used.
   bool hasSamples() const { return Times.count() >= MinSamples; }
-  /// Sets the first guess of an answer time, from the ticket.
+  /// Sets the initial estimate of the answer time, from the ticket.
   void setExpected(Duration expected) { Expected = expected; }
-  /// Notes an answer.
+  /// Records an answer time.
   void recordAnswer(Duration took) { Times.add(took); }
-  /// Expected wait of a request with \p ahead requests before it, all of \p
-  /// slots being in use. A server without slots counts as one with one.
+  /// Expected wait of a request behind \p ahead others, with all of \p slots in
+  /// use. Zero slots count as one.
   Duration waitFor(uint32_t ahead, uint32_t slots) const;
-  /// The longest wait that a request with \p left may be queued for.
+  /// The longest expected wait for which a request with remaining time \p left
+  /// may be queued.
   Duration maxWait(Duration left) const;
-  /// How long work that has run for \p age will go on. Until answers were seen
-  /// it is expected to run for as long again.
+  /// Expected remaining time of work that has been running for \p age. Until
+  /// answers were recorded it is expected to run for as long again.
   Duration remaining(Duration age) const;
-  /// Mean answer time, or the first guess.
+  /// Mean answer time, or the initial estimate.
   Duration mean() const;
-  /// The time in which the fastest tenth is answered, or half the first guess.
+  /// The time in which the fastest tenth is answered, or half the initial
+  /// estimate.
   Duration fast() const;
-  /// The time in which nine tenths are answered, or twice the first guess.
+  /// The time in which nine tenths are answered, or twice the initial estimate.
   Duration slow() const;
-  /// Median answer time, or the first guess.
+  /// Median answer time, or the initial estimate.
   Duration typical() const;
-  /// When a request refused at \p now, with \p backlog of waiting work, should
-  /// come back.
+  /// Reserves a retry time for a request refused at \p now behind \p backlog of
+  /// queued work, and returns the delay until then.
   Duration scheduleRetry(TimePoint now, Duration backlog, uint32_t slots,
                          RandomSource &random);
 
 private:
-  WaitSettings Settings;     ///< Limits.
-  Duration Expected{50'000}; ///< First guess of an answer time.
-  AnswerTimes Times;         ///< Answers seen.
-  TimePoint NextRetry;       ///< Up to here returns are booked.
+  WaitSettings Settings;     ///< Bounds and fractions.
+  Duration Expected{50'000}; ///< Initial estimate of the answer time.
+  AnswerTimes Times;         ///< Recorded answer times.
+  TimePoint NextRetry;       ///< Latest reserved retry time.
 };
 
 } // namespace balsamrack
