--- a/UnitTests/Decisions/AdmissionQueueTest.cpp
+++ b/UnitTests/Decisions/AdmissionQueueTest.cpp
@@ -8,7 +8,8 @@
 namespace balsamrack {
 namespace {
 
-/// A request as "caller, deadline in ms"; its id is its place in the list.
+/// A request given by caller and deadline in ms; its id is its position in the
+/// list.
 struct Waiting {
   uint64_t Caller;
   int64_t Deadline;
@@ -29,15 +30,16 @@
   bool Fair;
   uint32_t Capacity;
   std::vector<Waiting> Pushed;
-  std::vector<uint64_t> Popped; // By id, from 1 on.
+  std::vector<uint64_t> Popped; // Ids, starting at 1.
   std::vector<uint64_t> Refused;
-  Reason Why = Reason::None; // Of those refused or pushed out.
+  Reason Why = Reason::None; // Reason for those refused.
 };
 
 class QueueTest : public testing::TestWithParam<QueueCase> {};
 
 // One caller sends many requests, others one each. In order of arrival the
-// others wait for all of the first caller's; in rounds each waits for one.
+// others would wait for all requests of the first caller; in rounds each waits
+// for one.
 TEST_P(QueueTest, ServesInRounds) {
   const QueueCase &test = GetParam();
   AdmissionQueue queue(test.Capacity, test.Fair);
@@ -106,8 +108,8 @@
                               Reason::QueueFull}),
     [](const auto &info) { return info.param.Name; });
 
-// Short work waits behind a long request that may not start. Were the long one
-// at the head for all, the free slot would stay empty.
+// Guards against a slot left idle because the first queued request is long work
+// that may not start, while short work is queued behind it.
 TEST(AdmissionQueueTest, ShortWorkPassesLongWorkThatMayNotStart) {
   AdmissionQueue queue(8, true);
   queue.push(make(1, {1, 10, true}));
@@ -117,8 +119,8 @@
   EXPECT_EQ(queue.pop(true)->Head.Request.Value, 1U);
 }
 
-// New callers come without end, and an old caller's second request waits. It
-// must be served: a newcomer joins the next round, not the one in progress.
+// Guards against starvation of a caller's second request by a stream of new
+// callers: a new caller joins the next round, not the one in progress.
 TEST(AdmissionQueueTest, NewcomersDontStarveASecondRequest) {
   AdmissionQueue queue(8, true);
   queue.push(make(1, {1, 10}));
@@ -131,8 +133,8 @@
   EXPECT_EQ(served.count(2), 1U);
 }
 
-// Whatever is pushed, popped, removed or expires: never over the capacity, and
-// each request leaves exactly once, by one way.
+// For any sequence of pushes, pops, removals and expirations, the queue never
+// exceeds its capacity, and each request leaves exactly once, in one way.
 TEST(AdmissionQueueProperty, EachRequestLeavesOnce) {
   rc::detail::TestParams params;
   params.seed = 7;
--- a/UnitTests/Decisions/ColdStartRampTest.cpp
+++ b/UnitTests/Decisions/ColdStartRampTest.cpp
@@ -11,14 +11,15 @@
 constexpr Duration Slow{400'000};
 constexpr Duration Second{1'000'000};
 
-/// A ramp with its own time.
+/// A ramp with a simulated clock.
 struct RampFixture {
   explicit RampFixture(bool enabled = true)
       : Ramp(settings(enabled), 2, TimePoint(Second)) {}
   static RampSettings settings(bool enabled) {
     RampSettings s;
     s.Enabled = enabled;
-    // The stories are told in steps of a second; blind ones have a test below.
+    // The scenarios assume steps of one second; steps without warm answers are
+    // tested below.
     s.UnmeasuredStepTime = s.LeastStepTime;
     return s;
   }
@@ -43,14 +44,15 @@
 
 class RampTest : public testing::TestWithParam<RampCase> {};
 
-// A server turns cold, told or not, and gets as much as before. It falls over,
-// comes up cold and falls over again; callers see broken requests for minutes.
+// Guards against a server that becomes cold, announced or not, but receives as
+// much load as before. It crashes, restarts cold and crashes again, and callers
+// see broken requests for minutes.
 TEST_P(RampTest, LimitFollowsWhatTheServerShows) {
   const RampCase &test = GetParam();
-  RampFixture story;
-  test.Scenario(story);
-  EXPECT_EQ(story.Ramp.limit(), test.Limit);
-  // The baseline lets all slots in, whatever happens.
+  RampFixture fixture;
+  test.Scenario(fixture);
+  EXPECT_EQ(fixture.Ramp.limit(), test.Limit);
+  // The baseline always allows all slots.
   RampFixture baseline(false);
   test.Scenario(baseline);
   EXPECT_EQ(baseline.Ramp.limit(), 2U);
@@ -131,7 +133,7 @@
                  [](RampFixture &s) {
                    s.answers(80, Fast);
                    s.Ramp.recordFailure(s.Now, "server-shed");
-                   s.answers(39, Fast); // Under 2 s, which are needed now.
+                   s.answers(39, Fast); // Under the 2 s that a step now takes.
                  },
                  1},
         RampCase{"IdleServerIsAskedFirst",
@@ -176,10 +178,10 @@
                  2}),
     [](const auto &info) { return info.param.Name; });
 
-// A fleet starts, and all its servers are cold and answer evenly, if slowly:
-// there is no warm answer to compare with. With one second a step each server
-// got all its slots while it was still cold, fell over, and callers' bookings
-// broke in the first seconds of the day.
+// Guards against ramping too fast when a whole fleet starts. All servers are
+// cold and answer slowly but evenly, so there is no warm answer to compare
+// with. With one second per step, each server got all its slots while still
+// cold and crashed, and bookings failed in the first seconds of the day.
 TEST(ColdStartRampTest, FirstStepsAreBlindAndTakeLonger) {
   ColdStartRamp ramp(RampSettings(), 2, TimePoint(Second));
   TimePoint now(Second);
--- a/UnitTests/Decisions/DecisionPartsTest.cpp
+++ b/UnitTests/Decisions/DecisionPartsTest.cpp
@@ -47,8 +47,8 @@
                      [](auto &s) { s.Ejection.MostEjected = 1.1; }, false}),
     [](const auto &info) { return info.param.Name; });
 
-// A service is over its capacity, and failures lead to retries, which make the
-// overload worse and keep it up when its cause is gone.
+// Guards against retries that amplify an overload and sustain it after its
+// cause is gone.
 TEST(RetryBudgetTest, ShrinksToNothingUnderOverload) {
   RetryBudget budget{RetrySettings()};
   uint32_t calm = 0;
@@ -56,7 +56,7 @@
     budget.recordSuccess();
     calm += budget.tryConsume() ? 1 : 0;
   }
-  EXPECT_LE(calm, 110U); // A tenth, and the bucket.
+  EXPECT_LE(calm, 110U); // A tenth of the successes, plus the initial budget.
   uint32_t overloaded = 0;
   for (int n = 0; n < 1000; ++n) {
     budget.recordSuccess();
@@ -66,8 +66,8 @@
   EXPECT_LE(overloaded, 1U);
 }
 
-// The same ticket is seen again with each update. If each moved the limit, a
-// server that drains would never be empty.
+// The same ticket is applied again with each update. If that restarted the
+// limit, a draining server would never become empty.
 TEST(DrainTrackerTest, RepeatedTicketDoesNotMoveTheLimit) {
   DrainTracker drain;
   BackendServer server;
@@ -82,9 +82,9 @@
   EXPECT_FALSE(drain.checkRefusal(Start + Second, true).has_value());
 }
 
-// A server is down for a minute. Sent one by one, all that wait would come back
-// in milliseconds; with a pause without bound the server, once back, would wait
-// for its first request.
+// A server is down for a minute. Without a pause all queued requests would be
+// dispatched and fail within milliseconds; with an unbounded pause the
+// recovered server would wait long for its first request.
 TEST(DispatchPauseTest, GrowsToASecondAndEndsWithAnAnswer) {
   DispatchPause pause;
   pause.reportUnreachable(Start);
@@ -111,7 +111,7 @@
   EXPECT_EQ(waits.slow(), Duration(200'000));
 }
 
-// Callers who never return must not push those who do away for good.
+// Callers that never return must not delay those that do indefinitely.
 TEST(WaitEstimateTest, BookedReturnsAreBounded) {
   WaitEstimate waits{WaitSettings()};
   SeededRandom random(1);
@@ -131,9 +131,9 @@
   return head;
 }
 
-// Two plans of seconds take both slots, and lookups of milliseconds wait. The
-// guard must know who sends plans, and must not take a caller with one slow
-// lookup for one of them, nor hold a caller's past against him for ever.
+// Two site plans of seconds occupy both slots, and lookups of milliseconds
+// wait. The guard must recognise callers that send plans, but must neither
+// classify a caller by one slow lookup nor classify it forever.
 TEST(LongWorkGuardTest, LearnsCallersAndKeepsASlot) {
   LongWorkGuard guard{LongWorkSettings()};
   for (int n = 0; n < 32; ++n)
@@ -149,7 +149,7 @@
   EXPECT_TRUE(guard.mayStart(Start, true, 2, 0));
   EXPECT_FALSE(guard.mayStart(Start, true, 2, 1));
   EXPECT_TRUE(guard.mayStart(Start, false, 2, 1));
-  // Without short work long work gets all slots.
+  // Without short work, long work may use all slots.
   EXPECT_TRUE(guard.mayStart(Start + Second * 2, true, 2, 1));
   guard.recordAnswer(from(2), Duration(50'000));
   EXPECT_FALSE(guard.isExpectedLong(from(2), Second));
--- a/UnitTests/Decisions/LoadTest.cpp
+++ b/UnitTests/Decisions/LoadTest.cpp
@@ -10,14 +10,15 @@
 namespace balsamrack {
 namespace {
 
-/// What callers get under one pattern of load, and what they get when the
-/// decision that answers it is replaced by its baseline.
+/// Result for callers under one load pattern, with our decision and with the
+/// baseline that replaces it.
 struct LoadCase {
   const char *Name;
   std::function<double(const ScenarioLimits &)> Run;
   ScenarioLimits Baseline;
-  double AtLeast;         // Ours; when negative, at most its absolute value.
-  double BaselineWorstBy; // The baseline is at least this much worse.
+  double AtLeast; // Bound on our result: a minimum, or if negative, a maximum
+                  // of its absolute value.
+  double BaselineWorstBy; // Minimum difference by which the baseline is worse.
 };
 
 double answeredBesideColdServer(const ScenarioLimits &limits) {
@@ -69,10 +70,10 @@
 
 class LoadTest : public testing::TestWithParam<LoadCase> {};
 
-// A burst, a hot caller, long work, a cold or slow server or saturation comes,
-// and callers who did nothing unusual wait or are refused. The cause is always
-// the same: the server does work that helps nobody, while work that would help
-// waits. Each case fails if its decision is replaced by the baseline.
+// Guards against callers with normal load waiting or being refused during
+// bursts, hot callers, long work, cold or slow servers, or saturation. In each
+// case the server does work that helps nobody while useful work waits. Each
+// case fails if its decision is replaced by the baseline.
 TEST_P(LoadTest, CallersGetMoreThanUnderTheBaseline) {
   const LoadCase &test = GetParam();
   double ours = test.Run(ourLimits());
@@ -93,7 +94,7 @@
 INSTANTIATE_TEST_SUITE_P(Patterns, LoadTest, testing::ValuesIn(loadCases()),
                          [](const auto &info) { return info.param.Name; });
 
-/// Faults under which every ending must still be true.
+/// Faults under which every reported result must still be correct.
 struct TruthCase {
   const char *Name;
   Semantics Kind;
@@ -103,9 +104,10 @@
 
 class TruthTest : public testing::TestWithParam<TruthCase> {};
 
-// A seller reserves a pitch while a server falls over or breaks connections.
-// "Not run" makes her try again: if it was not true, the deposit is charged
-// twice. Each request has one ending, and RunOnce ones reach a server once.
+// Guards against false results when a server crashes or breaks connections
+// during a reservation. "Not run" makes the caller try again; if it is false,
+// the deposit is charged twice. Each request ends once, and RunOnce requests
+// reach a server once.
 TEST_P(TruthTest, EndingsAreTrueAndSlotsKept) {
   const TruthCase &test = GetParam();
   ScenarioLimits limits = ourLimits();
--- a/UnitTests/Decisions/OutlierEjectionTest.cpp
+++ b/UnitTests/Decisions/OutlierEjectionTest.cpp
@@ -12,7 +12,7 @@
 
 ServerId server(int n) { return ServerId("s" + std::to_string(n)); }
 
-/// Servers s1 to s4 of one owner.
+/// Ejection for servers s1 to s4 of one owner.
 struct EjectionFixture {
   explicit EjectionFixture(int servers = 4) : Ejection(EjectionSettings()) {
     std::set<ServerId> all;
@@ -35,17 +35,17 @@
 struct EjectionCase {
   const char *Name;
   std::function<void(EjectionFixture &)> Scenario;
-  bool Ejected; // Server s1 at the end.
+  bool Ejected; // Expected state of server s1 at the end.
 };
 
 class EjectionTest : public testing::TestWithParam<EjectionCase> {};
 
-// One of four servers fails or has become slow, and its health says "ready".
-// New flows go on being placed there, and each waits or fails.
+// Guards against new flows being placed on a server that fails or is slow while
+// its health check reports "ready". Each such flow waits or fails.
 TEST_P(EjectionTest, JudgesByWhatWasSeen) {
-  EjectionFixture story;
-  GetParam().Scenario(story);
-  EXPECT_EQ(story.Ejection.isEjected(server(1)), GetParam().Ejected);
+  EjectionFixture fixture;
+  GetParam().Scenario(fixture);
+  EXPECT_EQ(fixture.Ejection.isEjected(server(1)), GetParam().Ejected);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -108,8 +108,9 @@
                      true}),
     [](const auto &info) { return info.param.Name; });
 
-// After the hold all waiting flows would rush to the server at once; only one
-// request may probe it, and one that never got there must not block the next.
+// After the hold, all waiting flows would go to the server at once. Only one
+// request may probe it, and a probe that never reached the server must not
+// block the next one.
 TEST(OutlierEjectionTest, ProbesOneAtATime) {
   EjectionFixture s;
   s.answers(1, 5, Fast, false);
@@ -122,7 +123,7 @@
 }
 
 // A daemon that owns a single server of a service has no peer to compare it
-// with, but must not send new flows to a dead one.
+// with, but must not send new flows to it when it is dead.
 TEST(OutlierEjectionTest, SingleServerIsEjectedByFailures) {
   EjectionFixture s(1);
   s.answers(1, 5, Fast, false);
--- a/UnitTests/Decisions/OwnerFixture.h
+++ b/UnitTests/Decisions/OwnerFixture.h
@@ -11,8 +11,8 @@
 
 namespace balsamrack {
 
-/// An owner of some servers, driven event by event, that remembers what it did.
-/// Not thread-safe.
+/// Drives a ServiceOwner event by event and records its actions. Not
+/// thread-safe.
 class OwnerFixture {
 public:
   explicit OwnerFixture(OwnerSettings settings = OwnerSettings(),
@@ -29,7 +29,7 @@
     give(Config);
   }
 
-  /// Gives an event, and remembers the actions.
+  /// Passes \p event to the owner and records the actions.
   void give(const OwnerEvent &event) {
     for (const OwnerAction &action : Owner->step(Now, event)) {
       if (Journal != nullptr)
@@ -44,12 +44,12 @@
       }
     }
   }
-  /// Moves the time on and wakes the owner.
+  /// Advances the time by \p time and sends a Ticked event.
   void pass(Duration time) {
     Now += time;
     give(Ticked());
   }
-  /// A request of caller 1 on server 1, unless changed before it is given.
+  /// Returns a request of caller 1 for server 1.
   static RequestArrived request(uint64_t id) {
     RequestArrived event;
     event.Head.Request.Value = id;
@@ -60,7 +60,7 @@
     event.Server = ServerId("booking-1");
     return event;
   }
-  /// The link's word on a dispatch.
+  /// Reports the end of the dispatch of request \p id.
   void end(uint64_t id, DispatchEnd how, Duration took = Duration(50'000),
            const std::string &instance = "a") {
     DispatchEnded event;
@@ -72,13 +72,14 @@
       event.Instance = InstanceId(instance);
     give(event);
   }
-  /// Warm answers that make a server's pace known, with some to spare.
+  /// Number of warm answers after which a server's answer time is known, with
+  /// some margin.
   static constexpr uint64_t WarmAnswers = 40;
 
-  /// Answers requests one by one until server 1 uses all its slots and its pace
-  /// is known.
+  /// Answers requests one at a time until server 1 uses all its slots and its
+  /// answer time is known.
   void warm() {
-    // Ramped up, and then for long enough that its warm answers are known.
+    // Continues after the ramp until enough warm answers were recorded.
     uint64_t id = 9000;
     for (uint64_t last = 0; last == 0 || id < last; ++id) {
       give(request(id));
@@ -89,7 +90,8 @@
     }
     Dispatched.clear();
   }
-  /// The ending of a request; fails the test's expectations when there is none.
+  /// Returns the outcome of request \p id, or a default one if it has not
+  /// ended.
   Outcome ending(uint64_t id) const {
     auto it = Ended.find(id);
     return it == Ended.end() ? Outcome() : it->second;
@@ -98,7 +100,7 @@
   TimePoint Now{Duration(1'000'000)};
   ServersChanged Config;
   std::unique_ptr<ServiceOwner> Owner;
-  std::vector<std::string> *Journal = nullptr; // Gets all actions as lines.
+  std::vector<std::string> *Journal = nullptr; // Receives action lines.
   std::vector<uint64_t> Dispatched;
   std::vector<uint64_t> Cancelled;
   std::map<uint64_t, Outcome> Ended;
--- a/UnitTests/Decisions/ServiceOwnerTest.cpp
+++ b/UnitTests/Decisions/ServiceOwnerTest.cpp
@@ -12,7 +12,7 @@
 
 constexpr Duration Second{1'000'000};
 
-/// One story, the ending that request 1 must get, and how often it may have
+/// A scenario, the result that request 1 must get, and how often it must have
 /// been dispatched.
 struct EndingCase {
   const char *Name;
@@ -69,8 +69,8 @@
          f.end(1, DispatchEnd::Failed);
        },
        Ending::OutcomeUnknown, Reason::ServerFailed, 2},
-      // An earlier dispatch left, so the expiry of the retry in the queue must
-      // not become "not run".
+      // An earlier dispatch was sent, so the expiry of the queued retry must
+      // not be reported as "not run".
       {"ExpiredRetryIsUnknown",
        [](F &f) {
          f.give(again(1));
@@ -224,9 +224,9 @@
 
 class EndingTest : public testing::TestWithParam<EndingCase> {};
 
-// A caller is told how its request ended, once, and it must be true: after a
-// false "not run" a seller pays a second deposit, after a missing ending a
-// clerk waits in vain. Each case is one way a request can go.
+// Guards against missing, repeated or false results of requests: after a false
+// "not run" a deposit is paid twice, and without a result a clerk waits in
+// vain. Each case is one way in which a request can end.
 TEST_P(EndingTest, ReportsOneCorrectResult) {
   const EndingCase &test = GetParam();
   OwnerFixture fixture;
@@ -242,8 +242,8 @@
 INSTANTIATE_TEST_SUITE_P(Ways, EndingTest, testing::ValuesIn(endingCases()),
                          [](const auto &info) { return info.param.Name; });
 
-// A cancelled request still runs on its server. If its slot were free at once,
-// a cold server would get a second request and fall over: the owner counted
+// A cancelled request may still run on its server. If its slot were free at
+// once, a cold server would get a second request and crash: the owner counted
 // one, the server had two.
 TEST(ServiceOwnerTest, CancelledDispatchKeepsItsSlot) {
   OwnerFixture f;
@@ -256,9 +256,9 @@
   EXPECT_EQ(f.Dispatched, (std::vector<uint64_t>{1, 2}));
 }
 
-// A dispatch timed out, and the server goes on working on it. The next one
-// would be one more than a cold server bears, so the slot stays taken until
-// the bounded time is over.
+// A dispatch timed out, but the server continues working on it. Another request
+// would be more than a cold server can handle, so the slot stays occupied for a
+// bounded time.
 TEST(ServiceOwnerTest, TimedOutDispatchHoldsItsSlotForABoundedTime) {
   OwnerFixture f;
   f.give(OwnerFixture::request(1));
@@ -274,9 +274,9 @@
   EXPECT_LE(f.Now, TimePoint(Second * 2) + Second * 5);
 }
 
-// A cold server's health says "nothing in progress" while it still works on a
-// request that timed out. Were it believed, the next request would be one more
-// than the server bears.
+// A cold server's health report says "nothing in progress" while it still works
+// on a request that timed out. If the owner believed it, the next request would
+// be more than the server can handle.
 TEST(ServiceOwnerTest, HealthOfAColdServerFreesNoSlot) {
   OwnerFixture f;
   f.give(OwnerFixture::request(1));
@@ -287,8 +287,9 @@
   EXPECT_EQ(f.Owner->report(f.Now)[0].Abandoned, 1U);
 }
 
-// A server's health is stuck at "not ready", but it answers well. Taken at its
-// word each second it would never get more than one request at a time.
+// A server's health report is stuck at "not ready", but it answers well. If
+// each report reset the ramp, the server would never get more than one request
+// at a time.
 TEST(ServiceOwnerTest, HealthStuckAtNotReadySlowsTheRampOnce) {
   OwnerFixture f;
   f.warm();
@@ -304,8 +305,9 @@
   EXPECT_EQ(f.Owner->report(f.Now)[0].Limit, 2U);
 }
 
-// A server is handed over while the old owner's two requests still run there.
-// The new owner filled both slots at once, and the server shed what came.
+// A server is handed over while two requests of the previous owner still run
+// there. The new owner used both slots at once, and the server shed the
+// requests.
 TEST(ServiceOwnerTest, InheritedWorkHoldsItsSlots) {
   OwnerFixture f;
   OwnedServer handed = f.Config.Servers[0];
@@ -318,15 +320,15 @@
   EXPECT_EQ(f.Owner->report(f.Now)[0].Abandoned, 2U);
   f.give(OwnerFixture::request(1));
   EXPECT_TRUE(f.Dispatched.empty());
-  // Bounded: the old owner's word may be out of date.
+  // The hold is bounded, since the previous owner's count may be out of date.
   f.Now += 3 * Second;
   f.give(Ticked());
   f.give(OwnerFixture::request(2));
   EXPECT_EQ(f.Dispatched.size(), 1U);
 }
 
-// A daemon leaves. Its callers' requests must end before it goes, so it is
-// idle only when nothing runs any more.
+// A daemon shuts down. Its callers' requests must end before it exits, so it is
+// idle only when nothing is running.
 TEST(ServiceOwnerTest, IdleOnceAllHaveEnded) {
   OwnerFixture f;
   f.give(OwnerFixture::request(1));
@@ -336,9 +338,9 @@
   EXPECT_TRUE(f.Owner->idle());
 }
 
-// Two plans from callers that nobody knew take both slots, and a lookup waits.
-// When it shows that they are plans, the lookup is told at once, so that it can
-// go elsewhere; kept waiting, it was refused at the end of its time.
+// Two long requests from unknown callers occupy both slots, and a lookup is
+// queued. Once they are recognised as long work, the lookup is refused at once,
+// so that it can go elsewhere; otherwise it was refused only at its deadline.
 TEST(ServiceOwnerTest, QueuedRequestIsRefusedWhenLongWorkShows) {
   OwnerFixture f;
   f.warm();
@@ -355,8 +357,8 @@
   EXPECT_LE(f.Now - arrived, Second / 2);
 }
 
-// Hundreds are refused in the same second. If all were told the same time they
-// would return as one herd and be refused again.
+// Hundreds of requests are refused in the same second. With the same retry time
+// for all they would return as one burst and be refused again.
 TEST(ServiceOwnerTest, RefusedCallersComeBackSpreadOut) {
   OwnerFixture f;
   f.warm();
@@ -372,19 +374,20 @@
   ASSERT_GT(after.size(), 100U);
   EXPECT_GE(after.front(), Duration(50'000));
   EXPECT_GT(after.back() - after.front(), Second * 2);
-  // No more come back in 100 ms than two slots can answer in ten times that.
+  // No more return in 100 ms than two slots can answer in ten times that.
   for (size_t n = 40; n < after.size(); ++n)
     EXPECT_GT(after[n] - after[n - 40], Duration(100'000));
 }
 
-/// Plays a random story and checks at each step what must always hold.
+/// Runs a random sequence of events and checks the invariants at each step.
 void runRandomScenario(uint64_t seed, std::vector<std::string> *log) {
   SeededRandom random(seed);
   OwnerFixture f(OwnerSettings(), 2);
   f.Journal = log;
-  std::map<uint64_t, uint32_t> running; // Server of each open dispatch.
+  std::map<uint64_t, uint32_t> running; // Server of each running dispatch.
   std::map<uint64_t, uint32_t> starts;
-  std::map<uint64_t, bool> left; // A dispatch ended as Failed or Answered.
+  // Requests of which a dispatch ended as Failed or Answered.
+  std::map<uint64_t, bool> left;
   std::set<uint64_t> once;
   uint64_t next = 1;
   bool may = true;
@@ -443,7 +446,7 @@
     }
     absorb();
   }
-  // Let all that runs end, and all that waits expire.
+  // Lets running requests end and queued requests expire.
   for (int n = 0; n < 1000 && !f.Owner->idle(); ++n) {
     absorb();
     std::map<uint64_t, uint32_t> open;
@@ -464,9 +467,9 @@
   }
 }
 
-// Whatever comes in whatever order: never over the slots, no dispatch without
-// authority, nothing lost, each request ended exactly once, and "not run" only
-// for what never left.
+// For any sequence of events, the slots are never exceeded, nothing is
+// dispatched without authority, no request is lost, each ends exactly once, and
+// "not run" is reported only if no dispatch was sent.
 TEST(ServiceOwnerProperty, HoldsInRandomScenarios) {
   rc::detail::TestParams params;
   params.seed = 20240901;
@@ -477,7 +480,7 @@
   EXPECT_TRUE(result.is<rc::detail::SuccessResult>());
 }
 
-// A replay must come to the same decisions, or its verdict says nothing.
+// A replay must make the same decisions, or its result is meaningless.
 TEST(ServiceOwnerProperty, SameEventsSameDecisions) {
   std::vector<std::string> first;
   std::vector<std::string> second;
