--- a/Balsamrack/Decisions/ServiceOwner.cpp
+++ b/Balsamrack/Decisions/ServiceOwner.cpp
@@ -12,7 +12,7 @@
     return bad;
   if (service.empty())
     return makeError(absl::StatusCode::kInvalidArgument, Step::ReadSettings, "",
-                     "a service owner needs a service");
+                     "the service id is empty");
   return std::make_unique<ServersOfService>(settings, std::move(service), seed);
 }
 
