--- a/Balsamrack/Daemon/ControlPart.cpp
+++ b/Balsamrack/Daemon/ControlPart.cpp
@@ -356,8 +356,8 @@
   return route;
 }
 
-GuardianView ControlPart::guardians(TimePoint now) const {
-  GuardianView view;
+KeyReplicaView ControlPart::guardians(TimePoint now) const {
+  KeyReplicaView view;
   for (const auto &[id, member] : Members->members()) {
     if (member.Record.State == MemberState::Dead ||
         member.Record.State == MemberState::Left)
@@ -376,7 +376,7 @@
   RoutingView view;
   view.Ticket = configuration->highest();
   view.Self = Settings.Self;
-  view.Guardians = guardians(now);
+  view.KeyReplicas = guardians(now);
   const OwnershipMap map = OwnershipMap::create(Members->members());
   for (const auto &[id, service] : configuration->services()) {
     ServiceRoute &route = view.Services[id];
--- a/Balsamrack/Daemon/ControlPart.h
+++ b/Balsamrack/Daemon/ControlPart.h
@@ -117,7 +117,7 @@
   RoutedServer routed(const BackendServer &server,
                       const ConfigurationView &view,
                       const OwnershipMap &map) const;
-  GuardianView guardians(TimePoint now) const;
+  KeyReplicaView guardians(TimePoint now) const;
 
   void settle();     ///< Called without any lock.
   void applyOwned(); ///< Called with ApplyLock.
--- a/Balsamrack/Daemon/Daemon.cpp
+++ b/Balsamrack/Daemon/Daemon.cpp
@@ -37,10 +37,10 @@
 EntryPartSettings entryOf(const Settings &values, uint64_t seed) {
   EntryPartSettings settings;
   settings.Router.TokenKey = values.Peers.FleetKey;
-  settings.Router.GuardianCount = values.Keys.Guardians;
+  settings.Router.KeyReplicaCount = values.Keys.Guardians;
   settings.Router.KeyMemory = values.Keys.Memory;
   settings.Router.AssumeNoEarlierKeys = values.Keys.AssumeNoEarlierKeysAtStart;
-  settings.Router.WhenCut = values.Keys.WhenCut;
+  settings.Router.OnUnreachableReplica = values.Keys.WhenCut;
   settings.PortOffset = values.Callers.PortOffset;
   settings.MaxInProgress = values.Callers.MaxInProgress;
   settings.Seed = seed;
@@ -105,12 +105,12 @@
   if (!ownerFlows.ok())
     return ownerFlows.status();
   Flows = std::move(*ownerFlows);
-  KeyGuardSettings keys;
-  keys.GuardianCount = Values.Keys.Guardians;
+  KeyStoreSettings keys;
+  keys.KeyReplicaCount = Values.Keys.Guardians;
   keys.KeyMemory = Values.Keys.Memory;
   keys.AssumeNoEarlierKeys = Values.Keys.AssumeNoEarlierKeysAtStart;
   keys.MaxKeys = Values.Keys.MaxKeys;
-  auto guard = KeyGuard::create(keys, Time.now());
+  auto guard = KeyStore::create(keys, Time.now());
   if (!guard.ok())
     return guard.status();
   Keys = std::move(*guard);
@@ -304,13 +304,13 @@
   const auto view = Control->view();
   if (!view)
     return;
-  GuardianView others = view->Guardians;
+  KeyReplicaView others = view->KeyReplicas;
   others.Members.erase(
       std::remove_if(others.Members.begin(), others.Members.end(),
                      [&](const EntryVm &it) { return it.Id == Self.Id; }),
       others.Members.end());
   for (auto &it :
-       Keys->handOver(Time.now(), others, Self.Id, Run, KeysPerMessage))
+       Keys->exportKeys(Time.now(), others, Self.Id, Run, KeysPerMessage))
     send(it.To, std::move(it.Batch)).IgnoreError();
 }
 
@@ -379,15 +379,16 @@
     Flows->learn(Time.now(), *it);
   } else if (const auto *it = std::get_if<KeyClaim>(&message)) {
     const auto view = Control->view();
-    send(from, Keys->claim(Time.now(), *it,
-                           view ? view->Guardians : GuardianView(), Self.Id))
+    send(from,
+         Keys->claim(Time.now(), *it,
+                     view ? view->KeyReplicas : KeyReplicaView(), Self.Id))
         .IgnoreError();
   } else if (const auto *it = std::get_if<KeyReply>(&message)) {
     Entry->onKeyReply(from.Id, *it);
   } else if (const auto *it = std::get_if<KeySettled>(&message)) {
     Keys->settle(Time.now(), *it);
   } else if (const auto *it = std::get_if<KeysHandedOver>(&message)) {
-    Keys->learn(Time.now(), *it);
+    Keys->importKeys(Time.now(), *it);
   } else {
     Control->onMessage(from, message);
   }
--- a/Balsamrack/Daemon/Daemon.h
+++ b/Balsamrack/Daemon/Daemon.h
@@ -14,7 +14,7 @@
 #include "Balsamrack/Daemon/OwnerPart.h"
 #include "Balsamrack/Daemon/ReaderPart.h"
 #include "Balsamrack/Daemon/Witness.h"
-#include "Balsamrack/Flows/KeyGuard.h"
+#include "Balsamrack/Flows/KeyStore.h"
 #include "Balsamrack/Peers/PeerTransport.h"
 #include "Balsamrack/Settings/Settings.h"
 
@@ -75,7 +75,7 @@
   std::unique_ptr<ConfigurationStore> Store;
   std::unique_ptr<OwnershipFence> Fence;
   std::unique_ptr<OwnerFlows> Flows;
-  std::unique_ptr<KeyGuard> Keys;
+  std::unique_ptr<KeyStore> Keys;
   std::unique_ptr<ServerLink> Servers;
   std::unique_ptr<OwnerPart> Owner;
   std::unique_ptr<EntryPart> Entry;
--- a/Balsamrack/Flows/EntryPlacement.cpp
+++ b/Balsamrack/Flows/EntryPlacement.cpp
@@ -42,20 +42,21 @@
 }
 
 void EntryRouter::State::sendClaims(EntryPacket &p) {
-  for (const EntryVm &vm : p.Keys.update(p.Head.Key, View->Guardians, Settings))
+  for (const EntryVm &vm :
+       p.Keys.updateReplicas(p.Head.Key, View->KeyReplicas, Settings))
     Actions.emplace_back(SendClaim{vm, {p.Head.Key, p.Head.Request}});
   wakeAt(p, std::min(p.Deadline, Now + Settings.ClaimTimeout));
 }
 
 void EntryRouter::State::repeatClaims(EntryPacket &p) {
-  for (const EntryVm &vm : p.Keys.askAgain())
+  for (const EntryVm &vm : p.Keys.resetForResend())
     Actions.emplace_back(SendClaim{vm, {p.Head.Key, p.Head.Request}});
   wakeAt(p, std::min(p.Deadline, Now + Settings.ClaimTimeout));
   judgeKeys(p);
 }
 
 void EntryRouter::State::judgeKeys(EntryPacket &p) {
-  KeyClaims::Result result = p.Keys.judge(Settings);
+  KeyClaims::Result result = p.Keys.evaluate(Settings);
   if (result == KeyClaims::Result::Waiting)
     return;
   if (result == KeyClaims::Result::Run) {
@@ -67,20 +68,21 @@
   // passes on, or this daemon has just started and met nobody. A moment later
   // there is somebody who can vouch.
   if (Now < p.ClaimUntil &&
-      p.Keys.mayStillBeGranted(View->Guardians, Settings)) {
+      p.Keys.mayBecomeGranted(View->KeyReplicas, Settings)) {
     p.AskAgain = true;
     return wakeAt(p, std::min(p.Deadline, Now + Settings.ClaimRepeat));
   }
-  Reason why = p.Keys.why();
+  Reason why = p.Keys.refusalReason();
   explain(p, DecisionKind::KeyJudged, reasonName(why),
-          p.Keys.anyUnanswered() ? "a guardian gave no answer" : "may not run",
+          p.Keys.hasMissingReply() ? "a guardian gave no answer"
+                                   : "may not run",
           {}, {});
   // True, and better for the caller than "unknown": it may simply come back.
-  if (p.Keys.provedNew(Settings))
+  if (p.Keys.isProvenNotRun(Settings))
     return end(p, Ending::NotRun, why, {}, spread(), "key-proved-new");
   // Coming back helps when another attempt is under way or a guardian was out
   // of reach; a key whose guardians are all fresh stays unknown for long.
-  bool comeBack = why == Reason::KeyInProgress || p.Keys.anyUnanswered();
+  bool comeBack = why == Reason::KeyInProgress || p.Keys.hasMissingReply();
   end(p, Ending::OutcomeUnknown, why, {}, comeBack ? spread() : Duration(0),
       "idempotency-key");
 }
@@ -197,7 +199,7 @@
 }
 
 void EntryRouter::State::concludeSearch(EntryPacket &p) {
-  FlowSearch::Conclusion conclusion = p.Search.judge();
+  FlowSearch::Conclusion conclusion = p.Search.evaluate();
   switch (conclusion) {
   case FlowSearch::Conclusion::Pending:
     return;
--- a/Balsamrack/Flows/EntryRouter.cpp
+++ b/Balsamrack/Flows/EntryRouter.cpp
@@ -118,7 +118,7 @@
   EntryPacket *p = find(event.Reply.Request);
   if (p && p->Now == EntryPacket::Phase::Asking &&
       event.Reply.Flow == p->Head.Flow &&
-      p->Search.answered(event.From, event.Reply, View->Ticket))
+      p->Search.recordReply(event.From, event.Reply, View->Ticket))
     concludeSearch(*p);
 }
 
@@ -126,7 +126,7 @@
   EntryPacket *p = find(event.Reply.Request);
   if (p && p->Now == EntryPacket::Phase::Claiming &&
       event.Reply.Key == p->Head.Key &&
-      p->Keys.answered(event.From, event.Reply.Verdict))
+      p->Keys.recordReply(event.From, event.Reply.Verdict))
     judgeKeys(*p);
 }
 
@@ -134,10 +134,10 @@
   for (RequestId id : requests()) {
     EntryPacket &p = *find(id);
     if (p.Now == EntryPacket::Phase::Claiming) {
-      if (p.Keys.noAnswer(event.Peer))
+      if (p.Keys.recordNoReply(event.Peer))
         judgeKeys(p);
     } else if (p.Now == EntryPacket::Phase::Asking) {
-      if (p.Search.noAnswer(event.Peer))
+      if (p.Search.recordNoReply(event.Peer))
         concludeSearch(p);
     } else if (p.Now == EntryPacket::Phase::Forwarded &&
                p.Unanswered->To.Id == event.Peer) {
@@ -151,10 +151,10 @@
   if (!p)
     return;
   if (p->Now == EntryPacket::Phase::Claiming) {
-    if (p->Keys.noAnswer(event.Peer))
+    if (p->Keys.recordNoReply(event.Peer))
       judgeKeys(*p);
   } else if (p->Now == EntryPacket::Phase::Asking) {
-    if (p->Search.noAnswer(event.Peer))
+    if (p->Search.recordNoReply(event.Peer))
       concludeSearch(*p);
   } else if (p->Now == EntryPacket::Phase::Forwarded &&
              p->Unanswered->To.Id == event.Peer) {
@@ -192,10 +192,10 @@
   if (p.Now == EntryPacket::Phase::Claiming) {
     if (std::exchange(p.AskAgain, false))
       return repeatClaims(p);
-    p.Keys.timedOut();
+    p.Keys.recordTimeout();
     return judgeKeys(p);
   }
-  p.Search.timedOut();
+  p.Search.recordTimeout();
   concludeSearch(p);
 }
 
@@ -211,7 +211,7 @@
   if (!p.claimsKey())
     return;
   Ending told = provablyNotRun(how) ? Ending::NotRun : how;
-  for (const EntryVm &vm : p.Keys.claimed())
+  for (const EntryVm &vm : p.Keys.claimedReplicas())
     Actions.emplace_back(SendSettled{vm, {p.Head.Key, p.Head.Request, told}});
 }
 
--- a/Balsamrack/Flows/EntrySettings.cpp
+++ b/Balsamrack/Flows/EntrySettings.cpp
@@ -11,7 +11,7 @@
   };
   if (MaxTries == 0)
     return wrong("entry: max tries must be at least 1");
-  if (GuardianCount == 0)
+  if (KeyReplicaCount == 0)
     return wrong("entry: guardian count must be at least 1");
   if (QuestionTimeout <= Duration::zero() || ClaimTimeout <= Duration::zero() ||
       RetryAfter <= Duration::zero() || Linger < Duration::zero())
--- a/Balsamrack/Flows/EntrySettings.h
+++ b/Balsamrack/Flows/EntrySettings.h
@@ -10,7 +10,7 @@
 namespace balsamrack {
 
 /// What an entry does with a key when a guardian can't be reached.
-enum class KeyPolicy {
+enum class UnreachableReplicaPolicy {
   Refuse,           ///< Say that the outcome is unknown (at most once holds).
   RunWithReachable, ///< Run on the word of those reached; during a cut the same
                     ///< key may run once on each side.
@@ -38,13 +38,14 @@
       50'000}; ///< Between claims while a guardian hands over what it knows: a
                ///< hand-over takes some milliseconds, updates of who has left
                ///< up to a probe's period. Ends with ClaimTimeout.
-  uint32_t GuardianCount = 2; ///< Guardians of a key: survives one death.
+  uint32_t KeyReplicaCount = 2; ///< Guardians of a key: survives one death.
   Duration KeyMemory{
       600'000'000}; ///< Guardians remember keys for so long; requests with a
                     ///< key get at most half of it to run.
   bool AssumeNoEarlierKeys =
       false; ///< First installation: no key can have run before.
-  KeyPolicy WhenCut = KeyPolicy::Refuse; ///< A guardian can't be reached.
+  UnreachableReplicaPolicy OnUnreachableReplica =
+      UnreachableReplicaPolicy::Refuse; ///< A guardian can't be reached.
   double RetryRatio =
       0.2; ///< Retries let through per packet, so that a service that refuses
            ///< everything sees at most a fifth more packets.
--- a/Balsamrack/Flows/FlowMessages.h
+++ b/Balsamrack/Flows/FlowMessages.h
@@ -90,10 +90,11 @@
   bool Complete = false;   ///< The last message: Total keys were sent to the
                            ///< receiver, and the sender answers no more claims.
   uint32_t Total = 0;      ///< Keys in all messages to the receiver.
-  bool Vouches = false;    ///< The sender had been up for the key memory, or no
-                           ///< key ran before it started.
-  std::vector<VmId> Among; ///< All daemons of the key memory, present and
-                           ///< departed, as the sender knew them.
+  bool SenderHasFullHistory =
+      false; ///< The sender had been up for the key memory, or no
+             ///< key ran before it started.
+  std::vector<VmId> KnownDaemons; ///< All daemons of the key memory, present
+                                  ///< and departed, as the sender knew them.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Flows/FlowSearch.cpp
+++ b/Balsamrack/Flows/FlowSearch.cpp
@@ -76,8 +76,8 @@
   return owners;
 }
 
-bool FlowSearch::answered(const VmId &from, const FlowReply &reply,
-                          TicketNumber inForce) {
+bool FlowSearch::recordReply(const VmId &from, const FlowReply &reply,
+                             TicketNumber inForce) {
   bool awaited = false;
   for (Target &it : Targets) {
     if (it.Owner.Id != from || it.Now != State::Asked)
@@ -92,7 +92,7 @@
   return awaited;
 }
 
-bool FlowSearch::noAnswer(const VmId &from) {
+bool FlowSearch::recordNoReply(const VmId &from) {
   bool awaited = false;
   for (Target &it : Targets) {
     if (it.Owner.Id != from || it.Now != State::Asked)
@@ -103,7 +103,7 @@
   return awaited;
 }
 
-void FlowSearch::timedOut() {
+void FlowSearch::recordTimeout() {
   for (Target &it : Targets)
     if (it.Now == State::Asked)
       it.Now = State::Silent;
@@ -116,7 +116,7 @@
   return nullptr;
 }
 
-FlowSearch::Conclusion FlowSearch::judge() const {
+FlowSearch::Conclusion FlowSearch::evaluate() const {
   if (!Home.empty())
     return Conclusion::Found;
   for (const Target &it : Targets)
--- a/Balsamrack/Flows/FlowSearch.h
+++ b/Balsamrack/Flows/FlowSearch.h
@@ -46,13 +46,14 @@
   std::vector<EntryVm> askNext();
   /// Notes an answer; false when it was not asked for or came before.
   /// \p inForce is the highest ticket in force here.
-  bool answered(const VmId &from, const FlowReply &reply, TicketNumber inForce);
+  bool recordReply(const VmId &from, const FlowReply &reply,
+                   TicketNumber inForce);
   /// Notes that no answer will come; false when none was awaited.
-  bool noAnswer(const VmId &from);
+  bool recordNoReply(const VmId &from);
   /// Notes that no answer came in time from those still awaited.
-  void timedOut();
+  void recordTimeout();
   /// Judges the answers so far.
-  Conclusion judge() const;
+  Conclusion evaluate() const;
   /// The server concerned. Precondition: judge() says that there is one.
   const ServerId &server() const;
 
--- a/Balsamrack/Flows/KeyClaims.cpp
+++ b/Balsamrack/Flows/KeyClaims.cpp
@@ -2,18 +2,18 @@
 
 #include <algorithm>
 
-#include "Balsamrack/Flows/KeyGuard.h"
+#include "Balsamrack/Flows/KeyStore.h"
 
 namespace balsamrack {
 
 namespace {
 
-bool isMember(const GuardianView &view, const VmId &vm) {
+bool isMember(const KeyReplicaView &view, const VmId &vm) {
   return std::any_of(view.Members.begin(), view.Members.end(),
                      [&](const EntryVm &it) { return it.Id == vm; });
 }
 
-bool isUnreachable(const GuardianView &view, const VmId &vm) {
+bool isUnreachable(const KeyReplicaView &view, const VmId &vm) {
   return std::find(view.Unreachable.begin(), view.Unreachable.end(), vm) !=
          view.Unreachable.end();
 }
@@ -24,105 +24,107 @@
 
 } // namespace
 
-std::vector<EntryVm> KeyClaims::update(const KeyDigest &key,
-                                       const GuardianView &view,
-                                       const EntrySettings &settings) {
+std::vector<EntryVm> KeyClaims::updateReplicas(const KeyDigest &key,
+                                               const KeyReplicaView &view,
+                                               const EntrySettings &settings) {
   // A guardian that died without an answer can't object any more.
-  for (Guardian &it : Guardians)
-    if (it.Now != State::Answered && !isMember(view, it.Vm.Id))
-      it.Now = State::Dead;
-  bool anyCut = false;
-  size_t before = Guardians.size();
+  for (Replica &it : Replicas)
+    if (it.Status != State::Answered && !isMember(view, it.Vm.Id))
+      it.Status = State::Dead;
+  bool anyUnreachable = false;
+  size_t before = Replicas.size();
   for (const EntryVm &vm :
-       guardiansOf(key, view.Members, settings.GuardianCount)) {
+       keyReplicas(key, view.Members, settings.KeyReplicaCount)) {
     if (find(vm.Id))
       continue;
-    bool cut = isUnreachable(view, vm.Id);
-    anyCut = anyCut || cut;
-    Guardians.push_back({vm, cut ? State::NoAnswer : State::Waiting,
-                         KeyVerdict::InProgress, false});
+    bool unreachable = isUnreachable(view, vm.Id);
+    anyUnreachable = anyUnreachable || unreachable;
+    Replicas.push_back({vm, unreachable ? State::NoAnswer : State::Waiting,
+                        KeyVerdict::InProgress, false});
   }
   // Refused for as long as the cut lasts: then nobody needs to be bothered, and
   // a caller that was told "not run" would come back again and again in vain.
-  std::vector<EntryVm> toAsk;
-  if (anyCut && settings.WhenCut == KeyPolicy::Refuse) {
-    for (size_t i = before; i < Guardians.size(); ++i)
-      Guardians[i].Now = State::NoAnswer;
-    return toAsk;
+  std::vector<EntryVm> toSend;
+  if (anyUnreachable &&
+      settings.OnUnreachableReplica == UnreachableReplicaPolicy::Refuse) {
+    for (size_t i = before; i < Replicas.size(); ++i)
+      Replicas[i].Status = State::NoAnswer;
+    return toSend;
   }
-  for (size_t i = before; i < Guardians.size(); ++i) {
-    Guardian &it = Guardians[i];
-    if (it.Now != State::Waiting)
+  for (size_t i = before; i < Replicas.size(); ++i) {
+    Replica &it = Replicas[i];
+    if (it.Status != State::Waiting)
       continue;
     it.Sent = true;
-    toAsk.push_back(it.Vm);
+    toSend.push_back(it.Vm);
   }
-  return toAsk;
+  return toSend;
 }
 
-KeyClaims::Guardian *KeyClaims::find(const VmId &vm) {
-  for (Guardian &it : Guardians)
+KeyClaims::Replica *KeyClaims::find(const VmId &vm) {
+  for (Replica &it : Replicas)
     if (it.Vm.Id == vm)
       return &it;
   return nullptr;
 }
 
-bool KeyClaims::answered(const VmId &from, KeyVerdict verdict) {
-  Guardian *g = find(from);
-  if (!g || g->Now == State::Answered || !g->Sent)
+bool KeyClaims::recordReply(const VmId &from, KeyVerdict verdict) {
+  Replica *g = find(from);
+  if (!g || g->Status == State::Answered || !g->Sent)
     return false;
-  g->Now = verdict == KeyVerdict::Unable ? State::NoAnswer : State::Answered;
+  g->Status = verdict == KeyVerdict::Unable ? State::NoAnswer : State::Answered;
   g->Verdict = verdict;
   return true;
 }
 
-bool KeyClaims::noAnswer(const VmId &from) {
-  Guardian *g = find(from);
-  if (!g || g->Now != State::Waiting)
+bool KeyClaims::recordNoReply(const VmId &from) {
+  Replica *g = find(from);
+  if (!g || g->Status != State::Waiting)
     return false;
-  g->Now = State::NoAnswer;
+  g->Status = State::NoAnswer;
   return true;
 }
 
-void KeyClaims::timedOut() {
-  for (Guardian &it : Guardians)
-    if (it.Now == State::Waiting)
-      it.Now = State::NoAnswer;
+void KeyClaims::recordTimeout() {
+  for (Replica &it : Replicas)
+    if (it.Status == State::Waiting)
+      it.Status = State::NoAnswer;
 }
 
-bool KeyClaims::isUnable(const Guardian &guardian) {
-  return guardian.Sent && guardian.Now == State::NoAnswer &&
-         guardian.Verdict == KeyVerdict::Unable;
+bool KeyClaims::isUnable(const Replica &replica) {
+  return replica.Sent && replica.Status == State::NoAnswer &&
+         replica.Verdict == KeyVerdict::Unable;
 }
 
-const KeyClaims::Guardian *KeyClaims::firstThatKnows() const {
-  for (const Guardian &it : Guardians)
-    if (it.Now == State::Answered && knowsKey(it.Verdict))
+const KeyClaims::Replica *KeyClaims::findReplicaKnowingKey() const {
+  for (const Replica &it : Replicas)
+    if (it.Status == State::Answered && knowsKey(it.Verdict))
       return &it;
   return nullptr;
 }
 
-bool KeyClaims::anyUnanswered() const {
-  return std::any_of(Guardians.begin(), Guardians.end(), [](const Guardian &g) {
-    return g.Now == State::NoAnswer;
+bool KeyClaims::hasMissingReply() const {
+  return std::any_of(Replicas.begin(), Replicas.end(), [](const Replica &g) {
+    return g.Status == State::NoAnswer;
   });
 }
 
-KeyClaims::Result KeyClaims::judge(const EntrySettings &settings) const {
+KeyClaims::Result KeyClaims::evaluate(const EntrySettings &settings) const {
   // One guardian that knows the key is enough to refuse.
-  if (firstThatKnows())
+  if (findReplicaKnowingKey())
     return Result::Refuse;
   bool granted = false;
   bool fresh = false;
-  for (const Guardian &it : Guardians) {
-    if (it.Now == State::Waiting)
+  for (const Replica &it : Replicas) {
+    if (it.Status == State::Waiting)
       return Result::Waiting;
-    if (it.Now != State::Answered)
+    if (it.Status != State::Answered)
       continue;
     granted = granted || it.Verdict == KeyVerdict::Granted;
     fresh = fresh || it.Verdict == KeyVerdict::Fresh;
   }
-  if (anyUnanswered() && settings.WhenCut == KeyPolicy::Refuse)
+  if (hasMissingReply() &&
+      settings.OnUnreachableReplica == UnreachableReplicaPolicy::Refuse)
     return Result::Refuse;
   // Fresh guardians alone prove nothing: the ones before them took the key's
   // history with them. Without this rule the death of all guardians of a key
@@ -132,49 +134,50 @@
   return Result::Refuse;
 }
 
-bool KeyClaims::provedNew(const EntrySettings &settings) const {
+bool KeyClaims::isProvenNotRun(const EntrySettings &settings) const {
   // Under the policy Refuse every run had each guardian's word, so one that
   // would know of a run and doesn't proves that there was none. Under the other
   // policy the key may have run on the far side of a cut.
-  return settings.WhenCut == KeyPolicy::Refuse && !firstThatKnows() &&
-         std::any_of(Guardians.begin(), Guardians.end(),
-                     [](const Guardian &it) {
-                       return it.Now == State::Answered &&
-                              it.Verdict == KeyVerdict::Granted;
-                     });
+  return settings.OnUnreachableReplica == UnreachableReplicaPolicy::Refuse &&
+         !findReplicaKnowingKey() &&
+         std::any_of(Replicas.begin(), Replicas.end(), [](const Replica &it) {
+           return it.Status == State::Answered &&
+                  it.Verdict == KeyVerdict::Granted;
+         });
 }
 
-Reason KeyClaims::why() const {
-  const Guardian *g = firstThatKnows();
+Reason KeyClaims::refusalReason() const {
+  const Replica *g = findReplicaKnowingKey();
   if (!g || g->Verdict == KeyVerdict::Unknown)
     return Reason::KeyUnknown;
   return g->Verdict == KeyVerdict::Answered ? Reason::KeyAnswered
                                             : Reason::KeyInProgress;
 }
 
-bool KeyClaims::mayStillBeGranted(const GuardianView &view,
-                                  const EntrySettings &settings) const {
-  if (firstThatKnows())
+bool KeyClaims::mayBecomeGranted(const KeyReplicaView &view,
+                                 const EntrySettings &settings) const {
+  if (findReplicaKnowingKey())
     return false;
-  return view.Members.size() < settings.GuardianCount ||
-         std::any_of(Guardians.begin(), Guardians.end(), isUnable);
+  return view.Members.size() < settings.KeyReplicaCount ||
+         std::any_of(Replicas.begin(), Replicas.end(), isUnable);
 }
 
-std::vector<EntryVm> KeyClaims::askAgain() {
-  std::vector<EntryVm> toAsk;
-  for (Guardian &it : Guardians) {
-    bool fresh = it.Now == State::Answered && it.Verdict == KeyVerdict::Fresh;
+std::vector<EntryVm> KeyClaims::resetForResend() {
+  std::vector<EntryVm> toSend;
+  for (Replica &it : Replicas) {
+    bool fresh =
+        it.Status == State::Answered && it.Verdict == KeyVerdict::Fresh;
     if (!isUnable(it) && !fresh)
       continue;
-    it.Now = State::Waiting;
-    toAsk.push_back(it.Vm);
+    it.Status = State::Waiting;
+    toSend.push_back(it.Vm);
   }
-  return toAsk;
+  return toSend;
 }
 
-std::vector<EntryVm> KeyClaims::claimed() const {
+std::vector<EntryVm> KeyClaims::claimedReplicas() const {
   std::vector<EntryVm> vms;
-  for (const Guardian &it : Guardians)
+  for (const Replica &it : Replicas)
     if (it.Sent)
       vms.push_back(it.Vm);
   return vms;
--- a/Balsamrack/Flows/KeyClaims.h
+++ b/Balsamrack/Flows/KeyClaims.h
@@ -30,49 +30,50 @@
   /// Adds the key's guardians of \p view that were not claimed from before, and
   /// takes those that are no longer members for dead. Returns the guardians to
   /// send a claim to.
-  std::vector<EntryVm> update(const KeyDigest &key, const GuardianView &view,
-                              const EntrySettings &settings);
+  std::vector<EntryVm> updateReplicas(const KeyDigest &key,
+                                      const KeyReplicaView &view,
+                                      const EntrySettings &settings);
   /// Notes an answer; false when it was not asked for or came before.
-  bool answered(const VmId &from, KeyVerdict verdict);
+  bool recordReply(const VmId &from, KeyVerdict verdict);
   /// Notes that no answer will come; false when none was awaited.
-  bool noAnswer(const VmId &from);
+  bool recordNoReply(const VmId &from);
   /// Notes that no answer came in time from those still awaited.
-  void timedOut();
+  void recordTimeout();
   /// Judges the answers so far.
-  Result judge(const EntrySettings &settings) const;
+  Result evaluate(const EntrySettings &settings) const;
   /// Why the request may not run. Precondition: judge() said Refuse.
-  Reason why() const;
+  Reason refusalReason() const;
   /// True when a guardian gave its word that no earlier attempt ran, though the
   /// request may not run for want of another's. Precondition: judge() said
   /// Refuse.
-  bool provedNew(const EntrySettings &settings) const;
+  bool isProvenNotRun(const EntrySettings &settings) const;
   /// True when a guardian that may be alive gave no answer.
-  bool anyUnanswered() const;
+  bool hasMissingReply() const;
   /// True when updates that are under way may still turn Refuse into Run: a
   /// guardian leaves and is handing over what it knows, or this daemon has just
   /// started and knows of fewer daemons than a key has guardians. \p view is
   /// the present one.
-  bool mayStillBeGranted(const GuardianView &view,
-                         const EntrySettings &settings) const;
+  bool mayBecomeGranted(const KeyReplicaView &view,
+                        const EntrySettings &settings) const;
   /// Forgets the answers that such updates may change. Returns the guardians to
   /// send the same claim to once more.
-  std::vector<EntryVm> askAgain();
+  std::vector<EntryVm> resetForResend();
   /// All guardians that a claim was sent to.
-  std::vector<EntryVm> claimed() const;
+  std::vector<EntryVm> claimedReplicas() const;
 
 private:
   enum class State { Waiting, NoAnswer, Dead, Answered };
-  struct Guardian {
+  struct Replica {
     EntryVm Vm;
-    State Now = State::Waiting;
+    State Status = State::Waiting;
     KeyVerdict Verdict = KeyVerdict::InProgress; ///< Set when Answered.
     bool Sent = false;                           ///< A claim left for it.
   };
-  Guardian *find(const VmId &vm);
-  static bool isUnable(const Guardian &guardian);
-  const Guardian *firstThatKnows() const;
+  Replica *find(const VmId &vm);
+  static bool isUnable(const Replica &replica);
+  const Replica *findReplicaKnowingKey() const;
 
-  std::vector<Guardian> Guardians;
+  std::vector<Replica> Replicas;
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Flows/KeyGuard.cpp
+++ b/Balsamrack/Flows/KeyStore.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Flows/KeyGuard.h"
+#include "Balsamrack/Flows/KeyStore.h"
 
 #include <algorithm>
 #include <deque>
@@ -12,19 +12,19 @@
 
 namespace {
 
-uint64_t costOf(const KeyDigest &key, const VmId &vm) {
+uint64_t rankHash(const KeyDigest &key, const VmId &vm) {
   return combineHash(combineHash(key.High, key.Low), vm.hash());
 }
 
 /// Does \p a come before \p b in the key's order?
 bool ranksBefore(const KeyDigest &key, const VmId &a, const VmId &b) {
-  uint64_t ca = costOf(key, a);
-  uint64_t cb = costOf(key, b);
+  uint64_t ca = rankHash(key, a);
+  uint64_t cb = rankHash(key, b);
   return ca != cb ? ca < cb : a < b;
 }
 
 /// All daemons of the key memory, present and departed.
-std::set<VmId> everybody(const GuardianView &view) {
+std::set<VmId> knownDaemons(const KeyReplicaView &view) {
   std::set<VmId> all(view.RecentlyDeparted.begin(),
                      view.RecentlyDeparted.end());
   for (const EntryVm &it : view.Members)
@@ -47,7 +47,7 @@
 
 } // namespace
 
-std::vector<EntryVm> guardiansOf(const KeyDigest &key,
+std::vector<EntryVm> keyReplicas(const KeyDigest &key,
                                  const std::vector<EntryVm> &members,
                                  size_t count) {
   std::vector<EntryVm> vms = members;
@@ -59,7 +59,7 @@
 }
 
 /// One shard of the remembered keys.
-class KeyGuard::Shard {
+class KeyStore::Shard {
 public:
   /// What is remembered of a key.
   struct Record {
@@ -89,45 +89,46 @@
   }
 };
 
-KeyGuard::KeyGuard(const KeyGuardSettings &settings, TimePoint started)
+KeyStore::KeyStore(const KeyStoreSettings &settings, TimePoint started)
     : Settings(settings), Started(started) {
   for (uint32_t i = 0; i < settings.Shards; ++i)
     Shards.push_back(std::make_unique<Shard>());
 }
-KeyGuard::~KeyGuard() = default;
+KeyStore::~KeyStore() = default;
 
-absl::StatusOr<std::unique_ptr<KeyGuard>>
-KeyGuard::create(const KeyGuardSettings &settings, TimePoint started) {
-  if (settings.GuardianCount == 0 || settings.Shards == 0 ||
+absl::StatusOr<std::unique_ptr<KeyStore>>
+KeyStore::create(const KeyStoreSettings &settings, TimePoint started) {
+  if (settings.KeyReplicaCount == 0 || settings.Shards == 0 ||
       settings.MaxKeys < settings.Shards ||
       settings.KeyMemory < Duration(1'000'000))
     return makeError(absl::StatusCode::kInvalidArgument, Step::ReadSettings, "",
                      "key guard: settings out of range");
-  return std::unique_ptr<KeyGuard>(new KeyGuard(settings, started));
+  return std::unique_ptr<KeyStore>(new KeyStore(settings, started));
 }
 
-KeyGuard::Shard &KeyGuard::shardOf(const KeyDigest &key) const {
+KeyStore::Shard &KeyStore::shardOf(const KeyDigest &key) const {
   return *Shards[key.Low % Shards.size()];
 }
 
-bool KeyGuard::longUp(TimePoint now) const {
+bool KeyStore::isUpForKeyMemory(TimePoint now) const {
   return Settings.AssumeNoEarlierKeys || now - Started >= Settings.KeyMemory;
 }
 
-bool KeyGuard::experienced(TimePoint now, const KeyDigest &key,
-                           const GuardianView &view, const VmId &self) const {
+bool KeyStore::hasFullHistory(TimePoint now, const KeyDigest &key,
+                              const KeyReplicaView &view,
+                              const VmId &self) const {
   // Every view of the last key memory was made of present members and of those
   // that departed within it. A rank can only get better when others are left
   // out, so a daemon that is a guardian over all of them was one in each of
   // those views: each claim of the key was sent to it and waited for its word.
   // Without this check the repeat of a key whose guardians died would be
   // granted by their successors, which never heard of the first attempt.
-  if (rankAmong(key, self, everybody(view)) >= Settings.GuardianCount)
+  if (rankAmong(key, self, knownDaemons(view)) >= Settings.KeyReplicaCount)
     return false;
-  return longUp(now) || vouchedFor(now, key);
+  return isUpForKeyMemory(now) || isCoveredByHandOver(now, key);
 }
 
-bool KeyGuard::vouchedFor(TimePoint now, const KeyDigest &key) const {
+bool KeyStore::isCoveredByHandOver(TimePoint now, const KeyDigest &key) const {
   // A guardian that left told us every key that it knew and that we guard. For
   // a key that it was itself sure of, we know all that was claimed until it
   // left; and since then each claim was sent to us, since we are a guardian
@@ -136,16 +137,18 @@
   // trial that left it out ran a key twice just so.) Without this rule a fleet
   // whose daemons are restarted one after the other refuses every key until the
   // key memory has passed.
-  std::lock_guard<std::mutex> lock(DonorsLock);
-  return std::any_of(Donors.begin(), Donors.end(), [&](const auto &it) {
-    const auto &[vm, donor] = it;
-    return donor.At + Settings.KeyMemory > now &&
-           rankAmong(key, vm, donor.Among) < Settings.GuardianCount;
-  });
+  std::lock_guard<std::mutex> lock(HandOverLock);
+  return std::any_of(CompleteSenders.begin(), CompleteSenders.end(),
+                     [&](const auto &it) {
+                       const auto &[vm, sender] = it;
+                       return sender.At + Settings.KeyMemory > now &&
+                              rankAmong(key, vm, sender.KnownDaemons) <
+                                  Settings.KeyReplicaCount;
+                     });
 }
 
-KeyReply KeyGuard::claim(TimePoint now, const KeyClaim &claim,
-                         const GuardianView &view, const VmId &self) {
+KeyReply KeyStore::claim(TimePoint now, const KeyClaim &claim,
+                         const KeyReplicaView &view, const VmId &self) {
   KeyReply reply{claim.Key, claim.Request, KeyVerdict::Unable};
   Shard &shard = shardOf(claim.Key);
   std::lock_guard<std::mutex> lock(shard.Lock);
@@ -156,7 +159,7 @@
     return reply;
   }
   // Asked under the shard's lock: a claim is in the hand-over or not granted.
-  if (Closed)
+  if (HandedOver)
     return reply;
   if (it == shard.Records.end()) {
     // Full: refuse rather than forget a key that may have run.
@@ -166,12 +169,13 @@
     // granted, whatever becomes of the replies.
     shard.put(claim.Key, {claim.Request, KeyVerdict::InProgress, now});
   }
-  reply.Verdict = experienced(now, claim.Key, view, self) ? KeyVerdict::Granted
-                                                          : KeyVerdict::Fresh;
+  reply.Verdict = hasFullHistory(now, claim.Key, view, self)
+                      ? KeyVerdict::Granted
+                      : KeyVerdict::Fresh;
   return reply;
 }
 
-void KeyGuard::settle(TimePoint now, const KeySettled &settled) {
+void KeyStore::settle(TimePoint now, const KeySettled &settled) {
   bool ran =
       settled.How == Ending::Answered || settled.How == Ending::OutcomeUnknown;
   Shard &shard = shardOf(settled.Key);
@@ -193,11 +197,11 @@
     shard.Records.erase(it);
 }
 
-std::vector<KeyGuard::HandOver>
-KeyGuard::handOver(TimePoint now, const GuardianView &view, const VmId &self,
-                   Incarnation run, size_t maxKeys) {
-  Closed = true;
-  std::map<VmId, std::vector<HandOver>> messages;
+std::vector<KeyStore::HandOverMessage>
+KeyStore::exportKeys(TimePoint now, const KeyReplicaView &view,
+                     const VmId &self, Incarnation run, size_t maxKeys) {
+  HandedOver = true;
+  std::map<VmId, std::vector<HandOverMessage>> messages;
   for (const EntryVm &it : view.Members)
     messages[it.Id].push_back({it, {}});
 
@@ -207,8 +211,8 @@
     std::lock_guard<std::mutex> lock(shard->Lock);
     for (const auto &[key, record] : shard->Records)
       for (const EntryVm &to :
-           guardiansOf(key, view.Members, Settings.GuardianCount)) {
-        std::vector<HandOver> &out = messages[to.Id];
+           keyReplicas(key, view.Members, Settings.KeyReplicaCount)) {
+        std::vector<HandOverMessage> &out = messages[to.Id];
         if (out.back().Batch.Keys.size() >= maxKeys)
           out.push_back({to, {}});
         out.back().Batch.Keys.push_back(
@@ -217,12 +221,12 @@
   }
 
   // The last message of each tells how many there were.
-  std::set<VmId> among = everybody(view);
+  std::set<VmId> among = knownDaemons(view);
   among.insert(self);
-  std::vector<HandOver> all;
+  std::vector<HandOverMessage> all;
   for (auto &[to, out] : messages) {
     uint32_t total = 0;
-    for (HandOver &it : out) {
+    for (HandOverMessage &it : out) {
       it.Batch.From = self;
       it.Batch.Run = run;
       total += static_cast<uint32_t>(it.Batch.Keys.size());
@@ -230,14 +234,14 @@
     KeysHandedOver &last = out.back().Batch;
     last.Complete = true;
     last.Total = total;
-    last.Vouches = longUp(now);
-    last.Among.assign(among.begin(), among.end());
+    last.SenderHasFullHistory = isUpForKeyMemory(now);
+    last.KnownDaemons.assign(among.begin(), among.end());
     std::move(out.begin(), out.end(), std::back_inserter(all));
   }
   return all;
 }
 
-bool KeyGuard::learnOne(TimePoint now, const KeysHandedOver::Entry &entry) {
+bool KeyStore::importKey(TimePoint now, const KeysHandedOver::Entry &entry) {
   if (entry.Age >= Settings.KeyMemory)
     return true;
   Shard &shard = shardOf(entry.Key);
@@ -256,11 +260,11 @@
   return true;
 }
 
-void KeyGuard::learn(TimePoint now, const KeysHandedOver &keys) {
+void KeyStore::importKeys(TimePoint now, const KeysHandedOver &keys) {
   uint32_t stored = 0;
   for (const KeysHandedOver::Entry &it : keys.Keys)
-    stored += learnOne(now, it) ? 1 : 0;
-  std::lock_guard<std::mutex> lock(DonorsLock);
+    stored += importKey(now, it) ? 1 : 0;
+  std::lock_guard<std::mutex> lock(HandOverLock);
   // By run: what is left of an earlier hand-over must not make up for a message
   // that this one lost.
   const std::pair<VmId, Incarnation> from(keys.From, keys.Run);
@@ -269,19 +273,20 @@
     return;
   // A message that was lost with its connection, or a key that found no room,
   // shows as a difference: then the hand-over proves nothing.
-  if (Received[from] == keys.Total && keys.Vouches)
-    Donors[keys.From] = {now, {keys.Among.begin(), keys.Among.end()}};
+  if (Received[from] == keys.Total && keys.SenderHasFullHistory)
+    CompleteSenders[keys.From] = {
+        now, {keys.KnownDaemons.begin(), keys.KnownDaemons.end()}};
   Received.erase(from);
 }
 
-void KeyGuard::expire(TimePoint now) {
+void KeyStore::expire(TimePoint now) {
   for (const auto &shard : Shards) {
     std::lock_guard<std::mutex> lock(shard->Lock);
     shard->expire(now, Settings.KeyMemory);
   }
 }
 
-size_t KeyGuard::size() const {
+size_t KeyStore::size() const {
   size_t n = 0;
   for (const auto &shard : Shards) {
     std::lock_guard<std::mutex> lock(shard->Lock);
--- a/Balsamrack/Flows/KeyGuard.h
+++ b/Balsamrack/Flows/KeyStore.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_FLOWS_KEYGUARD_H
-#define BALSAMRACK_FLOWS_KEYGUARD_H
+#ifndef BALSAMRACK_FLOWS_KEYSTORE_H
+#define BALSAMRACK_FLOWS_KEYSTORE_H
 
 #include <atomic>
 #include <cstddef>
@@ -19,14 +19,14 @@
 
 /// The guardians of a key among \p members: the first \p count by rendezvous of
 /// the key. Pure, thread-safe.
-std::vector<EntryVm> guardiansOf(const KeyDigest &key,
+std::vector<EntryVm> keyReplicas(const KeyDigest &key,
                                  const std::vector<EntryVm> &members,
                                  size_t count);
 
-/// Limits of a KeyGuard. GuardianCount and KeyMemory must be those of the
+/// Limits of a KeyStore. KeyReplicaCount and KeyMemory must be those of the
 /// entries.
-struct KeyGuardSettings {
-  uint32_t GuardianCount = 2;       ///< Guardians of a key.
+struct KeyStoreSettings {
+  uint32_t KeyReplicaCount = 2;     ///< Guardians of a key.
   Duration KeyMemory{600'000'000};  ///< How long a key is remembered.
   bool AssumeNoEarlierKeys = false; ///< First installation: no key ran before
                                     ///< this daemon started.
@@ -40,22 +40,22 @@
 /// When it is full, expired keys go first; then a new key is answered Unable
 /// rather than a remembered one forgotten: forgetting could run a deposit
 /// twice, refusing costs a retry later.
-class KeyGuard {
+class KeyStore {
 public:
   /// \p started is when this daemon began to guard keys. Error kInvalidArgument
   /// for settings out of range.
-  static absl::StatusOr<std::unique_ptr<KeyGuard>>
-  create(const KeyGuardSettings &settings, TimePoint started);
-  ~KeyGuard();
+  static absl::StatusOr<std::unique_ptr<KeyStore>>
+  create(const KeyStoreSettings &settings, TimePoint started);
+  ~KeyStore();
 
   /// Judges a claim, and notes it before it returns. \p view is this daemon's
   /// own; \p self names it.
-  KeyReply claim(TimePoint now, const KeyClaim &claim, const GuardianView &view,
-                 const VmId &self);
+  KeyReply claim(TimePoint now, const KeyClaim &claim,
+                 const KeyReplicaView &view, const VmId &self);
   /// Notes how the attempt that holds a key ended.
   void settle(TimePoint now, const KeySettled &settled);
   /// One message of a hand-over.
-  struct HandOver {
+  struct HandOverMessage {
     EntryVm To;           ///< The next guardian.
     KeysHandedOver Batch; ///< What it is to remember.
   };
@@ -63,11 +63,12 @@
   /// without us, in messages of at most \p maxKeys, and a last one that says
   /// that nothing is missing. \p view must not list \p self, whose run is
   /// \p run. From now on every claim of a new key is answered Unable.
-  std::vector<HandOver> handOver(TimePoint now, const GuardianView &view,
-                                 const VmId &self, Incarnation run,
-                                 size_t maxKeys);
+  std::vector<HandOverMessage> exportKeys(TimePoint now,
+                                          const KeyReplicaView &view,
+                                          const VmId &self, Incarnation run,
+                                          size_t maxKeys);
   /// Takes in what a leaving guardian passed on.
-  void learn(TimePoint now, const KeysHandedOver &keys);
+  void importKeys(TimePoint now, const KeysHandedOver &keys);
   /// Forgets keys older than the key memory; call every few seconds.
   void expire(TimePoint now);
   /// Keys remembered.
@@ -76,28 +77,29 @@
 private:
   class Shard;
   /// A guardian that left and passed all on that it knew.
-  struct Donor {
-    TimePoint At;         ///< When it left.
-    std::set<VmId> Among; ///< As in KeysHandedOver.
+  struct HandOverSender {
+    TimePoint At;                ///< When it left.
+    std::set<VmId> KnownDaemons; ///< As in KeysHandedOver.
   };
-  KeyGuard(const KeyGuardSettings &settings, TimePoint started);
+  KeyStore(const KeyStoreSettings &settings, TimePoint started);
   Shard &shardOf(const KeyDigest &key) const;
-  bool experienced(TimePoint now, const KeyDigest &key,
-                   const GuardianView &view, const VmId &self) const;
-  bool longUp(TimePoint now) const;
-  bool vouchedFor(TimePoint now, const KeyDigest &key) const;
-  bool learnOne(TimePoint now, const KeysHandedOver::Entry &entry);
+  bool hasFullHistory(TimePoint now, const KeyDigest &key,
+                      const KeyReplicaView &view, const VmId &self) const;
+  bool isUpForKeyMemory(TimePoint now) const;
+  bool isCoveredByHandOver(TimePoint now, const KeyDigest &key) const;
+  bool importKey(TimePoint now, const KeysHandedOver::Entry &entry);
 
-  const KeyGuardSettings Settings;
+  const KeyStoreSettings Settings;
   const TimePoint Started;
   std::vector<std::unique_ptr<Shard>> Shards;
-  std::atomic<bool> Closed{false}; ///< Handed over: grants nothing any more.
-  mutable std::mutex DonorsLock;   ///< Guards what follows; taken after none.
+  std::atomic<bool> HandedOver{
+      false};                      ///< Handed over: grants nothing any more.
+  mutable std::mutex HandOverLock; ///< Guards what follows; taken after none.
   std::map<std::pair<VmId, Incarnation>, uint32_t>
       Received; ///< Keys of hand-overs that are not complete yet.
-  std::map<VmId, Donor> Donors; ///< Who passed all on to us.
+  std::map<VmId, HandOverSender> CompleteSenders; ///< Who passed all on to us.
 };
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_FLOWS_KEYGUARD_H
+#endif // BALSAMRACK_FLOWS_KEYSTORE_H
--- a/Balsamrack/Flows/RoutingView.cpp
+++ b/Balsamrack/Flows/RoutingView.cpp
@@ -70,8 +70,9 @@
 }
 
 bool RoutingView::unreachable(const VmId &vm) const {
-  return std::find(Guardians.Unreachable.begin(), Guardians.Unreachable.end(),
-                   vm) != Guardians.Unreachable.end();
+  return std::find(KeyReplicas.Unreachable.begin(),
+                   KeyReplicas.Unreachable.end(),
+                   vm) != KeyReplicas.Unreachable.end();
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Flows/RoutingView.h
+++ b/Balsamrack/Flows/RoutingView.h
@@ -50,7 +50,7 @@
 };
 
 /// The daemons that may guard idempotency keys.
-struct GuardianView {
+struct KeyReplicaView {
   std::vector<EntryVm> Members; ///< All daemons not known dead or gone; those
                                 ///< that can't be reached now too.
   std::vector<VmId> RecentlyDeparted; ///< Died or left within the key memory.
@@ -63,7 +63,7 @@
   TicketNumber Ticket;                        ///< Highest ticket in force.
   EntryVm Self;                               ///< This daemon.
   std::map<ServiceId, ServiceRoute> Services; ///< By service.
-  GuardianView Guardians;                     ///< For idempotency keys.
+  KeyReplicaView KeyReplicas;                 ///< For idempotency keys.
 
   /// Sorts the servers and computes the ranks. Error kInvalidArgument (step
   /// place) when a server is listed twice or under a service not its own, which
--- a/Balsamrack/Peers/PeerFields.h
+++ b/Balsamrack/Peers/PeerFields.h
@@ -288,8 +288,8 @@
   ar("r", m.Run);
   ar("c", m.Complete);
   ar("n", m.Total);
-  ar("v", m.Vouches);
-  ar("a", m.Among);
+  ar("v", m.SenderHasFullHistory);
+  ar("a", m.KnownDaemons);
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Replay/TraceCodec.cpp
+++ b/Balsamrack/Replay/TraceCodec.cpp
@@ -39,10 +39,11 @@
   ar("question_candidates", m.Settings.QuestionCandidates);
   ar("question_timeout_us", m.Settings.QuestionTimeout);
   ar("claim_timeout_us", m.Settings.ClaimTimeout);
-  ar("guardian_count", m.Settings.GuardianCount);
+  ar("guardian_count", m.Settings.KeyReplicaCount);
   ar("key_memory_us", m.Settings.KeyMemory);
   ar("assume_no_earlier_keys", m.Settings.AssumeNoEarlierKeys);
-  ar.oneOf("when_cut", m.Settings.WhenCut, KeyPolicy::RunWithReachable);
+  ar.oneOf("when_cut", m.Settings.OnUnreachableReplica,
+           UnreachableReplicaPolicy::RunWithReachable);
   ar("retry_ratio", m.Settings.RetryRatio);
   ar("retry_burst", m.Settings.RetryBurst);
   ar("retry_after_us", m.Settings.RetryAfter);
--- a/Balsamrack/Replay/TraceFields.h
+++ b/Balsamrack/Replay/TraceFields.h
@@ -166,7 +166,7 @@
 }
 
 template <class Ar>
-void traceFields(Ar &ar, typename Ar::template Ref<GuardianView> m) {
+void traceFields(Ar &ar, typename Ar::template Ref<KeyReplicaView> m) {
   ar("members", m.Members);
   ar("departed", m.RecentlyDeparted);
   ar("unreachable", m.Unreachable);
@@ -177,7 +177,7 @@
   TicketNumber Ticket;                ///< As in RoutingView.
   EntryVm Self;                       ///< As in RoutingView.
   std::vector<ServiceRoute> Services; ///< Values of the map.
-  GuardianView Guardians;             ///< As in RoutingView.
+  KeyReplicaView Guardians;           ///< As in RoutingView.
 };
 
 template <class Ar>
@@ -189,7 +189,7 @@
 }
 
 inline void traceFields(TraceWriter &ar, const ViewChanged &m) {
-  TracedView view{m.View->Ticket, m.View->Self, {}, m.View->Guardians};
+  TracedView view{m.View->Ticket, m.View->Self, {}, m.View->KeyReplicas};
   for (const auto &[id, route] : m.View->Services)
     view.Services.push_back(route);
   traceFields(ar, view);
@@ -201,7 +201,7 @@
   RoutingView parts;
   parts.Ticket = traced.Ticket;
   parts.Self = traced.Self;
-  parts.Guardians = std::move(traced.Guardians);
+  parts.KeyReplicas = std::move(traced.Guardians);
   for (ServiceRoute &it : traced.Services) {
     const ServiceId id = it.Settings.Id;
     parts.Services[id] = std::move(it);
--- a/Balsamrack/Settings/Settings.cpp
+++ b/Balsamrack/Settings/Settings.cpp
@@ -109,7 +109,7 @@
               out.AssumeNoEarlierKeysAtStart);
   const json *policy = reader.find("/keys/when_cut");
   if (policy && *policy == "run_with_reachable")
-    out.WhenCut = KeyPolicy::RunWithReachable;
+    out.WhenCut = UnreachableReplicaPolicy::RunWithReachable;
 }
 
 void readTiming(const Reader &reader, const KeySettings &keys,
--- a/Balsamrack/Settings/Settings.h
+++ b/Balsamrack/Settings/Settings.h
@@ -51,7 +51,8 @@
   uint32_t Guardians = 2;       ///< Daemons that remember each key.
   uint32_t MaxKeys = 400'000;   ///< Bound of keys held by this daemon.
   bool AssumeNoEarlierKeysAtStart = false; ///< True on a first install only.
-  KeyPolicy WhenCut = KeyPolicy::Refuse;   ///< See KeyPolicy.
+  UnreachableReplicaPolicy WhenCut =
+      UnreachableReplicaPolicy::Refuse; ///< See UnreachableReplicaPolicy.
 };
 
 /// How the daemon tells what it does.
--- a/UnitTests/Flows/EntryRouterPropertyTest.cpp
+++ b/UnitTests/Flows/EntryRouterPropertyTest.cpp
@@ -95,7 +95,7 @@
       it.Ejected = *rc::gen::inRange(0, 6) == 0;
     }
     if (*rc::gen::inRange(0, 3) == 0)
-      view.Guardians.Members.pop_back();
+      view.KeyReplicas.Members.pop_back();
     feed(ViewChanged{*RoutingView::create(view)});
   }
 
--- a/UnitTests/Flows/KeyGuardFleetTest.cpp
+++ b/UnitTests/Flows/KeyGuardFleetTest.cpp
@@ -5,7 +5,7 @@
 
 #include "Balsamrack/Core/Random.h"
 #include "Balsamrack/Flows/KeyClaims.h"
-#include "Balsamrack/Flows/KeyGuard.h"
+#include "Balsamrack/Flows/KeyStore.h"
 
 namespace balsamrack {
 namespace {
@@ -27,19 +27,19 @@
   uint64_t LossPercent = 0;
 
   void start(size_t i, bool founded) {
-    KeyGuardSettings settings;
+    KeyStoreSettings settings;
     settings.AssumeNoEarlierKeys = founded;
     settings.MaxKeys = 10'000;
-    Guards[i] = std::move(*KeyGuard::create(settings, Now));
+    Guards[i] = std::move(*KeyStore::create(settings, Now));
     ++Runs[i];
   }
   void leave(size_t i) {
-    std::unique_ptr<KeyGuard> leaver = std::move(Guards[i]);
+    std::unique_ptr<KeyStore> leaver = std::move(Guards[i]);
     depart(i);
     for (const auto &it :
-         leaver->handOver(Now, view(), vmName(i), Incarnation{Runs[i]}, 2))
+         leaver->exportKeys(Now, view(), vmName(i), Incarnation{Runs[i]}, 2))
       if (Random.below(100) >= LossPercent)
-        Guards[indexOf(it.To.Id)]->learn(Now, it.Batch);
+        Guards[indexOf(it.To.Id)]->importKeys(Now, it.Batch);
   }
   void die(size_t i) {
     Guards[i] = nullptr;
@@ -58,17 +58,18 @@
     const RequestId request{++Requests};
     EntrySettings settings;
     KeyClaims claims;
-    for (const EntryVm &to : claims.update(digest, view(), settings))
-      claims.answered(to.Id, Guards[indexOf(to.Id)]
-                                 ->claim(Now, {digest, request}, view(), to.Id)
-                                 .Verdict);
-    const bool runs = claims.judge(settings) == KeyClaims::Result::Run;
+    for (const EntryVm &to : claims.updateReplicas(digest, view(), settings))
+      claims.recordReply(to.Id,
+                         Guards[indexOf(to.Id)]
+                             ->claim(Now, {digest, request}, view(), to.Id)
+                             .Verdict);
+    const bool runs = claims.evaluate(settings) == KeyClaims::Result::Run;
     // What runs ends answered, unknown, or is never settled as its entry dies.
     const Ending how = !runs                 ? Ending::NotRun
                        : Random.below(2) > 0 ? Ending::Answered
                                              : Ending::OutcomeUnknown;
     if (!runs || Random.below(4) > 0)
-      for (const EntryVm &to : claims.claimed())
+      for (const EntryVm &to : claims.claimedReplicas())
         if (up(indexOf(to.Id)))
           Guards[indexOf(to.Id)]->settle(Now, {digest, request, how});
     return runs;
@@ -76,7 +77,7 @@
   void pass(Duration time) {
     Now += time;
     for (auto it = Departed.begin(); it != Departed.end();)
-      it = it->second + KeyGuardSettings().KeyMemory <= Now ? Departed.erase(it)
+      it = it->second + KeyStoreSettings().KeyMemory <= Now ? Departed.erase(it)
                                                             : std::next(it);
   }
   SeededRandom Random;
@@ -89,8 +90,8 @@
       ++i;
     return i;
   }
-  GuardianView view() const {
-    GuardianView view;
+  KeyReplicaView view() const {
+    KeyReplicaView view;
     for (size_t i = 0; i < Daemons; ++i)
       if (up(i))
         view.Members.push_back({vmName(i), DomainId("a"), {}, false});
@@ -100,7 +101,7 @@
   }
 
   TimePoint Now{Second};
-  std::unique_ptr<KeyGuard> Guards[Daemons];
+  std::unique_ptr<KeyStore> Guards[Daemons];
   uint64_t Runs[Daemons] = {};
   std::map<VmId, TimePoint> Departed; ///< With the time.
   uint64_t Requests = 0;
--- a/UnitTests/Flows/KeyStoriesTest.cpp
+++ b/UnitTests/Flows/KeyStoriesTest.cpp
@@ -2,7 +2,7 @@
 #include <map>
 #include <set>
 
-#include "Balsamrack/Flows/KeyGuard.h"
+#include "Balsamrack/Flows/KeyStore.h"
 #include "UnitTests/Flows/RouterHelp.h"
 
 namespace balsamrack {
@@ -23,21 +23,21 @@
     }
     refresh();
   }
-  std::unique_ptr<KeyGuard> guard(TimePoint started) const {
-    KeyGuardSettings s;
+  std::unique_ptr<KeyStore> guard(TimePoint started) const {
+    KeyStoreSettings s;
     s.AssumeNoEarlierKeys = Settings.AssumeNoEarlierKeys;
-    return std::move(*KeyGuard::create(s, started));
+    return std::move(*KeyStore::create(s, started));
   }
   /// Everybody gets a view of who lives.
   void refresh() {
     RoutingView view = parts(4, Vms);
-    auto &members = view.Guardians.Members;
+    auto &members = view.KeyReplicas.Members;
     members.erase(
         std::remove_if(members.begin(), members.end(),
                        [this](const EntryVm &it) { return Dead.count(it.Id); }),
         members.end());
-    view.Guardians.RecentlyDeparted.assign(Dead.begin(), Dead.end());
-    view.Guardians.Unreachable = Cut;
+    view.KeyReplicas.RecentlyDeparted.assign(Dead.begin(), Dead.end());
+    view.KeyReplicas.Unreachable = Cut;
     View = *RoutingView::create(view);
     for (size_t i = 0; i < Vms; ++i)
       run(i, ViewChanged{View});
@@ -49,7 +49,7 @@
   }
   /// The guardians of the key now.
   VmId guardian(size_t rank) const {
-    return guardiansOf(Key, View->Guardians.Members, 2)[rank].Id;
+    return keyReplicas(Key, View->KeyReplicas.Members, 2)[rank].Id;
   }
   /// Sends the deposit with request id \p request in at daemon \p at, on a new
   /// flow. Returns its ending, or "running" when it was forwarded.
@@ -95,15 +95,15 @@
   }
   void carry(const EntryAction &action, std::deque<EntryEvent> &events) {
     if (const auto *claim = std::get_if<SendClaim>(&action)) {
-      KeyGuard *g = Guards[indexOf(claim->To.Id)].get();
+      KeyStore *g = Guards[indexOf(claim->To.Id)].get();
       if (g)
-        events.push_back(
-            KeyReplied{claim->To.Id, g->claim(Now, claim->Claim,
-                                              View->Guardians, claim->To.Id)});
+        events.push_back(KeyReplied{
+            claim->To.Id,
+            g->claim(Now, claim->Claim, View->KeyReplicas, claim->To.Id)});
       else
         events.push_back(SendFailed{claim->Claim.Request, claim->To.Id});
     } else if (const auto *settled = std::get_if<SendSettled>(&action)) {
-      if (KeyGuard *g = Guards[indexOf(settled->To.Id)].get())
+      if (KeyStore *g = Guards[indexOf(settled->To.Id)].get())
         g->settle(Now, settled->Settled);
     } else if (const auto *forward = std::get_if<SendForward>(&action)) {
       Running[forward->Request.Value] = *forward;
@@ -119,7 +119,7 @@
   const EntrySettings Settings;
   const size_t Vms;
   TimePoint Now{std::chrono::hours(1)};
-  std::vector<std::unique_ptr<KeyGuard>> Guards;
+  std::vector<std::unique_ptr<KeyStore>> Guards;
   std::vector<std::unique_ptr<EntryRouter>> Routers;
   std::set<VmId> Dead;
   std::vector<VmId> Cut;
@@ -252,7 +252,7 @@
 
 TEST(KeyStoriesTest, OperatorsMayChooseToRunWhenCut) {
   EntrySettings s;
-  s.WhenCut = KeyPolicy::RunWithReachable;
+  s.OnUnreachableReplica = UnreachableReplicaPolicy::RunWithReachable;
   KeyBench bench(6, s);
   bench.Cut = {bench.guardian(0)};
   bench.refresh();
@@ -294,17 +294,17 @@
   bench.answer(0, 1, Ending::Answered, Reason::None);
   VmId leaver = bench.guardian(0);
   VmId other = bench.guardian(1);
-  GuardianView rest = bench.View->Guardians;
+  KeyReplicaView rest = bench.View->KeyReplicas;
   rest.Members.erase(
       std::remove_if(rest.Members.begin(), rest.Members.end(),
                      [&](const EntryVm &it) { return it.Id == leaver; }),
       rest.Members.end());
   // One message to each of the others, which says that nothing is missing.
-  auto batches = bench.Guards[KeyBench::indexOf(leaver)]->handOver(
+  auto batches = bench.Guards[KeyBench::indexOf(leaver)]->exportKeys(
       bench.Now, rest, leaver, Incarnation{1}, 100);
   ASSERT_EQ(batches.size(), 5U);
   for (const auto &it : batches)
-    bench.Guards[KeyBench::indexOf(it.To.Id)]->learn(bench.Now, it.Batch);
+    bench.Guards[KeyBench::indexOf(it.To.Id)]->importKeys(bench.Now, it.Batch);
   bench.kill(leaver);
   bench.kill(other);
   EXPECT_EQ(bench.deposit(1, 2), "unknown/key-answered");
@@ -347,16 +347,16 @@
   VmId leaver = bench.guardian(0);
   VmId fresh = bench.guardian(1);
   bench.Guards[KeyBench::indexOf(fresh)] = bench.guard(bench.Now);
-  GuardianView rest = bench.View->Guardians;
+  KeyReplicaView rest = bench.View->KeyReplicas;
   rest.Members.erase(
       std::remove_if(rest.Members.begin(), rest.Members.end(),
                      [&](const EntryVm &it) { return it.Id == leaver; }),
       rest.Members.end());
-  auto batches = bench.Guards[KeyBench::indexOf(leaver)]->handOver(
+  auto batches = bench.Guards[KeyBench::indexOf(leaver)]->exportKeys(
       bench.Now, rest, leaver, Incarnation{1}, 100);
   EXPECT_EQ(bench.deposit(1, 1), "waiting");
   for (const auto &it : batches)
-    bench.Guards[KeyBench::indexOf(it.To.Id)]->learn(bench.Now, it.Batch);
+    bench.Guards[KeyBench::indexOf(it.To.Id)]->importKeys(bench.Now, it.Batch);
   bench.kill(leaver);
   bench.Now += bench.Settings.ClaimRepeat;
   bench.run(1, EntryTicked{});
@@ -364,10 +364,10 @@
 }
 
 TEST(KeyGuardTest, RefusesRatherThanForgetsWhenFull) {
-  KeyGuardSettings s;
+  KeyStoreSettings s;
   s.MaxKeys = 4;
   s.Shards = 1;
-  auto guard = std::move(*KeyGuard::create(s, TimePoint()));
+  auto guard = std::move(*KeyStore::create(s, TimePoint()));
   TimePoint now{std::chrono::hours(1)};
   auto claim = [&](uint64_t n, uint64_t request) {
     return guard->claim(now, {KeyDigest{n, n}, RequestId{request}}, {}, vmId(0))
@@ -384,7 +384,7 @@
 }
 
 TEST(KeyGuardTest, OnlyTheHolderSettles) {
-  auto guard = std::move(*KeyGuard::create({}, TimePoint()));
+  auto guard = std::move(*KeyStore::create({}, TimePoint()));
   TimePoint now{std::chrono::hours(1)};
   guard->claim(now, {Key, RequestId{1}}, {}, vmId(0));
   guard->settle(now, {Key, RequestId{2}, Ending::NotRun});
--- a/UnitTests/Flows/RouterHelp.h
+++ b/UnitTests/Flows/RouterHelp.h
@@ -39,7 +39,7 @@
     route.Servers.push_back(s);
   }
   for (size_t i = 0; i < (vms == 0 ? servers : vms); ++i)
-    v.Guardians.Members.push_back(
+    v.KeyReplicas.Members.push_back(
         {vmId(i), DomainId(absl::StrCat("d-", i)), {}, false});
   return v;
 }
