--- a/Balsamrack/Flows/EntryPacket.h
+++ b/Balsamrack/Flows/EntryPacket.h
@@ -16,31 +16,31 @@
 struct EntryPacket {
   /// What it waits for.
   enum class Phase {
-    Claiming,  ///< Guardians of its key.
-    Asking,    ///< Owners that may know its flow.
-    Forwarded, ///< The owner that has it.
+    ClaimingKey,   ///< Guardians of its key.
+    SearchingFlow, ///< Owners that may know its flow.
+    Forwarded,     ///< The owner that has it.
     Lingering, ///< It ended unknown; a late outcome may still settle its key.
   };
   /// The Forward that has no answer yet.
-  struct Outstanding {
+  struct OutstandingForward {
     EntryVm To;      ///< The owner that has it.
     ServerId Server; ///< For this server.
-    bool Accepting;  ///< The owner was told to take the flow in.
+    bool AcceptFlow; ///< The owner was told to take the flow in.
   };
 
-  Envelope Head;                         ///< As it came, Remaining capped.
-  std::string Token;                     ///< As it came.
-  TimePoint Deadline;                    ///< When the caller stops waiting.
-  TimePoint WakeAt;                      ///< Its entry among the timers.
-  Phase Now = Phase::Claiming;           ///< What it waits for.
-  KeyClaims Keys;                        ///< Used when claimsKey().
-  TimePoint ClaimUntil;                  ///< No claim is repeated after this.
-  bool AskAgain = false;                 ///< Claims are to be repeated.
-  FlowSearch Search;                     ///< Used while Asking.
-  std::optional<Outstanding> Unanswered; ///< Set while an owner has it.
-  std::vector<ServerId> Tried;           ///< Servers that it was forwarded to.
-  ServerId Lost;           ///< Server whose owner vanished with it, if any.
-  bool NewFlow = false;    ///< It opens a flow: another server will do as well.
+  Envelope Head;                           ///< As it came, Remaining capped.
+  std::string Token;                       ///< As it came.
+  TimePoint Deadline;                      ///< When the caller stops waiting.
+  TimePoint TimerAt;                       ///< Its entry among the timers.
+  Phase CurrentPhase = Phase::ClaimingKey; ///< What it waits for.
+  KeyClaims Keys;                          ///< Used when claimsKey().
+  TimePoint ClaimResendUntil;              ///< No claim is repeated after this.
+  bool ClaimResendDue = false;             ///< Claims are to be repeated.
+  FlowSearch Search;                       ///< Used while Asking.
+  std::optional<OutstandingForward> Outstanding; ///< Set while an owner has it.
+  std::vector<ServerId> TriedServers; ///< Servers that it was forwarded to.
+  ServerId LostServer;     ///< Server whose owner vanished with it, if any.
+  bool OpensFlow = false;  ///< It opens a flow: another server will do as well.
   bool MayHaveRun = false; ///< An owner vanished with it: never NotRun again.
 
   /// True when it must ask the guardians before it runs.
--- a/Balsamrack/Flows/EntryPlacement.cpp
+++ b/Balsamrack/Flows/EntryPlacement.cpp
@@ -11,7 +11,7 @@
 
 /// May a new flow that was refused for this reason be offered to another
 /// server? Those are obstacles of the one server or its owner.
-bool anotherMayTakeIt(Reason why) {
+bool isRetryableElsewhere(Reason why) {
   switch (why) {
   case Reason::QueueFull:
   case Reason::DeadlineTooShort:
@@ -35,27 +35,27 @@
 
 } // namespace
 
-FlowId EntryRouter::State::rankBy(const EntryPacket &p) const {
+FlowId EntryRouter::State::rankKey(const EntryPacket &p) const {
   if (Settings.UseRank)
     return p.Head.Flow;
   return FlowId{combineHash(p.Head.Flow.Value, p.Head.Request.Value)};
 }
 
-void EntryRouter::State::sendClaims(EntryPacket &p) {
+void EntryRouter::State::sendKeyClaims(EntryPacket &p) {
   for (const EntryVm &vm :
        p.Keys.updateReplicas(p.Head.Key, View->KeyReplicas, Settings))
     Actions.emplace_back(SendClaim{vm, {p.Head.Key, p.Head.Request}});
-  wakeAt(p, std::min(p.Deadline, Now + Settings.ClaimTimeout));
+  setTimer(p, std::min(p.Deadline, Now + Settings.ClaimTimeout));
 }
 
-void EntryRouter::State::repeatClaims(EntryPacket &p) {
+void EntryRouter::State::resendKeyClaims(EntryPacket &p) {
   for (const EntryVm &vm : p.Keys.resetForResend())
     Actions.emplace_back(SendClaim{vm, {p.Head.Key, p.Head.Request}});
-  wakeAt(p, std::min(p.Deadline, Now + Settings.ClaimTimeout));
-  judgeKeys(p);
+  setTimer(p, std::min(p.Deadline, Now + Settings.ClaimTimeout));
+  evaluateKeyClaims(p);
 }
 
-void EntryRouter::State::judgeKeys(EntryPacket &p) {
+void EntryRouter::State::evaluateKeyClaims(EntryPacket &p) {
   KeyClaims::Result result = p.Keys.evaluate(Settings);
   if (result == KeyClaims::Result::Waiting)
     return;
@@ -67,10 +67,10 @@
   // guardian has closed its memory and the other has not got what that one
   // passes on, or this daemon has just started and met nobody. A moment later
   // there is somebody who can vouch.
-  if (Now < p.ClaimUntil &&
+  if (Now < p.ClaimResendUntil &&
       p.Keys.mayBecomeGranted(View->KeyReplicas, Settings)) {
-    p.AskAgain = true;
-    return wakeAt(p, std::min(p.Deadline, Now + Settings.ClaimRepeat));
+    p.ClaimResendDue = true;
+    return setTimer(p, std::min(p.Deadline, Now + Settings.ClaimRepeat));
   }
   Reason why = p.Keys.refusalReason();
   explain(p, DecisionKind::KeyJudged, reasonName(why),
@@ -79,12 +79,13 @@
           {}, {});
   // True, and better for the caller than "unknown": it may simply come back.
   if (p.Keys.isProvenNotRun(Settings))
-    return end(p, Ending::NotRun, why, {}, spread(), "key-proved-new");
+    return end(p, Ending::NotRun, why, {}, jitteredRetryAfter(),
+               "key-proved-new");
   // Coming back helps when another attempt is under way or a guardian was out
   // of reach; a key whose guardians are all fresh stays unknown for long.
   bool comeBack = why == Reason::KeyInProgress || p.Keys.hasMissingReply();
-  end(p, Ending::OutcomeUnknown, why, {}, comeBack ? spread() : Duration(0),
-      "idempotency-key");
+  end(p, Ending::OutcomeUnknown, why, {},
+      comeBack ? jitteredRetryAfter() : Duration(0), "idempotency-key");
 }
 
 void EntryRouter::State::place(EntryPacket &p) {
@@ -95,8 +96,8 @@
   if (placeByToken(p, *route))
     return;
   if (p.Head.FirstOfFlow)
-    return placeNew(p, *route);
-  placeEstablished(p, *route);
+    return placeNewFlow(p, *route);
+  placeEstablishedFlow(p, *route);
 }
 
 bool EntryRouter::State::placeByToken(EntryPacket &p,
@@ -110,138 +111,147 @@
   const RoutedServer *server = route.findByHash(token->ServerHash);
   if (p.Head.FirstOfFlow) {
     // A first packet that is sent again may go back, but need not.
-    if (!server || !server->takesNewFlows())
+    if (!server || !server->acceptsNewFlows())
       return false;
   }
   if (server) {
-    sendToHome(p, *server, true, "token");
+    forwardToFlowServer(p, *server, true, "token");
     return true;
   }
   // The server is not listed. Either the token's ticket has not come into
   // force here yet: then another server would break the flow, and the ticket
   // arrives within seconds. Or the server was deleted: the flow is over.
   if (token->Ticket > View->Ticket)
-    end(p, Ending::NotRun, Reason::OwnerUnsure, {}, spread(),
+    end(p, Ending::NotRun, Reason::OwnerUnsure, {}, jitteredRetryAfter(),
         "token-of-later-ticket");
   else
     end(p, Ending::GivenUp, Reason::NoServer, {}, {}, "token-server-deleted");
   return true;
 }
 
-void EntryRouter::State::placeNew(EntryPacket &p, const ServiceRoute &route) {
-  p.NewFlow = true;
-  const RoutedServer *server = chooseForNewFlow(route, rankBy(p), p.Tried);
+void EntryRouter::State::placeNewFlow(EntryPacket &p,
+                                      const ServiceRoute &route) {
+  p.OpensFlow = true;
+  const RoutedServer *server =
+      chooseForNewFlow(route, rankKey(p), p.TriedServers);
   if (!server)
-    return end(p, Ending::NotRun, Reason::NoServer, {}, spread(), "no-server");
+    return end(p, Ending::NotRun, Reason::NoServer, {}, jitteredRetryAfter(),
+               "no-server");
   forward(p, *server, false, false, "new-flow");
 }
 
-void EntryRouter::State::placeEstablished(EntryPacket &p,
-                                          const ServiceRoute &route) {
+void EntryRouter::State::placeEstablishedFlow(EntryPacket &p,
+                                              const ServiceRoute &route) {
   if (route.Servers.empty())
     return end(p, Ending::GivenUp, Reason::NoServer, {}, {}, "no-server");
   // Most flows live on their first candidate: hand the packet over right away,
   // its owner says if not.
-  const RoutedServer &best = route.Servers[route.Rank.first(rankBy(p))];
-  if (best.DomainInService && best.reachable())
+  const RoutedServer &best =
+      route.Servers[route.Rank.firstCandidate(rankKey(p))];
+  if (best.DomainInService && best.isReachable())
     return forward(p, best, false, false, "first-candidate");
-  search(p);
+  startSearch(p);
 }
 
-void EntryRouter::State::sendToHome(EntryPacket &p, const RoutedServer &server,
-                                    bool byToken, const char *rule) {
+void EntryRouter::State::forwardToFlowServer(EntryPacket &p,
+                                             const RoutedServer &server,
+                                             bool byToken, const char *rule) {
   const ServerId &id = server.Server.Id;
   if (!server.DomainInService)
     return end(p, Ending::GivenUp, Reason::DomainOut, id, {}, "domain-out");
   // Its server may well be alive: moving the flow would break it for good,
   // while the obstacle may go away.
   if (!server.DomainReachable)
-    return end(p, Ending::NotRun, Reason::DomainUnreachable, id, spread(),
-               "domain-unreachable");
-  if (!server.reachable())
-    return end(p, Ending::NotRun, Reason::OwnerUnreachable, id, spread(),
-               "owner-unreachable");
+    return end(p, Ending::NotRun, Reason::DomainUnreachable, id,
+               jitteredRetryAfter(), "domain-unreachable");
+  if (!server.isReachable())
+    return end(p, Ending::NotRun, Reason::OwnerUnreachable, id,
+               jitteredRetryAfter(), "owner-unreachable");
   forward(p, server, !byToken, byToken, rule);
 }
 
-void EntryRouter::State::sendToNamed(EntryPacket &p, const ServerId &server,
-                                     const char *rule) {
+void EntryRouter::State::forwardToFlowServerById(EntryPacket &p,
+                                                 const ServerId &server,
+                                                 const char *rule) {
   const ServiceRoute *route = View->findService(p.Head.Service);
   const RoutedServer *home = route ? route->find(server) : nullptr;
   // A peer with a later ticket names a server that is not in force here yet.
   if (!home)
-    return end(p, Ending::NotRun, Reason::OwnerUnsure, server, spread(),
-               "server-of-later-ticket");
-  sendToHome(p, *home, false, rule);
+    return end(p, Ending::NotRun, Reason::OwnerUnsure, server,
+               jitteredRetryAfter(), "server-of-later-ticket");
+  forwardToFlowServer(p, *home, false, rule);
 }
 
-void EntryRouter::State::search(EntryPacket &p) {
+void EntryRouter::State::startSearch(EntryPacket &p) {
   const ServiceRoute *route = View->findService(p.Head.Service);
   if (!route || route->Servers.empty())
-    return end(p, Ending::NotRun, Reason::OwnerUnsure, {}, spread(),
+    return end(p, Ending::NotRun, Reason::OwnerUnsure, {}, jitteredRetryAfter(),
                "service-gone");
   if (!Settings.UseQuestion) {
-    const RoutedServer &best = route->Servers[route->Rank.first(rankBy(p))];
-    return sendToHome(p, best, false, "question-off");
+    const RoutedServer &best =
+        route->Servers[route->Rank.firstCandidate(rankKey(p))];
+    return forwardToFlowServer(p, best, false, "question-off");
   }
-  p.Now = EntryPacket::Phase::Asking;
-  p.Search.start(*route, rankBy(p), 1 + Settings.QuestionCandidates);
-  concludeSearch(p);
+  p.CurrentPhase = EntryPacket::Phase::SearchingFlow;
+  p.Search.start(*route, rankKey(p), 1 + Settings.QuestionCandidates);
+  evaluateSearch(p);
 }
 
-void EntryRouter::State::askOwners(EntryPacket &p) {
-  wakeAt(p, std::min(p.Deadline, Now + Settings.QuestionTimeout));
-  for (const EntryVm &vm : p.Search.askNext())
+void EntryRouter::State::sendQuestions(EntryPacket &p) {
+  setTimer(p, std::min(p.Deadline, Now + Settings.QuestionTimeout));
+  for (const EntryVm &vm : p.Search.selectOwnersToAsk())
     Actions.emplace_back(
         SendQuestion{vm, {p.Head.Request, p.Head.Flow, p.Head.Service}});
   explain(p, DecisionKind::Asked, "question", "asked the likeliest owners", {},
           {});
 }
 
-void EntryRouter::State::concludeSearch(EntryPacket &p) {
+void EntryRouter::State::evaluateSearch(EntryPacket &p) {
   FlowSearch::Conclusion conclusion = p.Search.evaluate();
   switch (conclusion) {
   case FlowSearch::Conclusion::Pending:
     return;
-  case FlowSearch::Conclusion::AskMore:
-    return askOwners(p);
+  case FlowSearch::Conclusion::AskMoreOwners:
+    return sendQuestions(p);
   case FlowSearch::Conclusion::Found:
-    return sendToNamed(p, p.Search.server(), "question-found");
+    return forwardToFlowServerById(p, p.Search.server(), "question-found");
   case FlowSearch::Conclusion::Inferred:
-    return sendToNamed(p, p.Search.server(), "question-inferred");
+    return forwardToFlowServerById(p, p.Search.server(), "question-inferred");
   case FlowSearch::Conclusion::Unreachable:
     return end(p, Ending::NotRun, Reason::OwnerUnreachable, p.Search.server(),
-               spread(), "likely-home-unreachable");
+               jitteredRetryAfter(), "likely-home-unreachable");
   case FlowSearch::Conclusion::DomainOut:
     return end(p, Ending::GivenUp, Reason::DomainOut, p.Search.server(), {},
                "likely-home-out");
   case FlowSearch::Conclusion::LaterTicket:
-    return end(p, Ending::NotRun, Reason::OwnerUnsure, {}, spread(),
+    return end(p, Ending::NotRun, Reason::OwnerUnsure, {}, jitteredRetryAfter(),
                "owner-has-later-ticket");
-  case FlowSearch::Conclusion::Nowhere:
+  case FlowSearch::Conclusion::NotFound:
     break;
   }
   // Idle for too long, or lost by more failures than the layers stand.
   const ServiceRoute *route = View->findService(p.Head.Service);
   const RoutedServer *server =
-      route ? chooseForNewFlow(*route, rankBy(p), {}) : nullptr;
+      route ? chooseForNewFlow(*route, rankKey(p), {}) : nullptr;
   if (!server)
-    return end(p, Ending::NotRun, Reason::NoServer, {}, spread(), "no-server");
+    return end(p, Ending::NotRun, Reason::NoServer, {}, jitteredRetryAfter(),
+               "no-server");
   forward(p, *server, true, false, "nobody-knows");
 }
 
-void EntryRouter::State::tryNext(EntryPacket &p, const Outcome &refusal) {
+void EntryRouter::State::retryOnNextCandidate(EntryPacket &p,
+                                              const Outcome &refusal) {
   const ServiceRoute *route = View->findService(p.Head.Service);
   const RoutedServer *next = nullptr;
-  if (route && anotherMayTakeIt(refusal.Why) &&
-      p.Tried.size() < Settings.MaxTries)
-    next = chooseForNewFlow(*route, rankBy(p), p.Tried);
+  if (route && isRetryableElsewhere(refusal.Why) &&
+      p.TriedServers.size() < Settings.MaxTries)
+    next = chooseForNewFlow(*route, rankKey(p), p.TriedServers);
   Outcome last = refusal;
-  if (last.RetryAfter <= Duration::zero() && anotherMayTakeIt(last.Why))
-    last.RetryAfter = spread();
+  if (last.RetryAfter <= Duration::zero() && isRetryableElsewhere(last.Why))
+    last.RetryAfter = jitteredRetryAfter();
   if (!next)
     return end(p, std::move(last), "owner-refused");
-  if (!takeRetry(p)) {
+  if (!consumeRetry(p)) {
     last.Why = Reason::RetryBudget;
     return end(p, std::move(last), "retry-budget");
   }
@@ -251,64 +261,66 @@
   forward(p, *next, false, false, "next-candidate");
 }
 
-bool EntryRouter::State::takeRetry(const EntryPacket &p) {
+bool EntryRouter::State::consumeRetry(const EntryPacket &p) {
   return Budgets
       .try_emplace(p.Head.Service, Settings.RetryRatio, Settings.RetryBurst)
-      .first->second.take();
+      .first->second.tryConsume();
 }
 
-bool EntryRouter::State::retryLost(EntryPacket &p, const VmId &lost) {
+bool EntryRouter::State::reserveRetryAfterOwnerLoss(EntryPacket &p,
+                                                    const VmId &lost) {
   const ServiceRoute *route = View->findService(p.Head.Service);
-  if (!route || p.Head.Kind != Semantics::Idempotent || !p.Lost.empty())
+  if (!route || p.Head.Kind != Semantics::Idempotent || !p.LostServer.empty())
     return false;
   const RoutedServer *server =
-      p.NewFlow ? chooseForNewFlow(*route, rankBy(p), p.Tried)
-                : route->find(p.Unanswered->Server);
+      p.OpensFlow ? chooseForNewFlow(*route, rankKey(p), p.TriedServers)
+                  : route->find(p.Outstanding->Server);
   // The same owner may still have the request under the same id.
-  return server && server->DomainInService && server->reachable() &&
-         server->Owner.Id != lost && takeRetry(p);
+  return server && server->DomainInService && server->isReachable() &&
+         server->Owner.Id != lost && consumeRetry(p);
 }
 
-void EntryRouter::State::ownerGone(EntryPacket &p, bool provablyNotSent) {
-  const EntryPacket::Outstanding gone = *p.Unanswered;
-  if (!provablyNotSent) {
+void EntryRouter::State::handleOwnerLoss(EntryPacket &p, bool notSent) {
+  const EntryPacket::OutstandingForward gone = *p.Outstanding;
+  if (!notSent) {
     // Whether the owner passed the request on before it vanished can't be
     // known. A second run would charge a deposit twice, so only a request that
     // may run twice is tried again, once.
-    bool retry = retryLost(p, gone.To.Id);
+    bool retry = reserveRetryAfterOwnerLoss(p, gone.To.Id);
     p.MayHaveRun = true;
-    p.Lost = gone.Server;
+    p.LostServer = gone.Server;
     if (!retry)
       return end(p, Ending::OutcomeUnknown, Reason::OwnerLost, gone.Server, {},
                  "owner-lost");
-    p.Unanswered.reset();
+    p.Outstanding.reset();
     const ServiceRoute &route = *View->findService(p.Head.Service);
     const RoutedServer &next =
-        p.NewFlow ? *chooseForNewFlow(route, rankBy(p), p.Tried)
-                  : *route.find(gone.Server);
-    return forward(p, next, !p.NewFlow, false, "owner-lost-idempotent");
+        p.OpensFlow ? *chooseForNewFlow(route, rankKey(p), p.TriedServers)
+                    : *route.find(gone.Server);
+    return forward(p, next, !p.OpensFlow, false, "owner-lost-idempotent");
   }
-  p.Unanswered.reset();
+  p.Outstanding.reset();
   Outcome refusal;
   refusal.Why = Reason::OwnerUnreachable;
   refusal.Server = gone.Server;
   refusal.AtStep = stepName(Step::ForwardToOwner);
   refusal.AtPeer = gone.To.Id.str();
-  refusal.RetryAfter = spread();
-  if (p.NewFlow)
-    return tryNext(p, refusal);
-  if (gone.Accepting)
+  refusal.RetryAfter = jitteredRetryAfter();
+  if (p.OpensFlow)
+    return retryOnNextCandidate(p, refusal);
+  if (gone.AcceptFlow)
     return end(p, std::move(refusal), "owner-unreachable");
-  search(p);
+  startSearch(p);
 }
 
 void EntryRouter::State::forward(EntryPacket &p, const RoutedServer &server,
                                  bool accept, bool byToken, const char *rule) {
   const ServerId &id = server.Server.Id;
-  p.Now = EntryPacket::Phase::Forwarded;
-  p.Unanswered = EntryPacket::Outstanding{server.Owner, id, accept || byToken};
-  p.Tried.push_back(id);
-  wakeAt(p, p.Deadline);
+  p.CurrentPhase = EntryPacket::Phase::Forwarded;
+  p.Outstanding =
+      EntryPacket::OutstandingForward{server.Owner, id, accept || byToken};
+  p.TriedServers.push_back(id);
+  setTimer(p, p.Deadline);
   Actions.emplace_back(SendForward{server.Owner, p.Head.Request, id,
                                    View->Ticket, accept, byToken,
                                    p.Deadline - Now});
--- a/Balsamrack/Flows/EntryRouter.cpp
+++ b/Balsamrack/Flows/EntryRouter.cpp
@@ -16,7 +16,7 @@
 }
 
 /// "answered", or "not-run, queue-full".
-std::string endingInWords(const Outcome &outcome) {
+std::string formatEnding(const Outcome &outcome) {
   if (outcome.Why == Reason::None)
     return endingName(outcome.How);
   return absl::StrCat(endingName(outcome.How), ", ", reasonName(outcome.Why));
@@ -25,7 +25,7 @@
 } // namespace
 
 EntryRouter::EntryRouter(std::unique_ptr<State> state)
-    : Self(std::move(state)) {}
+    : Impl(std::move(state)) {}
 EntryRouter::~EntryRouter() = default;
 
 absl::StatusOr<std::unique_ptr<EntryRouter>>
@@ -38,19 +38,19 @@
 
 std::vector<EntryAction> EntryRouter::step(TimePoint now,
                                            const EntryEvent &event) {
-  Self->Now = now;
-  std::visit([this](const auto &e) { Self->on(e); }, event);
-  return std::exchange(Self->Actions, {});
+  Impl->Now = now;
+  std::visit([this](const auto &e) { Impl->on(e); }, event);
+  return std::exchange(Impl->Actions, {});
 }
 
 std::optional<TimePoint> EntryRouter::nextWakeup() const {
-  if (Self->Timers.empty())
+  if (Impl->Timers.empty())
     return std::nullopt;
-  return Self->Timers.begin()->first;
+  return Impl->Timers.begin()->first;
 }
 
 size_t EntryRouter::inProgress() const {
-  return Self->Packets.size() - Self->Lingering;
+  return Impl->Packets.size() - Impl->NumLingering;
 }
 
 void EntryRouter::State::on(const PacketArrived &event) {
@@ -65,19 +65,20 @@
   if (p.claimsKey())
     p.Head.Remaining = std::min(p.Head.Remaining, Settings.KeyMemory / 2);
   p.Deadline = Now + p.Head.Remaining;
-  wakeAt(p, p.Deadline);
+  setTimer(p, p.Deadline);
   if (p.Head.Remaining <= Duration::zero())
     return end(p, Ending::NotRun, Reason::DeadlinePassed, {}, {}, "deadline");
   if (!View)
-    return end(p, Ending::NotRun, Reason::OwnerUnsure, {}, spread(), "no-view");
+    return end(p, Ending::NotRun, Reason::OwnerUnsure, {}, jitteredRetryAfter(),
+               "no-view");
   Budgets.try_emplace(p.Head.Service, Settings.RetryRatio, Settings.RetryBurst)
-      .first->second.earn();
+      .first->second.addPacket();
   if (!p.claimsKey())
     return place(p);
-  p.Now = EntryPacket::Phase::Claiming;
-  p.ClaimUntil = Now + Settings.ClaimTimeout;
-  sendClaims(p);
-  judgeKeys(p);
+  p.CurrentPhase = EntryPacket::Phase::ClaimingKey;
+  p.ClaimResendUntil = Now + Settings.ClaimTimeout;
+  sendKeyClaims(p);
+  evaluateKeyClaims(p);
 }
 
 void EntryRouter::State::on(const OwnerReplied &event) {
@@ -85,29 +86,29 @@
   // A late answer of an owner that no longer has the request, or one crossed
   // with another's, must not be taken for the present owner's: a refusal would
   // start a second run while the first goes on.
-  if (!p || !p->Unanswered || p->Unanswered->To.Id != event.From)
+  if (!p || !p->Outstanding || p->Outstanding->To.Id != event.From)
     return;
   bool elsewhere = event.Result.How == Ending::NotRun &&
                    event.Result.Why == Reason::FlowElsewhere;
   // An owner never answers "elsewhere" when it was told to take the flow in:
   // such an answer is the duplicate of an earlier one.
-  if (elsewhere && p->Unanswered->Accepting)
+  if (elsewhere && p->Outstanding->AcceptFlow)
     return;
   if (!elsewhere && !event.Result.Server.empty() &&
-      event.Result.Server != p->Unanswered->Server)
+      event.Result.Server != p->Outstanding->Server)
     return;
-  if (p->Now == EntryPacket::Phase::Lingering) {
-    settle(*p, event.Result.How);
+  if (p->CurrentPhase == EntryPacket::Phase::Lingering) {
+    settleKey(*p, event.Result.How);
     return erase(*p);
   }
-  ServerId server = p->Unanswered->Server;
-  p->Unanswered.reset();
+  ServerId server = p->Outstanding->Server;
+  p->Outstanding.reset();
   if (elsewhere && event.Result.Server.empty())
-    return search(*p);
+    return startSearch(*p);
   if (elsewhere)
-    return sendToNamed(*p, event.Result.Server, "exception");
-  if (event.Result.How == Ending::NotRun && p->NewFlow)
-    return tryNext(*p, event.Result);
+    return forwardToFlowServerById(*p, event.Result.Server, "exception");
+  if (event.Result.How == Ending::NotRun && p->OpensFlow)
+    return retryOnNextCandidate(*p, event.Result);
   Outcome outcome = event.Result;
   if (outcome.Server.empty())
     outcome.Server = server;
@@ -116,32 +117,32 @@
 
 void EntryRouter::State::on(const FlowReplied &event) {
   EntryPacket *p = find(event.Reply.Request);
-  if (p && p->Now == EntryPacket::Phase::Asking &&
+  if (p && p->CurrentPhase == EntryPacket::Phase::SearchingFlow &&
       event.Reply.Flow == p->Head.Flow &&
       p->Search.recordReply(event.From, event.Reply, View->Ticket))
-    concludeSearch(*p);
+    evaluateSearch(*p);
 }
 
 void EntryRouter::State::on(const KeyReplied &event) {
   EntryPacket *p = find(event.Reply.Request);
-  if (p && p->Now == EntryPacket::Phase::Claiming &&
+  if (p && p->CurrentPhase == EntryPacket::Phase::ClaimingKey &&
       event.Reply.Key == p->Head.Key &&
       p->Keys.recordReply(event.From, event.Reply.Verdict))
-    judgeKeys(*p);
+    evaluateKeyClaims(*p);
 }
 
 void EntryRouter::State::on(const PeerLost &event) {
-  for (RequestId id : requests()) {
+  for (RequestId id : requestIds()) {
     EntryPacket &p = *find(id);
-    if (p.Now == EntryPacket::Phase::Claiming) {
+    if (p.CurrentPhase == EntryPacket::Phase::ClaimingKey) {
       if (p.Keys.recordNoReply(event.Peer))
-        judgeKeys(p);
-    } else if (p.Now == EntryPacket::Phase::Asking) {
+        evaluateKeyClaims(p);
+    } else if (p.CurrentPhase == EntryPacket::Phase::SearchingFlow) {
       if (p.Search.recordNoReply(event.Peer))
-        concludeSearch(p);
-    } else if (p.Now == EntryPacket::Phase::Forwarded &&
-               p.Unanswered->To.Id == event.Peer) {
-      ownerGone(p, false);
+        evaluateSearch(p);
+    } else if (p.CurrentPhase == EntryPacket::Phase::Forwarded &&
+               p.Outstanding->To.Id == event.Peer) {
+      handleOwnerLoss(p, false);
     }
   }
 }
@@ -150,64 +151,64 @@
   EntryPacket *p = find(event.Request);
   if (!p)
     return;
-  if (p->Now == EntryPacket::Phase::Claiming) {
+  if (p->CurrentPhase == EntryPacket::Phase::ClaimingKey) {
     if (p->Keys.recordNoReply(event.Peer))
-      judgeKeys(*p);
-  } else if (p->Now == EntryPacket::Phase::Asking) {
+      evaluateKeyClaims(*p);
+  } else if (p->CurrentPhase == EntryPacket::Phase::SearchingFlow) {
     if (p->Search.recordNoReply(event.Peer))
-      concludeSearch(*p);
-  } else if (p->Now == EntryPacket::Phase::Forwarded &&
-             p->Unanswered->To.Id == event.Peer) {
-    ownerGone(*p, true);
+      evaluateSearch(*p);
+  } else if (p->CurrentPhase == EntryPacket::Phase::Forwarded &&
+             p->Outstanding->To.Id == event.Peer) {
+    handleOwnerLoss(*p, true);
   }
 }
 
 void EntryRouter::State::on(const CallerLeft &event) {
   EntryPacket *p = find(event.Request);
-  if (p && p->Now != EntryPacket::Phase::Lingering)
+  if (p && p->CurrentPhase != EntryPacket::Phase::Lingering)
     abandon(*p, Reason::CallerGone);
 }
 
 void EntryRouter::State::on(const EntryTicked & /*event*/) {
   while (!Timers.empty() && Timers.begin()->first <= Now)
-    timeUp(*find(Timers.begin()->second));
+    handleTimer(*find(Timers.begin()->second));
 }
 
 void EntryRouter::State::on(const ViewChanged &event) {
   View = event.View;
-  for (RequestId id : requests()) {
+  for (RequestId id : requestIds()) {
     EntryPacket &p = *find(id);
-    if (p.Now != EntryPacket::Phase::Claiming)
+    if (p.CurrentPhase != EntryPacket::Phase::ClaimingKey)
       continue;
-    sendClaims(p);
-    judgeKeys(p);
+    sendKeyClaims(p);
+    evaluateKeyClaims(p);
   }
 }
 
-void EntryRouter::State::timeUp(EntryPacket &p) {
-  if (p.Now == EntryPacket::Phase::Lingering)
+void EntryRouter::State::handleTimer(EntryPacket &p) {
+  if (p.CurrentPhase == EntryPacket::Phase::Lingering)
     return erase(p);
   if (Now >= p.Deadline)
     return abandon(p, Reason::DeadlinePassed);
-  if (p.Now == EntryPacket::Phase::Claiming) {
-    if (std::exchange(p.AskAgain, false))
-      return repeatClaims(p);
+  if (p.CurrentPhase == EntryPacket::Phase::ClaimingKey) {
+    if (std::exchange(p.ClaimResendDue, false))
+      return resendKeyClaims(p);
     p.Keys.recordTimeout();
-    return judgeKeys(p);
+    return evaluateKeyClaims(p);
   }
   p.Search.recordTimeout();
-  concludeSearch(p);
+  evaluateSearch(p);
 }
 
 void EntryRouter::State::abandon(EntryPacket &p, Reason why) {
-  if (!p.Unanswered)
+  if (!p.Outstanding)
     return end(p, Ending::NotRun, why, {}, {}, reasonName(why));
-  Actions.emplace_back(SendCancel{p.Unanswered->To, p.Head.Request});
-  ServerId server = p.Unanswered->Server;
+  Actions.emplace_back(SendCancel{p.Outstanding->To, p.Head.Request});
+  ServerId server = p.Outstanding->Server;
   end(p, Ending::OutcomeUnknown, why, server, {}, reasonName(why));
 }
 
-void EntryRouter::State::settle(const EntryPacket &p, Ending how) {
+void EntryRouter::State::settleKey(const EntryPacket &p, Ending how) {
   if (!p.claimsKey())
     return;
   Ending told = provablyNotRun(how) ? Ending::NotRun : how;
@@ -234,7 +235,7 @@
   if (p.MayHaveRun && provablyNotRun(outcome.How)) {
     outcome.How = Ending::OutcomeUnknown;
     outcome.Why = Reason::OwnerLost;
-    outcome.Server = p.Lost;
+    outcome.Server = p.LostServer;
   }
   outcome.Request = p.Head.Request;
   EndPacket done;
@@ -243,22 +244,22 @@
                                p.Head.Flow, View->Ticket});
   // A request that was never forwarded leaves its key free, whatever the
   // guardians said of other attempts.
-  settle(p, p.Tried.empty() ? Ending::NotRun : outcome.How);
-  explain(p, DecisionKind::Ended, rule, endingInWords(outcome), outcome.Server,
+  settleKey(p, p.TriedServers.empty() ? Ending::NotRun : outcome.How);
+  explain(p, DecisionKind::Ended, rule, formatEnding(outcome), outcome.Server,
           VmId(outcome.AtPeer));
   done.Result = std::move(outcome);
   Actions.emplace_back(std::move(done));
-  if (!p.claimsKey() || !p.Unanswered)
+  if (!p.claimsKey() || !p.Outstanding)
     return erase(p);
-  p.Now = EntryPacket::Phase::Lingering;
-  ++Lingering;
-  wakeAt(p, Now + Settings.Linger);
+  p.CurrentPhase = EntryPacket::Phase::Lingering;
+  ++NumLingering;
+  setTimer(p, Now + Settings.Linger);
 }
 
 void EntryRouter::State::erase(EntryPacket &p) {
-  if (p.Now == EntryPacket::Phase::Lingering)
-    --Lingering;
-  Timers.erase({p.WakeAt, p.Head.Request});
+  if (p.CurrentPhase == EntryPacket::Phase::Lingering)
+    --NumLingering;
+  Timers.erase({p.TimerAt, p.Head.Request});
   Packets.erase(p.Head.Request);
 }
 
@@ -267,7 +268,7 @@
   return it == Packets.end() ? nullptr : &it->second;
 }
 
-std::vector<RequestId> EntryRouter::State::requests() const {
+std::vector<RequestId> EntryRouter::State::requestIds() const {
   std::vector<RequestId> ids;
   ids.reserve(Packets.size());
   for (const auto &[id, p] : Packets)
@@ -275,13 +276,13 @@
   return ids;
 }
 
-void EntryRouter::State::wakeAt(EntryPacket &p, TimePoint when) {
-  Timers.erase({p.WakeAt, p.Head.Request});
-  p.WakeAt = when;
+void EntryRouter::State::setTimer(EntryPacket &p, TimePoint when) {
+  Timers.erase({p.TimerAt, p.Head.Request});
+  p.TimerAt = when;
   Timers.emplace(when, p.Head.Request);
 }
 
-Duration EntryRouter::State::spread() {
+Duration EntryRouter::State::jitteredRetryAfter() {
   // Half as much again at random, so that callers refused together do not come
   // back together.
   auto base = static_cast<uint64_t>(Settings.RetryAfter.count());
@@ -306,7 +307,7 @@
   d.AtPeer = peer.str();
   d.Inputs = {{"service", p.Head.Service.str()},
               {"first-of-flow", p.Head.FirstOfFlow ? "yes" : "no"},
-              {"tries", absl::StrCat(p.Tried.size())},
+              {"tries", absl::StrCat(p.TriedServers.size())},
               {"remaining-us", absl::StrCat((p.Deadline - Now).count())}};
   Actions.emplace_back(ExplainEntry{std::move(d)});
 }
--- a/Balsamrack/Flows/EntryRouter.h
+++ b/Balsamrack/Flows/EntryRouter.h
@@ -42,7 +42,7 @@
   struct State;
   explicit EntryRouter(std::unique_ptr<State> state);
 
-  std::unique_ptr<State> Self; ///< Not null.
+  std::unique_ptr<State> Impl; ///< Not null.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Flows/EntryRouterState.h
+++ b/Balsamrack/Flows/EntryRouterState.h
@@ -9,7 +9,7 @@
 #include "Balsamrack/Flows/EntryPacket.h"
 #include "Balsamrack/Flows/EntryRouter.h"
 #include "Balsamrack/Flows/FlowToken.h"
-#include "Balsamrack/Flows/PlacementBudget.h"
+#include "Balsamrack/Flows/RetryBudget.h"
 
 namespace balsamrack {
 
@@ -26,9 +26,9 @@
   std::shared_ptr<const RoutingView> View; ///< Null until the first one.
   std::map<RequestId, EntryPacket> Packets;
   std::set<std::pair<TimePoint, RequestId>> Timers; ///< One a packet.
-  std::map<ServiceId, PlacementBudget> Budgets;
-  size_t Lingering = 0; ///< Packets that ended but wait for a late outcome.
-  TimePoint Now;        ///< Of the present step.
+  std::map<ServiceId, RetryBudget> Budgets;
+  size_t NumLingering = 0; ///< Packets that ended but wait for a late outcome.
+  TimePoint Now;           ///< Of the present step.
   std::vector<EntryAction> Actions; ///< Of the present step.
 
   // Events. Each may end packets.
@@ -45,37 +45,38 @@
   // Placement (EntryPlacement.cpp). Each may end the packet.
   void place(EntryPacket &p);
   bool placeByToken(EntryPacket &p, const ServiceRoute &route);
-  void placeNew(EntryPacket &p, const ServiceRoute &route);
-  void placeEstablished(EntryPacket &p, const ServiceRoute &route);
-  void sendToHome(EntryPacket &p, const RoutedServer &server, bool byToken,
-                  const char *rule);
-  void sendToNamed(EntryPacket &p, const ServerId &server, const char *rule);
-  void tryNext(EntryPacket &p, const Outcome &refusal);
-  bool retryLost(EntryPacket &p, const VmId &lost);
-  void search(EntryPacket &p);
-  void askOwners(EntryPacket &p);
-  void concludeSearch(EntryPacket &p);
-  void judgeKeys(EntryPacket &p);
-  void ownerGone(EntryPacket &p, bool provablyNotSent);
+  void placeNewFlow(EntryPacket &p, const ServiceRoute &route);
+  void placeEstablishedFlow(EntryPacket &p, const ServiceRoute &route);
+  void forwardToFlowServer(EntryPacket &p, const RoutedServer &server,
+                           bool byToken, const char *rule);
+  void forwardToFlowServerById(EntryPacket &p, const ServerId &server,
+                               const char *rule);
+  void retryOnNextCandidate(EntryPacket &p, const Outcome &refusal);
+  bool reserveRetryAfterOwnerLoss(EntryPacket &p, const VmId &lost);
+  void startSearch(EntryPacket &p);
+  void sendQuestions(EntryPacket &p);
+  void evaluateSearch(EntryPacket &p);
+  void evaluateKeyClaims(EntryPacket &p);
+  void handleOwnerLoss(EntryPacket &p, bool notSent);
 
   // Helpers.
   void forward(EntryPacket &p, const RoutedServer &server, bool accept,
                bool byToken, const char *rule);
-  void sendClaims(EntryPacket &p);
-  void repeatClaims(EntryPacket &p);
-  void wakeAt(EntryPacket &p, TimePoint when);
-  FlowId rankBy(const EntryPacket &p) const;
-  bool takeRetry(const EntryPacket &p);
-  Duration spread();
-  void timeUp(EntryPacket &p);
+  void sendKeyClaims(EntryPacket &p);
+  void resendKeyClaims(EntryPacket &p);
+  void setTimer(EntryPacket &p, TimePoint when);
+  FlowId rankKey(const EntryPacket &p) const;
+  bool consumeRetry(const EntryPacket &p);
+  Duration jitteredRetryAfter();
+  void handleTimer(EntryPacket &p);
   void abandon(EntryPacket &p, Reason why);
-  void settle(const EntryPacket &p, Ending how);
+  void settleKey(const EntryPacket &p, Ending how);
   void end(EntryPacket &p, Ending how, Reason why, const ServerId &server,
            Duration retryAfter, const char *rule);
   void end(EntryPacket &p, Outcome outcome, const char *rule);
   void erase(EntryPacket &p);
   EntryPacket *find(RequestId request);
-  std::vector<RequestId> requests() const;
+  std::vector<RequestId> requestIds() const;
   void explain(const EntryPacket &p, DecisionKind kind, const char *rule,
                const std::string &result, const ServerId &server,
                const VmId &peer);
--- a/Balsamrack/Flows/FlowRank.cpp
+++ b/Balsamrack/Flows/FlowRank.cpp
@@ -56,7 +56,7 @@
   return -portableLog(u) * InverseWeights[i];
 }
 
-size_t FlowRank::first(FlowId flow) const {
+size_t FlowRank::firstCandidate(FlowId flow) const {
   size_t best = 0;
   if (EqualWeights) {
     // The cost falls as the hash grows, so the hashes alone decide.
@@ -79,7 +79,7 @@
   return best;
 }
 
-std::vector<size_t> FlowRank::order(FlowId flow, size_t count) const {
+std::vector<size_t> FlowRank::topCandidates(FlowId flow, size_t count) const {
   std::vector<std::pair<double, size_t>> costs;
   costs.reserve(Seeds.size());
   for (size_t i = 0; i < Seeds.size(); ++i)
--- a/Balsamrack/Flows/FlowRank.h
+++ b/Balsamrack/Flows/FlowRank.h
@@ -41,10 +41,10 @@
   size_t size() const { return Seeds.size(); }
   /// Position, in the list given, of the flow's first candidate. Precondition:
   /// size() > 0. Thread-safe.
-  size_t first(FlowId flow) const;
+  size_t firstCandidate(FlowId flow) const;
   /// Positions of the first \p count candidates, best first; fewer when there
   /// are fewer. Thread-safe.
-  std::vector<size_t> order(FlowId flow, size_t count) const;
+  std::vector<size_t> topCandidates(FlowId flow, size_t count) const;
 
 private:
   double cost(FlowId flow, size_t i) const;
--- a/Balsamrack/Flows/FlowSearch.h
+++ b/Balsamrack/Flows/FlowSearch.h
@@ -25,25 +25,25 @@
 public:
   /// What the search came to.
   enum class Conclusion {
-    Pending,     ///< Answers are missing.
-    AskMore,     ///< Those asked so far don't know: see askNext().
-    Found,       ///< An owner knows that the flow lives on server().
-    Inferred,    ///< It must live on server(), whose owner is fresh.
-    Unreachable, ///< It must live on server(), which can't be reached now.
-    DomainOut,   ///< It must live on server(), whose domain is out.
-    LaterTicket, ///< Nobody knows, but an owner has a later ticket.
-    Nowhere,     ///< Each likely owner ruled it out.
+    Pending,       ///< Answers are missing.
+    AskMoreOwners, ///< Those asked so far don't know: see selectOwnersToAsk().
+    Found,         ///< An owner knows that the flow lives on server().
+    Inferred,      ///< It must live on server(), whose owner is fresh.
+    Unreachable,   ///< It must live on server(), which can't be reached now.
+    DomainOut,     ///< It must live on server(), whose domain is out.
+    LaterTicket,   ///< Nobody knows, but an owner has a later ticket.
+    NotFound,      ///< Each likely owner ruled it out.
   };
 
   /// Starts the search over the rank, up to the \p candidates-th server that
   /// takes new flows, and the first
-  /// candidates under earlier configurations. \p rankBy is the flow, or what
+  /// candidates under earlier configurations. \p rankKey is the flow, or what
   /// stands in for it in the rank.
-  void start(const ServiceRoute &route, FlowId rankBy, size_t candidates);
+  void start(const ServiceRoute &route, FlowId rankKey, size_t candidates);
   /// Whom to ask next: first the owners of the second and third candidate,
   /// where nearly all displaced flows live, then all others. Asking all at once
   /// doubles the control traffic after a server joined.
-  std::vector<EntryVm> askNext();
+  std::vector<EntryVm> selectOwnersToAsk();
   /// Notes an answer; false when it was not asked for or came before.
   /// \p inForce is the highest ticket in force here.
   bool recordReply(const VmId &from, const FlowReply &reply,
@@ -61,25 +61,25 @@
   enum class State {
     NotAsked,
     Asked,
-    Silent,
-    Ruled,
-    Guessed,
+    NoReply,
+    RuledOut,
+    Possible,
     Unreachable,
-    Out
+    DomainOut
   };
   struct Target {
     ServerId Server;
     EntryVm Owner;
-    State Now = State::NotAsked;
+    State Status = State::NotAsked;
   };
-  void add(const RoutedServer &server);
-  void ask(const Target &target, std::vector<EntryVm> &owners);
-  const Target *firstNotRuledOut() const;
+  void addTarget(const RoutedServer &server);
+  void addOwnerToAsk(const Target &target, std::vector<EntryVm> &owners);
+  const Target *findLikeliestTarget() const;
 
-  std::vector<Target> Targets; ///< Likeliest first.
-  bool Begun = false;          ///< The first owners were asked.
-  bool Later = false;          ///< An owner that was asked has a later ticket.
-  ServerId Home;               ///< Set once an owner knows.
+  std::vector<Target> Targets;    ///< Likeliest first.
+  bool FirstRoundStarted = false; ///< The first owners were asked.
+  bool SawLaterTicket = false; ///< An owner that was asked has a later ticket.
+  ServerId FoundServer;        ///< Set once an owner knows.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Flows/OwnerFlows.cpp
+++ b/Balsamrack/Flows/OwnerFlows.cpp
@@ -135,7 +135,8 @@
   if (!home || home->Mark == mark)
     return;
   Flows->mark(head.Flow, mark);
-  const RoutedServer &first = route->Servers[route->Rank.first(head.Flow)];
+  const RoutedServer &first =
+      route->Servers[route->Rank.firstCandidate(head.Flow)];
   if (first.Server.Id == server)
     return;
   if (!isOurs(view, first))
@@ -143,9 +144,9 @@
   // Both are ours: our death would lose the flow and the exception together,
   // and the next owner would take the flow in on its first candidate. So the
   // best-ranked other owner, which the question asks too, keeps a copy.
-  for (size_t i : route->Rank.order(head.Flow, route->Servers.size())) {
+  for (size_t i : route->Rank.topCandidates(head.Flow, route->Servers.size())) {
     const RoutedServer &it = route->Servers[i];
-    if (isOurs(view, it) || !it.reachable())
+    if (isOurs(view, it) || !it.isReachable())
       continue;
     return enqueue(it.Owner, head.Service, head.Flow, server);
   }
@@ -199,7 +200,8 @@
     return reply;
   }
   // Of our servers that we took over blindly, the likeliest.
-  for (size_t i : route->Rank.order(question.Flow, route->Servers.size())) {
+  for (size_t i :
+       route->Rank.topCandidates(question.Flow, route->Servers.size())) {
     const RoutedServer &it = route->Servers[i];
     if (!isOurs(*v, it) || !isFresh(now, it.Server.Id))
       continue;
@@ -264,7 +266,7 @@
   out.Service = routed->Server.Service;
   const ServiceRoute &route = *v->findService(out.Service);
   auto firstIs = [&](FlowId flow) {
-    return route.Servers[route.Rank.first(flow)].Server.Id == server;
+    return route.Servers[route.Rank.firstCandidate(flow)].Server.Id == server;
   };
   // All flows on the server: naming one costs some 25 bytes once, while each
   // flow that the next owner doesn't know costs questions of a kilobyte.
--- a/Balsamrack/Flows/Placement.cpp
+++ b/Balsamrack/Flows/Placement.cpp
@@ -14,12 +14,12 @@
 }
 
 /// The rule by which a candidate is passed over; "rank" when it isn't.
-const char *ruleFor(const RoutedServer &server) {
+const char *exclusionRule(const RoutedServer &server) {
   if (!server.DomainInService)
     return "domain-out";
   if (!server.DomainReachable)
     return "domain-unreachable";
-  if (!server.reachable())
+  if (!server.isReachable())
     return "owner-unreachable";
   if (server.Server.Mode == ServerMode::Draining)
     return "server-draining";
@@ -37,12 +37,12 @@
   if (route.Servers.empty())
     return nullptr;
   // Most flows get their first candidate, which needs no sorting.
-  const RoutedServer &best = route.Servers[route.Rank.first(flow)];
-  if (best.takesNewFlows() && !contains(tried, best.Server.Id))
+  const RoutedServer &best = route.Servers[route.Rank.firstCandidate(flow)];
+  if (best.acceptsNewFlows() && !contains(tried, best.Server.Id))
     return &best;
-  for (size_t i : route.Rank.order(flow, route.Servers.size())) {
+  for (size_t i : route.Rank.topCandidates(flow, route.Servers.size())) {
     const RoutedServer &it = route.Servers[i];
-    if (it.takesNewFlows() && !contains(tried, it.Server.Id))
+    if (it.acceptsNewFlows() && !contains(tried, it.Server.Id))
       return &it;
   }
   return nullptr;
@@ -72,10 +72,10 @@
   }
   // One line a candidate, in the flow's own order.
   size_t position = 0;
-  for (size_t i : route->Rank.order(flow, route->Servers.size())) {
+  for (size_t i : route->Rank.topCandidates(flow, route->Servers.size())) {
     const RoutedServer &it = route->Servers[i];
-    const char *rule = ruleFor(it);
-    Decision &d = add(rule, it.takesNewFlows() ? "candidate" : "passed over");
+    const char *rule = exclusionRule(it);
+    Decision &d = add(rule, it.acceptsNewFlows() ? "candidate" : "passed over");
     d.Server = it.Server.Id;
     d.Inputs = {{"position", absl::StrCat(++position)},
                 {"weight", absl::StrCat(it.Server.Weight)},
--- a/Balsamrack/Flows/PlacementBudget.h
+++ b/Balsamrack/Flows/RetryBudget.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_FLOWS_PLACEMENTBUDGET_H
-#define BALSAMRACK_FLOWS_PLACEMENTBUDGET_H
+#ifndef BALSAMRACK_FLOWS_RETRYBUDGET_H
+#define BALSAMRACK_FLOWS_RETRYBUDGET_H
 
 namespace balsamrack {
 
@@ -11,29 +11,31 @@
 /// earns a fraction of a try, so tries are a bounded share of the packets and
 /// shrink with them; a small saved-up burst serves the common case of one full
 /// server. Not thread-safe.
-class PlacementBudget {
+class RetryBudget {
 public:
   /// Each packet earns \p ratio tries; at most \p burst are saved up, with
   /// which it starts.
-  PlacementBudget(double ratio, double burst)
-      : Ratio(ratio), Burst(burst), Saved(burst) {}
+  RetryBudget(double ratio, double burst)
+      : Ratio(ratio), Burst(burst), Available(burst) {}
 
   /// Notes a packet.
-  void earn() { Saved = Saved + Ratio < Burst ? Saved + Ratio : Burst; }
+  void addPacket() {
+    Available = Available + Ratio < Burst ? Available + Ratio : Burst;
+  }
   /// Takes one try; false when there is none.
-  bool take() {
-    if (Saved < 1)
+  bool tryConsume() {
+    if (Available < 1)
       return false;
-    Saved -= 1;
+    Available -= 1;
     return true;
   }
 
 private:
-  double Ratio; ///< Tries earned by a packet.
-  double Burst; ///< Most that may be saved up.
-  double Saved; ///< Tries left.
+  double Ratio;     ///< Tries earned by a packet.
+  double Burst;     ///< Most that may be saved up.
+  double Available; ///< Tries left.
 };
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_FLOWS_PLACEMENTBUDGET_H
+#endif // BALSAMRACK_FLOWS_RETRYBUDGET_H
--- a/Balsamrack/Flows/RoutingView.cpp
+++ b/Balsamrack/Flows/RoutingView.cpp
@@ -50,11 +50,11 @@
 }
 
 absl::StatusOr<std::shared_ptr<const RoutingView>>
-RoutingView::create(RoutingView parts) {
-  for (auto &[id, route] : parts.Services)
+RoutingView::create(RoutingView view) {
+  for (auto &[id, route] : view.Services)
     if (absl::Status status = prepare(id, route); !status.ok())
       return status;
-  return std::make_shared<const RoutingView>(std::move(parts));
+  return std::make_shared<const RoutingView>(std::move(view));
 }
 
 const ServiceRoute *RoutingView::findService(const ServiceId &service) const {
@@ -69,7 +69,7 @@
   return nullptr;
 }
 
-bool RoutingView::unreachable(const VmId &vm) const {
+bool RoutingView::isUnreachable(const VmId &vm) const {
   return std::find(KeyReplicas.Unreachable.begin(),
                    KeyReplicas.Unreachable.end(),
                    vm) != KeyReplicas.Unreachable.end();
--- a/Balsamrack/Flows/RoutingView.h
+++ b/Balsamrack/Flows/RoutingView.h
@@ -22,13 +22,13 @@
   bool DomainReachable = true; ///< False while its domain is cut off from here.
 
   /// May a packet be handed to its owner now? Thread-safe.
-  bool reachable() const {
+  bool isReachable() const {
     return !Owner.Id.empty() && OwnerReachable && DomainReachable;
   }
   /// May it be offered a new flow? Thread-safe.
-  bool takesNewFlows() const {
+  bool acceptsNewFlows() const {
     return Server.Mode == ServerMode::Active && Server.Weight > 0 &&
-           DomainInService && !Ejected && reachable();
+           DomainInService && !Ejected && isReachable();
   }
 };
 
@@ -69,14 +69,14 @@
   /// place) when a server is listed twice or under a service not its own, which
   /// would let a packet of one service reach another. Thread-safe.
   static absl::StatusOr<std::shared_ptr<const RoutingView>>
-  create(RoutingView parts);
+  create(RoutingView view);
 
   /// The route of a service, or null. Thread-safe.
   const ServiceRoute *findService(const ServiceId &service) const;
   /// The route of a server of any service, or null. Thread-safe.
   const RoutedServer *findServer(const ServerId &server) const;
   /// True when \p vm can't be reached now. Thread-safe.
-  bool unreachable(const VmId &vm) const;
+  bool isUnreachable(const VmId &vm) const;
 };
 
 } // namespace balsamrack
--- a/PerformanceTest/FlowBaselines.cpp
+++ b/PerformanceTest/FlowBaselines.cpp
@@ -47,8 +47,8 @@
   FlowRank after(newList);
   size_t moved = 0;
   for (uint64_t f = 1; f <= flows; ++f) {
-    const ServerId &a = oldList[before.first(FlowId{f})].Server;
-    const ServerId &b = newList[after.first(FlowId{f})].Server;
+    const ServerId &a = oldList[before.firstCandidate(FlowId{f})].Server;
+    const ServerId &b = newList[after.firstCandidate(FlowId{f})].Server;
     moved += a != b ? 1 : 0;
   }
   return 100.0 * static_cast<double>(moved) / static_cast<double>(flows);
--- a/UnitTests/Flows/FlowRankTest.cpp
+++ b/UnitTests/Flows/FlowRankTest.cpp
@@ -41,7 +41,7 @@
   FlowRank rank(servers(weights));
   std::vector<double> got(weights.size());
   for (uint64_t f = 1; f <= NumFlows; ++f)
-    ++got[rank.first(FlowId{f})];
+    ++got[rank.firstCandidate(FlowId{f})];
   double sum = std::accumulate(weights.begin(), weights.end(), 0.0);
   for (size_t i = 0; i < weights.size(); ++i) {
     double share = NumFlows * weights[i] / sum;
@@ -63,8 +63,8 @@
     weights.push_back(*rc::gen::inRange<uint32_t>(1, 400));
     FlowRank after(servers(weights));
     FlowId flow{*rc::gen::arbitrary<uint64_t>()};
-    size_t now = after.first(flow);
-    RC_ASSERT(now == weights.size() - 1 || now == before.first(flow));
+    size_t now = after.firstCandidate(flow);
+    RC_ASSERT(now == weights.size() - 1 || now == before.firstCandidate(flow));
   }));
 }
 
@@ -74,11 +74,11 @@
     list.push_back({ServerId("last"), 100});
     FlowRank before(list);
     FlowId flow{*rc::gen::arbitrary<uint64_t>()};
-    auto order = before.order(flow, 2);
+    auto order = before.topCandidates(flow, 2);
     auto gone = *rc::gen::inRange<size_t>(0, list.size());
     ServerId expected = list[order[order[0] == gone ? 1 : 0]].Server;
     list.erase(list.begin() + static_cast<ptrdiff_t>(gone));
-    RC_ASSERT(list[FlowRank(list).first(flow)].Server == expected);
+    RC_ASSERT(list[FlowRank(list).firstCandidate(flow)].Server == expected);
   }));
 }
 
@@ -87,8 +87,8 @@
     auto weights = someWeights();
     FlowRank rank(servers(weights));
     FlowId flow{*rc::gen::arbitrary<uint64_t>()};
-    auto order = rank.order(flow, weights.size());
-    RC_ASSERT(order[0] == rank.first(flow));
+    auto order = rank.topCandidates(flow, weights.size());
+    RC_ASSERT(order[0] == rank.firstCandidate(flow));
     std::sort(order.begin(), order.end());
     for (size_t i = 0; i < order.size(); ++i)
       RC_ASSERT(order[i] == i);
@@ -103,7 +103,7 @@
   uint64_t digest = 0;
   for (uint64_t f = 1; f <= 1000; ++f)
     for (const FlowRank *rank : {&equal, &weighted})
-      for (size_t i : rank->order(FlowId{f}, 3))
+      for (size_t i : rank->topCandidates(FlowId{f}, 3))
         digest = combineHash(digest, i);
   EXPECT_EQ(digest, 11324303232091743200ULL);
 }
--- a/UnitTests/Flows/OwnerFlowsTest.cpp
+++ b/UnitTests/Flows/OwnerFlowsTest.cpp
@@ -34,7 +34,7 @@
   FlowId flowRanked(const std::vector<size_t> &begin) const {
     const FlowRank &rank = View->findService(Booking)->Rank;
     uint64_t f = 1;
-    while (rank.order(FlowId{f}, begin.size()) != begin)
+    while (rank.topCandidates(FlowId{f}, begin.size()) != begin)
       ++f;
     return FlowId{f};
   }
--- a/UnitTests/Flows/RouterHelp.h
+++ b/UnitTests/Flows/RouterHelp.h
@@ -119,7 +119,7 @@
   std::vector<ServerId> candidates() const {
     const ServiceRoute &route = *View->findService(Booking);
     std::vector<ServerId> ids;
-    for (size_t i : route.Rank.order(Flow, route.Servers.size()))
+    for (size_t i : route.Rank.topCandidates(Flow, route.Servers.size()))
       ids.push_back(route.Servers[i].Server.Id);
     return ids;
   }
