--- a/Balsamrack/Daemon/Daemon.cpp
+++ b/Balsamrack/Daemon/Daemon.cpp
@@ -296,7 +296,7 @@
 }
 
 void Daemon::sendExceptions(TimePoint now) {
-  for (ExceptionBatch &it : Flows->takeBatch(now, ExceptionBytes))
+  for (ExceptionBatch &it : Flows->dequeueBatches(now, ExceptionBytes))
     send(it.To, std::move(it.Batch)).IgnoreError();
 }
 
@@ -372,11 +372,11 @@
   } else if (const auto *it = std::get_if<CancelRequest>(&message)) {
     Owner->onCancel(it->Request);
   } else if (const auto *it = std::get_if<FlowQuestion>(&message)) {
-    send(from, Flows->answer(Time.now(), *it)).IgnoreError();
+    send(from, Flows->answerQuestion(Time.now(), *it)).IgnoreError();
   } else if (const auto *it = std::get_if<FlowReply>(&message)) {
     Entry->onFlowReply(from.Id, *it);
   } else if (const auto *it = std::get_if<FlowExceptions>(&message)) {
-    Flows->learn(Time.now(), *it);
+    Flows->addFlows(Time.now(), *it);
   } else if (const auto *it = std::get_if<KeyClaim>(&message)) {
     const auto view = Control->view();
     send(from,
@@ -408,10 +408,10 @@
 void Daemon::onOwned(const OwnedServers &owned) { Owner->setOwned(owned); }
 
 uint32_t Daemon::onLost(const ServerId &server, const EntryVm &newOwner) {
-  const FlowExceptions flows = Flows->handOver(Time.now(), server);
+  const FlowExceptions flows = Flows->exportFlows(Time.now(), server);
   if (!newOwner.Id.empty() && !flows.Flows.empty())
     send(newOwner, flows).IgnoreError();
-  Flows->dropServer(server);
+  Flows->removeServer(server);
   return Owner->inProgressAt(server);
 }
 
@@ -419,7 +419,7 @@
   // After a hand-over too: flows may have been bound after it was written.
   // Without this a flow's packet was answered "elsewhere" by the very owner of
   // its server, and accepted by another.
-  Flows->takenOver(Time.now(), server);
+  Flows->markTakenOver(Time.now(), server);
 }
 
 void Daemon::onSuperseded() {
--- a/Balsamrack/Daemon/OperatorPart.cpp
+++ b/Balsamrack/Daemon/OperatorPart.cpp
@@ -158,7 +158,7 @@
       entry["typical_answer_us"] = report.TypicalAnswer.count();
       entry["expected_wait_us"] = report.ExpectedWait.count();
       entry["instance"] = report.Instance.str();
-      entry["flows"] = From.Flows.flowsOn(id);
+      entry["flows"] = From.Flows.countFlows(id);
     }
     all.push_back(std::move(entry));
   }
--- a/Balsamrack/Daemon/OwnerPart.cpp
+++ b/Balsamrack/Daemon/OwnerPart.cpp
@@ -123,8 +123,8 @@
     report(from, std::move(refusal));
     return;
   }
-  const FlowVerdict verdict = Flows.judge(now, forward.Head, forward.Server,
-                                          forward.Accept, forward.ByToken);
+  const FlowVerdict verdict = Flows.resolveFlow(
+      now, forward.Head, forward.Server, forward.Accept, forward.ByToken);
   if (verdict.How == FlowVerdict::Elsewhere ||
       verdict.How == FlowVerdict::Unknown) {
     refusal.Why = Reason::FlowElsewhere;
@@ -144,7 +144,7 @@
   work.Start = now;
   work.NewFlow = verdict.How == FlowVerdict::New;
   RequestArrived arrived{work.Head, forward.Server, work.NewFlow, 0};
-  const uint32_t flows = Flows.flowsOn(forward.Server);
+  const uint32_t flows = Flows.countFlows(forward.Server);
   arrived.FlowsOnServer = work.NewFlow && flows > 0 ? flows - 1 : flows;
   std::vector<OwnerAction> actions;
   {
@@ -362,7 +362,7 @@
     outcome.Content = std::move(*work->Reply);
   // A flow that was never served doesn't live here.
   if (work->NewFlow && outcome.How == Ending::NotRun)
-    Flows.forget(work->Head.Flow);
+    Flows.removeFlow(work->Head.Flow);
   if (outcome.Server.empty())
     outcome.Server = work->Server;
   Watch.endSpan(
--- a/Balsamrack/Flows/FlowTable.cpp
+++ b/Balsamrack/Flows/FlowTable.cpp
@@ -13,45 +13,46 @@
 constexpr Duration TickLength(100'000);
 /// Entries looked at when one must be dropped. Sixteen find one among the
 /// oldest fifth with probability 0.97.
-constexpr size_t DropSample = 16;
+constexpr size_t EvictionSample = 16;
 /// As many when none of them is a flow of a single packet: during a flood such
 /// flows are common, and missing them would cost an established flow.
-constexpr size_t LongDropSample = 256;
+constexpr size_t ExtendedEvictionSample = 256;
 /// Two lines, as CPUs fetch them in pairs: shards share none.
 constexpr size_t CacheLine = 128;
 constexpr uint32_t HandleBits = 22;
 /// Reads that met a writer before a reader waits for the lock. A writer takes
 /// less time than one read, so this is met only when a writer was preempted.
-constexpr int OptimisticTries = 64;
-constexpr size_t FirstSlots = 16;
+constexpr int MaxOptimisticReads = 64;
+constexpr size_t InitialSlots = 16;
 
 uint32_t tickOf(TimePoint now) {
   return static_cast<uint32_t>(now.time_since_epoch() / TickLength);
 }
 
-uint64_t mixed(FlowId flow) { return combineHash(flow.Value, 1); }
+uint64_t mixHash(FlowId flow) { return combineHash(flow.Value, 1); }
 
 /// One flow in 16 bytes.
 struct Entry {
-  uint64_t Flow = 0;      ///< Zero: free.
-  uint32_t LastSeen = 0;  ///< In ticks.
-  uint32_t Handle = 0;    ///< Of its server.
-  bool SeenTwice = false; ///< It has sent more than one packet.
-  uint8_t Mark = 0;       ///< As set by mark().
+  uint64_t Flow = 0;              ///< Zero: free.
+  uint32_t LastSeen = 0;          ///< In ticks.
+  uint32_t Handle = 0;            ///< Of its server.
+  bool HasSeveralPackets = false; ///< It has sent more than one packet.
+  uint8_t Tag = 0;                ///< As set by mark().
 };
 
 uint64_t pack(const Entry &e) {
   return static_cast<uint64_t>(e.LastSeen) << 32 |
-         static_cast<uint64_t>(e.Mark) << 24 |
-         static_cast<uint64_t>(e.SeenTwice ? 1 : 0) << HandleBits | e.Handle;
+         static_cast<uint64_t>(e.Tag) << 24 |
+         static_cast<uint64_t>(e.HasSeveralPackets ? 1 : 0) << HandleBits |
+         e.Handle;
 }
 
 Entry unpack(uint64_t flow, uint64_t rest) {
   Entry e;
   e.Flow = flow;
   e.LastSeen = static_cast<uint32_t>(rest >> 32);
-  e.Mark = static_cast<uint8_t>(rest >> 24);
-  e.SeenTwice = (rest >> HandleBits & 1) != 0;
+  e.Tag = static_cast<uint8_t>(rest >> 24);
+  e.HasSeveralPackets = (rest >> HandleBits & 1) != 0;
   e.Handle = rest & ((1U << HandleBits) - 1);
   return e;
 }
@@ -63,7 +64,7 @@
 
   size_t size() const { return Mask + 1; }
   size_t next(size_t i) const { return (i + 1) & Mask; }
-  size_t homeOf(uint64_t flow) const { return mixed(FlowId{flow}) & Mask; }
+  size_t homeSlot(uint64_t flow) const { return mixHash(FlowId{flow}) & Mask; }
 
   // Acquire and release order the slots with the shard's version, see
   // FlowTable::Shard::read.
@@ -77,7 +78,7 @@
   }
   /// Where the flow stands, or nothing. Ends even while a writer moves entries.
   std::optional<size_t> find(uint64_t flow) const {
-    size_t i = homeOf(flow);
+    size_t i = homeSlot(flow);
     for (size_t n = 0; n <= Mask; ++n, i = next(i)) {
       uint64_t there = Slots[i].Flow.load(std::memory_order_acquire);
       if (there == flow)
@@ -89,7 +90,7 @@
   }
   /// Puts an entry that is not there into the first free slot on its way.
   size_t place(const Entry &e) {
-    size_t i = homeOf(e.Flow);
+    size_t i = homeSlot(e.Flow);
     while (Slots[i].Flow.load(std::memory_order_relaxed) != 0)
       i = next(i);
     set(i, e);
@@ -117,32 +118,33 @@
 class alignas(CacheLine) FlowTable::Shard {
 public:
   Shard() {
-    Arrays.push_back(std::make_unique<SlotArray>(FirstSlots));
+    Arrays.push_back(std::make_unique<SlotArray>(InitialSlots));
     Current = Arrays.back().get();
   }
 
   /// Holds the lock and keeps readers off for its own lifetime.
-  class Writer {
+  class WriteGuard {
   public:
-    explicit Writer(Shard &shard) : Held(shard.Lock), Version(shard.Version) {
+    explicit WriteGuard(Shard &shard)
+        : Guard(shard.Lock), Version(shard.Version) {
       Version.store(Version.load(std::memory_order_relaxed) + 1,
                     std::memory_order_relaxed);
     }
-    ~Writer() {
+    ~WriteGuard() {
       Version.store(Version.load(std::memory_order_relaxed) + 1,
                     std::memory_order_release);
     }
-    Writer(const Writer &) = delete;
-    Writer &operator=(const Writer &) = delete;
+    WriteGuard(const WriteGuard &) = delete;
+    WriteGuard &operator=(const WriteGuard &) = delete;
 
   private:
-    std::lock_guard<std::mutex> Held;
+    std::lock_guard<std::mutex> Guard;
     std::atomic<uint64_t> &Version;
   };
 
   /// The flow's entry. Thread-safe without the lock.
   std::optional<Entry> read(uint64_t flow) const {
-    for (int tries = 0; tries < OptimisticTries; ++tries) {
+    for (int tries = 0; tries < MaxOptimisticReads; ++tries) {
       uint64_t before = Version.load(std::memory_order_acquire);
       if (before & 1)
         continue;
@@ -187,7 +189,7 @@
       Entry e = array.get(i);
       if (e.Flow == 0)
         break;
-      if (((i - array.homeOf(e.Flow)) & mask) < ((i - hole) & mask))
+      if (((i - array.homeSlot(e.Flow)) & mask) < ((i - hole) & mask))
         continue;
       array.set(hole, e);
       hole = i;
@@ -197,25 +199,27 @@
   }
 
   /// The entry to drop. Precondition: the shard is not empty.
-  size_t worst() {
+  size_t selectVictim() {
     SlotArray &array = slots();
-    size_t worstAt = 0;
-    Entry worst;
+    size_t victimAt = 0;
+    Entry victim;
     for (size_t seen = 0, i = 0; i < array.size(); ++i) {
-      if (seen >= LongDropSample || (seen >= DropSample && !worst.SeenTwice))
+      if (seen >= ExtendedEvictionSample ||
+          (seen >= EvictionSample && !victim.HasSeveralPackets))
         break;
       Cursor = array.next(Cursor);
       Entry e = array.get(Cursor);
       if (e.Flow == 0)
         continue;
-      bool worse = e.SeenTwice != worst.SeenTwice ? !e.SeenTwice
-                                                  : e.LastSeen < worst.LastSeen;
+      bool worse = e.HasSeveralPackets != victim.HasSeveralPackets
+                       ? !e.HasSeveralPackets
+                       : e.LastSeen < victim.LastSeen;
       if (seen++ > 0 && !worse)
         continue;
-      worst = e;
-      worstAt = Cursor;
+      victim = e;
+      victimAt = Cursor;
     }
-    return worstAt;
+    return victimAt;
   }
 
   mutable std::mutex Lock; ///< Held by writers, and for what reads many slots.
@@ -240,13 +244,13 @@
 
 FlowTable::FlowTable(const FlowTableSettings &settings)
     : Settings(settings),
-      Names(new std::atomic<const ServerId *>[settings.MaxServers]),
-      Counts(new std::atomic<uint32_t>[settings.MaxServers]),
+      ServersByHandle(new std::atomic<const ServerId *>[settings.MaxServers]),
+      FlowCounts(new std::atomic<uint32_t>[settings.MaxServers]),
       IdleTicks(new std::atomic<uint32_t>[settings.MaxServers]) {
   auto idle = static_cast<uint32_t>(settings.IdleTimeout / TickLength);
   for (uint32_t i = 0; i < settings.MaxServers; ++i) {
-    Names[i] = nullptr;
-    Counts[i] = 0;
+    ServersByHandle[i] = nullptr;
+    FlowCounts[i] = 0;
     IdleTicks[i] = idle;
   }
   for (uint32_t i = 0; i < settings.Shards; ++i)
@@ -255,7 +259,7 @@
 
 FlowTable::~FlowTable() {
   for (uint32_t i = 0; i < Settings.MaxServers; ++i)
-    delete Names[i].load();
+    delete ServersByHandle[i].load();
 }
 
 absl::StatusOr<std::unique_ptr<FlowTable>>
@@ -272,41 +276,43 @@
 
 FlowTable::Shard &FlowTable::shardOf(FlowId flow) const {
   // The low bits choose the slot within the shard.
-  return *Shards[(mixed(flow) >> 40) & (Shards.size() - 1)];
+  return *Shards[(mixHash(flow) >> 40) & (Shards.size() - 1)];
 }
 
-bool FlowTable::idle(uint32_t handle, uint32_t lastSeen, uint32_t now) const {
+bool FlowTable::isIdle(uint32_t handle, uint32_t lastSeen, uint32_t now) const {
   return now - lastSeen > IdleTicks[handle].load(std::memory_order_relaxed);
 }
 
-std::optional<uint32_t> FlowTable::handleOf(const ServerId &server) const {
-  std::shared_lock<std::shared_mutex> lock(NamesLock);
+std::optional<uint32_t> FlowTable::findHandle(const ServerId &server) const {
+  std::shared_lock<std::shared_mutex> lock(HandlesLock);
   auto it = Handles.find(server);
   if (it == Handles.end())
     return std::nullopt;
   return it->second;
 }
 
-std::optional<uint32_t> FlowTable::nameServer(const ServerId &server) {
-  if (std::optional<uint32_t> handle = handleOf(server))
+std::optional<uint32_t> FlowTable::internServer(const ServerId &server) {
+  if (std::optional<uint32_t> handle = findHandle(server))
     return handle;
-  std::unique_lock<std::shared_mutex> lock(NamesLock);
+  std::unique_lock<std::shared_mutex> lock(HandlesLock);
   auto handle = static_cast<uint32_t>(Handles.size());
   if (handle >= Settings.MaxServers)
     return std::nullopt;
   auto [it, isNew] = Handles.try_emplace(server, handle);
   if (isNew)
-    Names[handle].store(new ServerId(server), std::memory_order_release);
+    ServersByHandle[handle].store(new ServerId(server),
+                                  std::memory_order_release);
   return it->second;
 }
 
-std::optional<FlowHome> FlowTable::find(TimePoint now, FlowId flow) const {
+std::optional<FlowBinding> FlowTable::find(TimePoint now, FlowId flow) const {
   if (flow.Value == 0)
     return std::nullopt;
   std::optional<Entry> e = shardOf(flow).read(flow.Value);
-  if (!e || idle(e->Handle, e->LastSeen, tickOf(now)))
+  if (!e || isIdle(e->Handle, e->LastSeen, tickOf(now)))
     return std::nullopt;
-  return FlowHome{*Names[e->Handle].load(std::memory_order_acquire), e->Mark};
+  return FlowBinding{
+      *ServersByHandle[e->Handle].load(std::memory_order_acquire), e->Tag};
 }
 
 bool FlowTable::bind(TimePoint now, FlowId flow, const ServerId &server) {
@@ -315,62 +321,62 @@
   Shard &shard = shardOf(flow);
   // Most packets change nothing: then no lock is needed.
   std::optional<Entry> known = shard.read(flow.Value);
-  if (known && known->SeenTwice && known->LastSeen == tickOf(now) &&
-      *Names[known->Handle].load(std::memory_order_acquire) == server)
+  if (known && known->HasSeveralPackets && known->LastSeen == tickOf(now) &&
+      *ServersByHandle[known->Handle].load(std::memory_order_acquire) == server)
     return true;
-  std::optional<uint32_t> handle = nameServer(server);
+  std::optional<uint32_t> handle = internServer(server);
   if (!handle)
     return false;
-  Shard::Writer writer(shard);
+  Shard::WriteGuard writer(shard);
   std::optional<size_t> at = shard.slots().find(flow.Value);
   Entry e = at ? shard.slots().get(*at) : Entry();
   bool sameHome = at && e.Handle == *handle;
   if (at && !sameHome)
-    --Counts[e.Handle];
+    --FlowCounts[e.Handle];
   e.Flow = flow.Value;
   e.LastSeen = tickOf(now);
-  e.SeenTwice = e.SeenTwice || sameHome;
-  e.Mark = sameHome ? e.Mark : 0;
+  e.HasSeveralPackets = e.HasSeveralPackets || sameHome;
+  e.Tag = sameHome ? e.Tag : 0;
   e.Handle = *handle;
   if (!sameHome)
-    ++Counts[*handle];
+    ++FlowCounts[*handle];
   if (at) {
     shard.slots().set(*at, e);
     return true;
   }
   if (shard.used() >= Settings.MaxFlows / Settings.Shards) {
-    size_t worst = shard.worst();
-    --Counts[shard.slots().get(worst).Handle];
-    shard.erase(worst);
+    size_t victim = shard.selectVictim();
+    --FlowCounts[shard.slots().get(victim).Handle];
+    shard.erase(victim);
   }
   shard.insert(e);
   return true;
 }
 
-void FlowTable::mark(FlowId flow, uint8_t value) {
+void FlowTable::setTag(FlowId flow, uint8_t value) {
   Shard &shard = shardOf(flow);
-  Shard::Writer writer(shard);
+  Shard::WriteGuard writer(shard);
   std::optional<size_t> at = shard.slots().find(flow.Value);
   if (flow.Value == 0 || !at)
     return;
   Entry e = shard.slots().get(*at);
-  e.Mark = value;
+  e.Tag = value;
   shard.slots().set(*at, e);
 }
 
-void FlowTable::forget(FlowId flow) {
+void FlowTable::remove(FlowId flow) {
   Shard &shard = shardOf(flow);
-  Shard::Writer writer(shard);
+  Shard::WriteGuard writer(shard);
   std::optional<size_t> at = shard.slots().find(flow.Value);
   if (flow.Value == 0 || !at)
     return;
-  --Counts[shard.slots().get(*at).Handle];
+  --FlowCounts[shard.slots().get(*at).Handle];
   shard.erase(*at);
 }
 
 template <class Predicate> void FlowTable::eraseWhere(Predicate gone) {
   for (const auto &shard : Shards) {
-    Shard::Writer writer(*shard);
+    Shard::WriteGuard writer(*shard);
     for (size_t i = 0; i < shard->slots().size();) {
       Entry e = shard->slots().get(i);
       if (e.Flow == 0 || !gone(e.Handle, e.LastSeen)) {
@@ -378,14 +384,14 @@
         continue;
       }
       // Another entry may move into this slot: look at it again.
-      --Counts[e.Handle];
+      --FlowCounts[e.Handle];
       shard->erase(i);
     }
   }
 }
 
-void FlowTable::dropServer(const ServerId &server) {
-  std::optional<uint32_t> dropped = handleOf(server);
+void FlowTable::removeServer(const ServerId &server) {
+  std::optional<uint32_t> dropped = findHandle(server);
   if (dropped)
     eraseWhere([&](uint32_t handle, uint32_t /*lastSeen*/) {
       return handle == *dropped;
@@ -393,30 +399,30 @@
 }
 
 void FlowTable::setIdleTimeout(const ServerId &server, Duration idle) {
-  if (std::optional<uint32_t> handle = nameServer(server))
+  if (std::optional<uint32_t> handle = internServer(server))
     IdleTicks[*handle] = static_cast<uint32_t>(idle / TickLength);
 }
 
 void FlowTable::expire(TimePoint now) {
   eraseWhere([&](uint32_t handle, uint32_t lastSeen) {
-    return idle(handle, lastSeen, tickOf(now));
+    return isIdle(handle, lastSeen, tickOf(now));
   });
 }
 
-uint32_t FlowTable::flowsOn(const ServerId &server) const {
-  std::optional<uint32_t> handle = handleOf(server);
-  return handle ? Counts[*handle].load() : 0;
+uint32_t FlowTable::countFlows(const ServerId &server) const {
+  std::optional<uint32_t> handle = findHandle(server);
+  return handle ? FlowCounts[*handle].load() : 0;
 }
 
 std::vector<std::pair<FlowId, ServerId>>
-FlowTable::listAll(TimePoint now) const {
+FlowTable::listAllFlows(TimePoint now) const {
   std::vector<std::pair<FlowId, ServerId>> flows;
   for (const auto &shard : Shards) {
     std::lock_guard<std::mutex> lock(shard->Lock);
     for (size_t i = 0; i < shard->slots().size(); ++i) {
       Entry e = shard->slots().get(i);
-      if (e.Flow != 0 && !idle(e.Handle, e.LastSeen, tickOf(now)))
-        flows.emplace_back(FlowId{e.Flow}, *Names[e.Handle].load());
+      if (e.Flow != 0 && !isIdle(e.Handle, e.LastSeen, tickOf(now)))
+        flows.emplace_back(FlowId{e.Flow}, *ServersByHandle[e.Handle].load());
     }
   }
   std::sort(flows.begin(), flows.end());
@@ -426,7 +432,7 @@
 std::vector<FlowId> FlowTable::listFlows(TimePoint now,
                                          const ServerId &server) const {
   std::vector<FlowId> flows;
-  for (const auto &[flow, home] : listAll(now))
+  for (const auto &[flow, home] : listAllFlows(now))
     if (home == server)
       flows.push_back(flow);
   return flows;
--- a/Balsamrack/Flows/FlowTable.h
+++ b/Balsamrack/Flows/FlowTable.h
@@ -27,9 +27,9 @@
 };
 
 /// Where a flow lives, as the table knows it.
-struct FlowHome {
-  ServerId Server;  ///< The server.
-  uint8_t Mark = 0; ///< As last set by mark().
+struct FlowBinding {
+  ServerId Server; ///< The server.
+  uint8_t Tag = 0; ///< As last set by mark().
 };
 
 /// Which server each flow lives on. Thread-safe; sharded by flow, each shard
@@ -52,27 +52,27 @@
   ~FlowTable();
 
   /// Where the flow lives, unless it is unknown or idle for too long.
-  std::optional<FlowHome> find(TimePoint now, FlowId flow) const;
+  std::optional<FlowBinding> find(TimePoint now, FlowId flow) const;
   /// Notes a packet of the flow and where it lives. False when the flow's id is
   /// zero or too many servers were named.
   bool bind(TimePoint now, FlowId flow, const ServerId &server);
   /// Sets the mark of a known flow.
-  void mark(FlowId flow, uint8_t value);
+  void setTag(FlowId flow, uint8_t value);
   /// Forgets a flow.
-  void forget(FlowId flow);
+  void remove(FlowId flow);
   /// Forgets all flows of a server. Looks at every entry.
-  void dropServer(const ServerId &server);
+  void removeServer(const ServerId &server);
   /// Sets the idle timeout of a server's flows.
   void setIdleTimeout(const ServerId &server, Duration idle);
   /// Forgets idle flows. Looks at every entry, one shard locked at a time.
   void expire(TimePoint now);
   /// Flows that live on a server, idle ones that were not yet expired too.
-  uint32_t flowsOn(const ServerId &server) const;
+  uint32_t countFlows(const ServerId &server) const;
   /// The flows that live on a server, in order of their ids. Looks at every
   /// entry.
   std::vector<FlowId> listFlows(TimePoint now, const ServerId &server) const;
   /// All flows and where they live, in order of their ids.
-  std::vector<std::pair<FlowId, ServerId>> listAll(TimePoint now) const;
+  std::vector<std::pair<FlowId, ServerId>> listAllFlows(TimePoint now) const;
   /// All flows held.
   size_t size() const;
   /// Bytes held for flows.
@@ -83,18 +83,19 @@
   explicit FlowTable(const FlowTableSettings &settings);
   Shard &shardOf(FlowId flow) const;
   template <class Predicate> void eraseWhere(Predicate gone);
-  bool idle(uint32_t handle, uint32_t lastSeen, uint32_t now) const;
-  std::optional<uint32_t> handleOf(const ServerId &server) const;
-  std::optional<uint32_t> nameServer(const ServerId &server);
+  bool isIdle(uint32_t handle, uint32_t lastSeen, uint32_t now) const;
+  std::optional<uint32_t> findHandle(const ServerId &server) const;
+  std::optional<uint32_t> internServer(const ServerId &server);
 
   const FlowTableSettings Settings;
   std::vector<std::unique_ptr<Shard>> Shards;
-  mutable std::shared_mutex NamesLock; ///< Guards Handles and adding names.
+  mutable std::shared_mutex HandlesLock; ///< Guards Handles and adding names.
   absl::flat_hash_map<ServerId, uint32_t> Handles; ///< Looked up only.
   std::unique_ptr<std::atomic<const ServerId *>[]>
-      Names; ///< By handle; a pointer once set stays, so reading takes no lock.
-  std::unique_ptr<std::atomic<uint32_t>[]> Counts;    ///< Flows by handle.
-  std::unique_ptr<std::atomic<uint32_t>[]> IdleTicks; ///< By handle.
+      ServersByHandle; ///< By handle; a pointer once set stays, so reading
+                       ///< takes no lock.
+  std::unique_ptr<std::atomic<uint32_t>[]> FlowCounts; ///< Flows by handle.
+  std::unique_ptr<std::atomic<uint32_t>[]> IdleTicks;  ///< By handle.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Flows/FlowToken.cpp
+++ b/Balsamrack/Flows/FlowToken.cpp
@@ -8,8 +8,8 @@
 
 constexpr char Version = 1;
 constexpr size_t WordBytes = 8;
-constexpr size_t SignedBytes = 1 + 4 * WordBytes;
-constexpr size_t TokenBytes = SignedBytes + WordBytes;
+constexpr size_t AuthenticatedBytes = 1 + 4 * WordBytes;
+constexpr size_t TokenBytes = AuthenticatedBytes + WordBytes;
 
 void appendWord(std::string &bytes, uint64_t word) {
   for (size_t i = 0; i < WordBytes; ++i)
@@ -66,14 +66,14 @@
 FlowTokenCodec::FlowTokenCodec(const std::string &fleetKey)
     : KeyLow(stableHash(fleetKey, 1)), KeyHigh(stableHash(fleetKey, 2)) {}
 
-uint64_t FlowTokenCodec::sign(const std::string &bytes) const {
+uint64_t FlowTokenCodec::computeMac(const std::string &bytes) const {
   SipState sip{KeyLow ^ 0x736F6D6570736575ULL, KeyHigh ^ 0x646F72616E646F6DULL,
                KeyLow ^ 0x6C7967656E657261ULL, KeyHigh ^ 0x7465646279746573ULL};
   size_t at = 0;
-  for (; at + WordBytes <= SignedBytes; at += WordBytes)
+  for (; at + WordBytes <= AuthenticatedBytes; at += WordBytes)
     sip.absorb(readWord(bytes, at));
-  uint64_t last = readWord(bytes, at, SignedBytes - at);
-  sip.absorb(last | static_cast<uint64_t>(SignedBytes) << 56);
+  uint64_t last = readWord(bytes, at, AuthenticatedBytes - at);
+  sip.absorb(last | static_cast<uint64_t>(AuthenticatedBytes) << 56);
   return sip.finish();
 }
 
@@ -83,7 +83,7 @@
   appendWord(bytes, token.ServerHash);
   appendWord(bytes, token.Flow.Value);
   appendWord(bytes, token.Ticket.Value);
-  appendWord(bytes, sign(bytes));
+  appendWord(bytes, computeMac(bytes));
   return absl::WebSafeBase64Escape(bytes);
 }
 
@@ -92,7 +92,7 @@
   if (text.size() > 2 * TokenBytes ||
       !absl::WebSafeBase64Unescape(text, &bytes) ||
       bytes.size() != TokenBytes || bytes[0] != Version ||
-      readWord(bytes, SignedBytes) != sign(bytes))
+      readWord(bytes, AuthenticatedBytes) != computeMac(bytes))
     return std::nullopt;
   FlowToken token;
   token.ServiceHash = readWord(bytes, 1);
--- a/Balsamrack/Flows/FlowToken.h
+++ b/Balsamrack/Flows/FlowToken.h
@@ -38,7 +38,7 @@
   std::optional<FlowToken> decode(const std::string &text) const;
 
 private:
-  uint64_t sign(const std::string &bytes) const;
+  uint64_t computeMac(const std::string &bytes) const;
 
   uint64_t KeyLow;  ///< First half of the SipHash key.
   uint64_t KeyHigh; ///< Second half.
--- a/Balsamrack/Flows/OwnerFlows.cpp
+++ b/Balsamrack/Flows/OwnerFlows.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 /// Counted for each exception and for each batch.
-constexpr size_t FlowBytes = 16;
-constexpr size_t BatchBytes = 48;
+constexpr size_t BytesPerException = 16;
+constexpr size_t BytesPerBatch = 48;
 
-bool isOurs(const RoutingView &view, const RoutedServer &server) {
+bool isOwnedHere(const RoutingView &view, const RoutedServer &server) {
   return server.Owner.Id == view.Self.Id;
 }
 
@@ -54,7 +54,7 @@
   uint64_t hash = hashView(*view);
   std::lock_guard<std::mutex> lock(ViewLock);
   if (hash != ViewHash)
-    ViewMark = ViewMark == UINT8_MAX ? 1 : ViewMark + 1;
+    ViewGeneration = ViewGeneration == UINT8_MAX ? 1 : ViewGeneration + 1;
   ViewHash = hash;
   View = std::move(view);
 }
@@ -64,54 +64,54 @@
   return View;
 }
 
-FlowVerdict OwnerFlows::judge(TimePoint now, const Envelope &head,
-                              const ServerId &server, bool accept,
-                              bool byToken) {
-  std::optional<FlowHome> home = Flows->find(now, head.Flow);
+FlowVerdict OwnerFlows::resolveFlow(TimePoint now, const Envelope &head,
+                                    const ServerId &server, bool accept,
+                                    bool byToken) {
+  std::optional<FlowBinding> home = Flows->find(now, head.Flow);
   if (home && home->Server == server)
-    return bindHere(now, head, server, FlowVerdict::Known);
+    return bindFlow(now, head, server, FlowVerdict::Known);
   if (head.FirstOfFlow && !byToken)
-    return bindHere(now, head, server, FlowVerdict::New);
+    return bindFlow(now, head, server, FlowVerdict::New);
   if (accept || byToken)
-    return bindHere(now, head, server, FlowVerdict::Accepted);
+    return bindFlow(now, head, server, FlowVerdict::Accepted);
   std::shared_ptr<const RoutingView> v = view();
   std::optional<ServerId> elsewhere;
   if (v)
-    elsewhere = knownHome(now, *v, head.Service, head.Flow);
+    elsewhere = findBoundServer(now, *v, head.Service, head.Flow);
   if (!elsewhere)
     return {FlowVerdict::Unknown, ServerId()};
   // Handed over before our view said that the server is ours.
   if (*elsewhere == server)
-    return bindHere(now, head, server, FlowVerdict::Accepted);
+    return bindFlow(now, head, server, FlowVerdict::Accepted);
   // Keep an exception alive for as long as the flow sends packets.
   if (!home)
     Exceptions->bind(now, head.Flow, *elsewhere);
   return {FlowVerdict::Elsewhere, *elsewhere};
 }
 
-FlowVerdict OwnerFlows::bindHere(TimePoint now, const Envelope &head,
+FlowVerdict OwnerFlows::bindFlow(TimePoint now, const Envelope &head,
                                  const ServerId &server,
                                  FlowVerdict::Kind how) {
   Flows->bind(now, head.Flow, server);
   if (how != FlowVerdict::Known)
-    Exceptions->forget(head.Flow);
+    Exceptions->remove(head.Flow);
   // A new flow is told about from its second packet on: admission may refuse
   // the first one, and then the flow goes to another server. Told at once, the
   // refusing owner's word could reach the first candidate's owner after that of
   // the flow's home, and later packets would be sent to the wrong server.
   std::shared_ptr<const RoutingView> v = view();
   if (v && how != FlowVerdict::New)
-    noteDisplaced(now, *v, head, server);
+    announceDisplacedFlow(now, *v, head, server);
   return {how, server};
 }
 
-std::optional<ServerId> OwnerFlows::knownHome(TimePoint now,
-                                              const RoutingView &view,
-                                              const ServiceId &service,
-                                              FlowId flow) const {
+std::optional<ServerId> OwnerFlows::findBoundServer(TimePoint now,
+                                                    const RoutingView &view,
+                                                    const ServiceId &service,
+                                                    FlowId flow) const {
   const ServiceRoute *route = view.findService(service);
   for (const FlowTable *table : {Flows.get(), Exceptions.get()}) {
-    std::optional<FlowHome> home = table->find(now, flow);
+    std::optional<FlowBinding> home = table->find(now, flow);
     // A server that was deleted is no home any more: naming it would have the
     // flow refused for ever.
     if (home && route && route->find(home->Server))
@@ -120,40 +120,41 @@
   return std::nullopt;
 }
 
-void OwnerFlows::noteDisplaced(TimePoint now, const RoutingView &view,
-                               const Envelope &head, const ServerId &server) {
+void OwnerFlows::announceDisplacedFlow(TimePoint now, const RoutingView &view,
+                                       const Envelope &head,
+                                       const ServerId &server) {
   const ServiceRoute *route = view.findService(head.Service);
   if (!Settings.KeepExceptions || !route || route->Servers.empty())
     return;
-  uint8_t mark = 0;
+  uint8_t generation = 0;
   {
     std::lock_guard<std::mutex> lock(ViewLock);
-    mark = ViewMark;
+    generation = ViewGeneration;
   }
   // Told under this view already.
-  std::optional<FlowHome> home = Flows->find(now, head.Flow);
-  if (!home || home->Mark == mark)
+  std::optional<FlowBinding> home = Flows->find(now, head.Flow);
+  if (!home || home->Tag == generation)
     return;
-  Flows->mark(head.Flow, mark);
+  Flows->setTag(head.Flow, generation);
   const RoutedServer &first =
       route->Servers[route->Rank.firstCandidate(head.Flow)];
   if (first.Server.Id == server)
     return;
-  if (!isOurs(view, first))
-    return enqueue(first.Owner, head.Service, head.Flow, server);
+  if (!isOwnedHere(view, first))
+    return enqueueException(first.Owner, head.Service, head.Flow, server);
   // Both are ours: our death would lose the flow and the exception together,
   // and the next owner would take the flow in on its first candidate. So the
   // best-ranked other owner, which the question asks too, keeps a copy.
   for (size_t i : route->Rank.topCandidates(head.Flow, route->Servers.size())) {
     const RoutedServer &it = route->Servers[i];
-    if (isOurs(view, it) || !it.isReachable())
+    if (isOwnedHere(view, it) || !it.isReachable())
       continue;
-    return enqueue(it.Owner, head.Service, head.Flow, server);
+    return enqueueException(it.Owner, head.Service, head.Flow, server);
   }
 }
 
-void OwnerFlows::enqueue(const EntryVm &to, const ServiceId &service,
-                         FlowId flow, const ServerId &server) {
+void OwnerFlows::enqueueException(const EntryVm &to, const ServiceId &service,
+                                  FlowId flow, const ServerId &server) {
   if (to.Id.empty())
     return;
   std::lock_guard<std::mutex> lock(QueueLock);
@@ -162,19 +163,19 @@
     Queue.pop_front();
 }
 
-std::vector<ExceptionBatch> OwnerFlows::takeBatch(TimePoint /*now*/,
-                                                  size_t maxBytes) {
+std::vector<ExceptionBatch> OwnerFlows::dequeueBatches(TimePoint /*now*/,
+                                                       size_t maxBytes) {
   std::vector<ExceptionBatch> batches;
   size_t bytes = 0;
   std::lock_guard<std::mutex> lock(QueueLock);
   while (!Queue.empty()) {
-    const Queued &next = Queue.front();
+    const QueuedException &next = Queue.front();
     auto batch = std::find_if(
         batches.begin(), batches.end(), [&](const ExceptionBatch &it) {
           return it.To.Id == next.To.Id && it.Batch.Service == next.Service;
         });
-    bytes += FlowBytes + next.Flow.Server.str().size() +
-             (batch == batches.end() ? BatchBytes : 0);
+    bytes += BytesPerException + next.Flow.Server.str().size() +
+             (batch == batches.end() ? BytesPerBatch : 0);
     if (bytes > maxBytes)
       break;
     if (batch == batches.end())
@@ -185,8 +186,8 @@
   return batches;
 }
 
-FlowReply OwnerFlows::answer(TimePoint now,
-                             const FlowQuestion &question) const {
+FlowReply OwnerFlows::answerQuestion(TimePoint now,
+                                     const FlowQuestion &question) const {
   FlowReply reply{question.Request, question.Flow, ServerId(), false, {}};
   std::shared_ptr<const RoutingView> v = view();
   if (!v)
@@ -195,7 +196,7 @@
   const ServiceRoute *route = v->findService(question.Service);
   if (!route)
     return reply;
-  if (auto home = knownHome(now, *v, question.Service, question.Flow)) {
+  if (auto home = findBoundServer(now, *v, question.Service, question.Flow)) {
     reply.Server = *home;
     return reply;
   }
@@ -203,7 +204,7 @@
   for (size_t i :
        route->Rank.topCandidates(question.Flow, route->Servers.size())) {
     const RoutedServer &it = route->Servers[i];
-    if (!isOurs(*v, it) || !isFresh(now, it.Server.Id))
+    if (!isOwnedHere(*v, it) || !isFresh(now, it.Server.Id))
       continue;
     reply.Server = it.Server.Id;
     reply.Fresh = true;
@@ -212,13 +213,13 @@
   return reply;
 }
 
-void OwnerFlows::learn(TimePoint now, const FlowExceptions &exceptions) {
+void OwnerFlows::addFlows(TimePoint now, const FlowExceptions &exceptions) {
   std::shared_ptr<const RoutingView> v = view();
   const ServiceRoute *route = v ? v->findService(exceptions.Service) : nullptr;
   for (const FlowException &it : exceptions.Flows) {
     const RoutedServer *server = route ? route->find(it.Server) : nullptr;
     // Handed over with its server; what we saw ourselves is newer.
-    if (server && isOurs(*v, *server)) {
+    if (server && isOwnedHere(*v, *server)) {
       if (!Flows->find(now, it.Flow))
         Flows->bind(now, it.Flow, it.Server);
       continue;
@@ -227,27 +228,27 @@
   }
 }
 
-void OwnerFlows::forget(FlowId flow) {
-  Flows->forget(flow);
-  Exceptions->forget(flow);
+void OwnerFlows::removeFlow(FlowId flow) {
+  Flows->remove(flow);
+  Exceptions->remove(flow);
 }
 
-void OwnerFlows::dropServer(const ServerId &server) {
-  Flows->dropServer(server);
+void OwnerFlows::removeServer(const ServerId &server) {
+  Flows->removeServer(server);
 }
 
-void OwnerFlows::setFresh(const ServerId &server, TimePoint until) {
+void OwnerFlows::setFreshUntil(const ServerId &server, TimePoint until) {
   std::lock_guard<std::mutex> lock(ViewLock);
   FreshUntil[server] = until;
 }
 
-void OwnerFlows::takenOver(TimePoint now, const ServerId &server) {
+void OwnerFlows::markTakenOver(TimePoint now, const ServerId &server) {
   std::shared_ptr<const RoutingView> v = view();
   const RoutedServer *routed = v ? v->findServer(server) : nullptr;
   Service settings;
   if (routed)
     settings = v->findService(routed->Server.Service)->Settings;
-  setFresh(server, now + settings.FlowIdleTimeout);
+  setFreshUntil(server, now + settings.FlowIdleTimeout);
 }
 
 bool OwnerFlows::isFresh(TimePoint now, const ServerId &server) const {
@@ -256,8 +257,8 @@
   return it != FreshUntil.end() && now < it->second;
 }
 
-FlowExceptions OwnerFlows::handOver(TimePoint now,
-                                    const ServerId &server) const {
+FlowExceptions OwnerFlows::exportFlows(TimePoint now,
+                                       const ServerId &server) const {
   FlowExceptions out;
   std::shared_ptr<const RoutingView> v = view();
   const RoutedServer *routed = v ? v->findServer(server) : nullptr;
@@ -274,7 +275,7 @@
     out.Flows.push_back({flow, server});
   // And those that its rank names but that live elsewhere.
   for (const FlowTable *table : {Flows.get(), Exceptions.get()})
-    for (const auto &[flow, home] : table->listAll(now))
+    for (const auto &[flow, home] : table->listAllFlows(now))
       if (home != server && route.find(home) && firstIs(flow))
         out.Flows.push_back({flow, home});
   return out;
@@ -285,8 +286,8 @@
   Exceptions->expire(now);
 }
 
-uint32_t OwnerFlows::flowsOn(const ServerId &server) const {
-  return Flows->flowsOn(server);
+uint32_t OwnerFlows::countFlows(const ServerId &server) const {
+  return Flows->countFlows(server);
 }
 
 std::vector<FlowId> OwnerFlows::listFlows(TimePoint now,
--- a/Balsamrack/Flows/OwnerFlows.h
+++ b/Balsamrack/Flows/OwnerFlows.h
@@ -66,32 +66,32 @@
   /// Judges a Forward for \p server, one of ours. Known, New and Accepted bind
   /// or refresh the flow; a New flow that admission then refuses must be taken
   /// back by forget(). Accept or ByToken never gives Elsewhere or Unknown.
-  FlowVerdict judge(TimePoint now, const Envelope &head, const ServerId &server,
-                    bool accept, bool byToken);
+  FlowVerdict resolveFlow(TimePoint now, const Envelope &head,
+                          const ServerId &server, bool accept, bool byToken);
   /// Answers an entry's question.
-  FlowReply answer(TimePoint now, const FlowQuestion &question) const;
+  FlowReply answerQuestion(TimePoint now, const FlowQuestion &question) const;
   /// Takes in exceptions that another owner sent.
-  void learn(TimePoint now, const FlowExceptions &exceptions);
+  void addFlows(TimePoint now, const FlowExceptions &exceptions);
   /// What to send to other owners now, at most \p maxBytes together (16 bytes
   /// a flow and a name are counted).
-  std::vector<ExceptionBatch> takeBatch(TimePoint now, size_t maxBytes);
+  std::vector<ExceptionBatch> dequeueBatches(TimePoint now, size_t maxBytes);
   /// Forgets a flow that ended or was refused.
-  void forget(FlowId flow);
+  void removeFlow(FlowId flow);
   /// Forgets the flows of a server that is gone or no longer ours.
-  void dropServer(const ServerId &server);
+  void removeServer(const ServerId &server);
   /// Says that flows of \p server, taken over from an owner that handed nothing
   /// over, may exist unknown to us until \p until.
-  void setFresh(const ServerId &server, TimePoint until);
+  void setFreshUntil(const ServerId &server, TimePoint until);
   /// The same for as long as a flow of the server may be idle: one that was
   /// silent all the time may still send a packet then.
-  void takenOver(TimePoint now, const ServerId &server);
+  void markTakenOver(TimePoint now, const ServerId &server);
   /// The flows of \p server, and those ranked there that live elsewhere: call
   /// before dropServer, send to the next owner, which learns them.
-  FlowExceptions handOver(TimePoint now, const ServerId &server) const;
+  FlowExceptions exportFlows(TimePoint now, const ServerId &server) const;
   /// Forgets idle flows; call every few seconds.
   void expire(TimePoint now);
   /// Flows that live on a server of ours.
-  uint32_t flowsOn(const ServerId &server) const;
+  uint32_t countFlows(const ServerId &server) const;
   /// The flows on a server, in order of their ids.
   std::vector<FlowId> listFlows(TimePoint now, const ServerId &server) const;
   /// Flows and exceptions held.
@@ -105,17 +105,18 @@
              const OwnerFlowsSettings &settings);
   std::shared_ptr<const RoutingView> view() const;
   bool isFresh(TimePoint now, const ServerId &server) const;
-  FlowVerdict bindHere(TimePoint now, const Envelope &head,
+  FlowVerdict bindFlow(TimePoint now, const Envelope &head,
                        const ServerId &server, FlowVerdict::Kind how);
-  void noteDisplaced(TimePoint now, const RoutingView &view,
-                     const Envelope &head, const ServerId &server);
-  std::optional<ServerId> knownHome(TimePoint now, const RoutingView &view,
-                                    const ServiceId &service,
-                                    FlowId flow) const;
-  void enqueue(const EntryVm &to, const ServiceId &service, FlowId flow,
-               const ServerId &server);
+  void announceDisplacedFlow(TimePoint now, const RoutingView &view,
+                             const Envelope &head, const ServerId &server);
+  std::optional<ServerId> findBoundServer(TimePoint now,
+                                          const RoutingView &view,
+                                          const ServiceId &service,
+                                          FlowId flow) const;
+  void enqueueException(const EntryVm &to, const ServiceId &service,
+                        FlowId flow, const ServerId &server);
 
-  struct Queued {
+  struct QueuedException {
     EntryVm To;
     ServiceId Service;
     FlowException Flow;
@@ -124,14 +125,14 @@
   const OwnerFlowsSettings Settings;
   std::unique_ptr<FlowTable> Flows;
   std::unique_ptr<FlowTable> Exceptions;
-  mutable std::mutex ViewLock; ///< Guards View, ViewMark and FreshUntil.
+  mutable std::mutex ViewLock; ///< Guards View, ViewGeneration and FreshUntil.
   std::shared_ptr<const RoutingView> View;
-  uint64_t ViewHash = 0; ///< Of what ranks and owners depend on.
-  uint8_t ViewMark = 1;  ///< Changes with ViewHash; flows told under an older
-                         ///< one are told again. Never zero.
+  uint64_t ViewHash = 0;      ///< Of what ranks and owners depend on.
+  uint8_t ViewGeneration = 1; ///< Changes with ViewHash; flows told under an
+                              ///< older one are told again. Never zero.
   std::map<ServerId, TimePoint> FreshUntil;
   std::mutex QueueLock; ///< Guards Queue. Never held with ViewLock.
-  std::deque<Queued> Queue;
+  std::deque<QueuedException> Queue;
 };
 
 } // namespace balsamrack
--- a/PerformanceTest/FlowFleet.cpp
+++ b/PerformanceTest/FlowFleet.cpp
@@ -115,14 +115,14 @@
     if (!before || before->Owner.Id != daemon.Vm.Id ||
         it.Owner.Id == daemon.Vm.Id)
       continue;
-    FlowExceptions left = daemon.Owner->handOver(Now, it.Server.Id);
+    FlowExceptions left = daemon.Owner->exportFlows(Now, it.Server.Id);
     ControlBytes += left.Flows.size() * FlowBytes;
     if (Daemon *to = find(it.Owner.Id)) {
       to->Owner->setView(*RoutingView::create(makeView(*to)));
-      to->Owner->learn(Now, left);
-      to->Owner->takenOver(Now, it.Server.Id);
+      to->Owner->addFlows(Now, left);
+      to->Owner->markTakenOver(Now, it.Server.Id);
     }
-    daemon.Owner->dropServer(it.Server.Id);
+    daemon.Owner->removeServer(it.Server.Id);
   }
 }
 
@@ -136,7 +136,7 @@
     if (it.Owner.Id != daemon.Vm.Id || !before ||
         before->Owner.Id == daemon.Vm.Id)
       continue;
-    daemon.Owner->takenOver(Now, it.Server.Id);
+    daemon.Owner->markTakenOver(Now, it.Server.Id);
   }
   auto view = *RoutingView::create(std::move(next));
   daemon.View = view;
@@ -210,7 +210,7 @@
 
 FlowReply FlowFleet::ask(Daemon &owner, const FlowQuestion &question) {
   ControlBytes += 2 * QuestionBytes;
-  return owner.Owner->answer(Now, question);
+  return owner.Owner->answerQuestion(Now, question);
 }
 
 Outcome FlowFleet::serve(Daemon &owner, const Envelope &head,
@@ -223,7 +223,8 @@
     o.Why = Reason::NotOwner;
     return o;
   }
-  FlowVerdict v = owner.Owner->judge(Now, head, f.Server, f.Accept, f.ByToken);
+  FlowVerdict v =
+      owner.Owner->resolveFlow(Now, head, f.Server, f.Accept, f.ByToken);
   if (v.How == FlowVerdict::Elsewhere || v.How == FlowVerdict::Unknown) {
     o.Why = Reason::FlowElsewhere;
     o.Server = v.Server;
@@ -231,9 +232,9 @@
   }
   // Admission, as far as flows go.
   bool draining = server->Server.Mode == ServerMode::Draining;
-  bool full = owner.Owner->flowsOn(f.Server) > Settings.FlowsPerServer;
+  bool full = owner.Owner->countFlows(f.Server) > Settings.FlowsPerServer;
   if (v.How == FlowVerdict::New && (draining || full)) {
-    owner.Owner->forget(head.Flow);
+    owner.Owner->removeFlow(head.Flow);
     o.Why = draining ? Reason::ServerDraining : Reason::ServerFull;
     return o;
   }
@@ -247,10 +248,10 @@
     if (!it->Alive)
       continue;
     for (const ExceptionBatch &batch :
-         it->Owner->takeBatch(Now, Settings.ExceptionBytes)) {
+         it->Owner->dequeueBatches(Now, Settings.ExceptionBytes)) {
       ControlBytes += batch.Batch.Flows.size() * FlowBytes;
       if (Daemon *to = find(batch.To.Id))
-        to->Owner->learn(Now, batch.Batch);
+        to->Owner->addFlows(Now, batch.Batch);
     }
   }
 }
@@ -263,7 +264,7 @@
     uint32_t n = 0;
     for (const auto &d : Daemons)
       if (d->Alive)
-        n += d->Owner->flowsOn(it.Server.Id);
+        n += d->Owner->countFlows(it.Server.Id);
     counts.push_back(n);
   }
   return counts;
--- a/UnitTests/Flows/FlowTableTest.cpp
+++ b/UnitTests/Flows/FlowTableTest.cpp
@@ -37,11 +37,11 @@
       auto home = *rc::gen::inRange<uint64_t>(0, 4);
       switch (*rc::gen::inRange(0, 8)) {
       case 0:
-        t->forget(FlowId{flow});
+        t->remove(FlowId{flow});
         model.erase(flow);
         break;
       case 1:
-        t->dropServer(server(home));
+        t->removeServer(server(home));
         for (auto it = model.begin(); it != model.end();)
           it = it->second == home ? model.erase(it) : std::next(it);
         break;
@@ -61,7 +61,7 @@
     }
     RC_ASSERT(t->size() == model.size());
     for (uint64_t s = 0; s < 4; ++s)
-      RC_ASSERT(t->flowsOn(server(s)) == counts[s]);
+      RC_ASSERT(t->countFlows(server(s)) == counts[s]);
   }));
 }
 
@@ -73,7 +73,7 @@
   EXPECT_FALSE(t->find(at(11), FlowId{1}));
   t->expire(at(11));
   EXPECT_EQ(t->size(), 1U);
-  EXPECT_EQ(t->flowsOn(server(1)), 0U);
+  EXPECT_EQ(t->countFlows(server(1)), 0U);
   t->setIdleTimeout(server(2), std::chrono::seconds(1));
   EXPECT_FALSE(t->find(at(11), FlowId{2}));
 }
@@ -117,14 +117,14 @@
         t->bind(at(0), flow, server(f % 5));
         EXPECT_TRUE(t->find(at(0), flow));
         if (f % 4 == 0)
-          t->forget(flow);
+          t->remove(flow);
       }
     });
   for (std::thread &it : threads)
     it.join();
   uint32_t sum = 0;
   for (uint64_t s = 0; s < 5; ++s)
-    sum += t->flowsOn(server(s));
+    sum += t->countFlows(server(s));
   EXPECT_EQ(t->size(), 9000U);
   EXPECT_EQ(sum, 9000U);
 }
@@ -161,9 +161,9 @@
       t->bind(at(0), FlowId{f}, server(1));
     ++round;
     for (uint64_t f = 1; f <= Moved; ++f)
-      t->forget(FlowId{Before + f});
+      t->remove(FlowId{Before + f});
     ++round;
-    t->dropServer(server(1));
+    t->removeServer(server(1));
   }
   stop = true;
   for (std::thread &it : readers)
--- a/UnitTests/Flows/OwnerFlowsTest.cpp
+++ b/UnitTests/Flows/OwnerFlowsTest.cpp
@@ -25,10 +25,10 @@
     head.Flow = flow;
     head.Service = Booking;
     head.FirstOfFlow = first;
-    return Owner->judge(Now, head, serverId(server), accept, byToken);
+    return Owner->resolveFlow(Now, head, serverId(server), accept, byToken);
   }
   FlowReply ask(FlowId flow) {
-    return Owner->answer(Now, {RequestId{1}, flow, Booking});
+    return Owner->answerQuestion(Now, {RequestId{1}, flow, Booking});
   }
   /// The first flow whose candidates begin as given.
   FlowId flowRanked(const std::vector<size_t> &begin) const {
@@ -65,7 +65,7 @@
   if (c.KnownAtOther)
     bench.judge(flow, true, 1);
   if (c.Exception)
-    bench.Owner->learn(bench.Now, {Booking, {{flow, serverId(3)}}});
+    bench.Owner->addFlows(bench.Now, {Booking, {{flow, serverId(3)}}});
   FlowVerdict v = bench.judge(flow, c.First, 0, c.Accept, c.ByToken);
   EXPECT_EQ(v.How, c.How);
   std::string expected = "booking-0";
@@ -73,7 +73,7 @@
     expected = c.KnownAtOther ? "booking-1" : "booking-3";
   EXPECT_EQ(v.Server.str(), c.How == FlowVerdict::Unknown ? "" : expected);
   bool bound = c.How != FlowVerdict::Elsewhere && c.How != FlowVerdict::Unknown;
-  EXPECT_EQ(bench.Owner->flowsOn(serverId(0)), bound ? 1U : 0U);
+  EXPECT_EQ(bench.Owner->countFlows(serverId(0)), bound ? 1U : 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -103,15 +103,15 @@
   OwnerBench bench(parts(4), 2);
   FlowId flow = bench.flowRanked({1, 2});
   bench.judge(flow, true, 2);
-  EXPECT_TRUE(bench.Owner->takeBatch(bench.Now, 10'000).empty());
+  EXPECT_TRUE(bench.Owner->dequeueBatches(bench.Now, 10'000).empty());
   bench.judge(flow, false, 2);
   bench.judge(flow, false, 2);
-  auto batches = bench.Owner->takeBatch(bench.Now, 10'000);
+  auto batches = bench.Owner->dequeueBatches(bench.Now, 10'000);
   ASSERT_EQ(batches.size(), 1U);
   EXPECT_EQ(batches[0].To.Id, vmId(1));
   ASSERT_EQ(batches[0].Batch.Flows.size(), 1U);
   EXPECT_EQ(batches[0].Batch.Flows[0].Server, serverId(2));
-  EXPECT_TRUE(bench.Owner->takeBatch(bench.Now, 10'000).empty());
+  EXPECT_TRUE(bench.Owner->dequeueBatches(bench.Now, 10'000).empty());
 }
 
 // One daemon owns both the first candidate and the server that the flow lives
@@ -124,7 +124,7 @@
   FlowId flow = bench.flowRanked({1, 2, 3});
   bench.judge(flow, true, 2);
   bench.judge(flow, false, 2);
-  auto batches = bench.Owner->takeBatch(bench.Now, 10'000);
+  auto batches = bench.Owner->dequeueBatches(bench.Now, 10'000);
   ASSERT_EQ(batches.size(), 1U);
   EXPECT_EQ(batches[0].To.Id, vmId(3));
 }
@@ -137,7 +137,8 @@
   size_t flows = 0;
   for (int i = 0; i < 100; ++i) {
     size_t bytes = 0;
-    for (const ExceptionBatch &it : bench.Owner->takeBatch(bench.Now, 1000)) {
+    for (const ExceptionBatch &it :
+         bench.Owner->dequeueBatches(bench.Now, 1000)) {
       bytes += 48 + it.Batch.Flows.size() * (16 + 9);
       flows += it.Batch.Flows.size();
     }
@@ -152,7 +153,7 @@
   OwnerBench bench(parts(4), 2);
   FlowId flow = bench.flowRanked({2});
   EXPECT_FALSE(bench.ask(flow).Fresh);
-  bench.Owner->setFresh(serverId(2), bench.Now + ms(1000));
+  bench.Owner->setFreshUntil(serverId(2), bench.Now + ms(1000));
   EXPECT_TRUE(bench.ask(flow).Fresh);
   EXPECT_EQ(bench.ask(flow).Server, serverId(2));
   bench.Now += ms(1000);
@@ -166,7 +167,7 @@
   view.Services[Booking].Settings.FlowIdleTimeout = std::chrono::minutes(20);
   OwnerBench bench(view, 2);
   FlowId flow = bench.flowRanked({2});
-  bench.Owner->takenOver(bench.Now, serverId(2));
+  bench.Owner->markTakenOver(bench.Now, serverId(2));
   bench.Now += std::chrono::minutes(19);
   EXPECT_TRUE(bench.ask(flow).Fresh);
   bench.Now += std::chrono::minutes(1);
@@ -180,12 +181,12 @@
   FlowId elsewhere = old.flowRanked({2, 3});
   old.judge(here, true, 2);
   old.judge(displaced, true, 2);
-  old.Owner->learn(old.Now, {Booking, {{elsewhere, serverId(3)}}});
+  old.Owner->addFlows(old.Now, {Booking, {{elsewhere, serverId(3)}}});
   RoutingView view = parts(4);
   serverIn(view, serverId(2)).Owner.Id = vmId(0);
   OwnerBench next(view, 0);
-  next.Owner->setFresh(serverId(2), next.Now + ms(1000));
-  next.Owner->learn(next.Now, old.Owner->handOver(old.Now, serverId(2)));
+  next.Owner->setFreshUntil(serverId(2), next.Now + ms(1000));
+  next.Owner->addFlows(next.Now, old.Owner->exportFlows(old.Now, serverId(2)));
   EXPECT_EQ(next.judge(displaced, false, 2).How, FlowVerdict::Known);
   EXPECT_EQ(next.judge(elsewhere, false, 2).Server, serverId(3));
   EXPECT_EQ(next.judge(here, false, 2).How, FlowVerdict::Known);
@@ -195,7 +196,7 @@
 // flow must not be sent elsewhere, namely to us again.
 TEST(OwnerFlowsTest, HandOverMayComeBeforeTheView) {
   OwnerBench bench(parts(4), 0);
-  bench.Owner->learn(bench.Now, {Booking, {{FlowId{5}, serverId(2)}}});
+  bench.Owner->addFlows(bench.Now, {Booking, {{FlowId{5}, serverId(2)}}});
   RoutingView view = parts(4);
   serverIn(view, serverId(2)).Owner.Id = vmId(0);
   bench.use(view, 0);
@@ -205,7 +206,7 @@
 
 TEST(OwnerFlowsTest, DeletedServerIsNoHome) {
   OwnerBench bench(parts(4), 0);
-  bench.Owner->learn(bench.Now, {Booking, {{FlowId{5}, serverId(3)}}});
+  bench.Owner->addFlows(bench.Now, {Booking, {{FlowId{5}, serverId(3)}}});
   EXPECT_EQ(bench.judge(FlowId{5}, false, 0).How, FlowVerdict::Elsewhere);
   bench.use(parts(3), 0);
   EXPECT_EQ(bench.judge(FlowId{5}, false, 0).How, FlowVerdict::Unknown);
