--- a/UnitTests/Flows/EntryRouterPropertyTest.cpp
+++ b/UnitTests/Flows/EntryRouterPropertyTest.cpp
@@ -1,34 +1,34 @@
 #include <map>
 #include <optional>
 
-#include "UnitTests/Flows/RouterHelp.h"
+#include "UnitTests/Flows/RouterHarness.h"
 #include "UnitTests/Flows/SeededCheck.h"
 
 namespace balsamrack {
 namespace {
 
 /// What the test knows of one packet.
-struct Watched {
+struct TrackedPacket {
   Envelope Head;
   std::optional<SendForward> Outstanding; ///< Forward without an answer.
   std::vector<VmId> Asked;                ///< Owners asked about the flow.
   std::vector<VmId> Claimed;              ///< Guardians claimed from.
   bool MayHaveRun = false; ///< Some owner may have run it, or did.
   bool Granted = false;    ///< A guardian granted its key.
-  int Endings = 0;
+  int NumEndings = 0;
 };
 
 /// Feeds a router with events that may come in any order, true and false ones,
 /// and checks each action against what the events allow.
-class Chaos {
+class RouterFuzzer {
 public:
-  Chaos()
+  RouterFuzzer()
       : Router(*EntryRouter::create({}, 7)),
         Replayed(*EntryRouter::create({}, 7)) {
     changeView();
   }
 
-  void anyStep() {
+  void randomStep() {
     switch (*rc::gen::inRange(0, 12)) {
     case 0:
     case 1:
@@ -37,9 +37,9 @@
     case 3:
       return changeView();
     case 4:
-      return loseOrFail(true);
+      return losePeerOrSend(true);
     case 5:
-      return loseOrFail(false);
+      return losePeerOrSend(false);
     case 6:
       Now += ms(*rc::gen::inRange(1, 4000));
       return feed(EntryTicked{});
@@ -59,21 +59,21 @@
     Now += std::chrono::minutes(10);
     feed(EntryTicked{});
     for (const auto &[id, w] : Packets)
-      RC_ASSERT(w.Endings == 1);
+      RC_ASSERT(w.NumEndings == 1);
     RC_ASSERT(Router->inProgress() == 0U);
   }
 
 private:
-  Watched *anyPacket() {
+  TrackedPacket *randomPacket() {
     if (Packets.empty())
       return nullptr;
     auto n = *rc::gen::inRange<size_t>(0, Packets.size());
     return &std::next(Packets.begin(), static_cast<ptrdiff_t>(n))->second;
   }
-  static VmId anyVm() { return vmId(*rc::gen::inRange<size_t>(0, 5)); }
+  static VmId randomVm() { return vmId(*rc::gen::inRange<size_t>(0, 5)); }
 
   void arrive() {
-    Watched w;
+    TrackedPacket w;
     w.Head.Request = RequestId{Packets.size() + 1};
     w.Head.Flow = FlowId{*rc::gen::inRange<uint64_t>(1, 20)};
     w.Head.Service = Booking;
@@ -88,7 +88,7 @@
   }
 
   void changeView() {
-    RoutingView view = parts(*rc::gen::inRange<size_t>(0, 6), 5);
+    RoutingView view = makeView(*rc::gen::inRange<size_t>(0, 6), 5);
     for (RoutedServer &it : view.Services[Booking].Servers) {
       it.OwnerReachable = *rc::gen::inRange(0, 4) != 0;
       it.DomainInService = *rc::gen::inRange(0, 6) != 0;
@@ -99,9 +99,9 @@
     feed(ViewChanged{*RoutingView::create(view)});
   }
 
-  void loseOrFail(bool lost) {
-    VmId vm = anyVm();
-    Watched *one = anyPacket();
+  void losePeerOrSend(bool lost) {
+    VmId vm = randomVm();
+    TrackedPacket *one = randomPacket();
     if (lost) {
       for (auto &[id, w] : Packets)
         if (w.Outstanding && w.Outstanding->To.Id == vm) {
@@ -118,15 +118,15 @@
   }
 
   void callerLeaves() {
-    if (Watched *w = anyPacket())
+    if (TrackedPacket *w = randomPacket())
       feed(CallerLeft{w->Head.Request});
   }
 
   void flowReply() {
-    Watched *w = anyPacket();
+    TrackedPacket *w = randomPacket();
     if (!w)
       return;
-    VmId from = w->Asked.empty() ? anyVm() : w->Asked.back();
+    VmId from = w->Asked.empty() ? randomVm() : w->Asked.back();
     ServerId server = serverId(*rc::gen::inRange<size_t>(0, 7));
     if (*rc::gen::arbitrary<bool>())
       server = ServerId();
@@ -137,7 +137,7 @@
   }
 
   void keyReply() {
-    Watched *w = anyPacket();
+    TrackedPacket *w = randomPacket();
     if (!w || w->Claimed.empty())
       return;
     auto verdict = static_cast<KeyVerdict>(*rc::gen::inRange(0, 5));
@@ -150,7 +150,7 @@
 
   /// The owner that has the packet answers; or, \p wrong, another one does.
   void ownerReply(bool wrong) {
-    Watched *w = anyPacket();
+    TrackedPacket *w = randomPacket();
     if (!w || !w->Outstanding)
       return;
     Outcome o;
@@ -201,16 +201,16 @@
 
   void check(const EntryAction &action) {
     if (const auto *f = std::get_if<SendForward>(&action)) {
-      Watched &w = Packets[f->Request.Value];
-      RC_ASSERT(w.Endings == 0);
+      TrackedPacket &w = Packets[f->Request.Value];
+      RC_ASSERT(w.NumEndings == 0);
       RC_ASSERT(!w.Outstanding);
       bool runOnce = w.Head.Kind == Semantics::RunOnce;
       RC_ASSERT(!runOnce || !w.MayHaveRun);
       RC_ASSERT(!runOnce || w.Head.Key.empty() || w.Granted);
       w.Outstanding = *f;
     } else if (const auto *e = std::get_if<EndPacket>(&action)) {
-      Watched &w = Packets[e->Result.Request.Value];
-      RC_ASSERT(++w.Endings == 1);
+      TrackedPacket &w = Packets[e->Result.Request.Value];
+      RC_ASSERT(++w.NumEndings == 1);
       bool notRun =
           e->Result.How == Ending::NotRun || e->Result.How == Ending::GivenUp;
       RC_ASSERT(!notRun || (!w.MayHaveRun && !w.Outstanding));
@@ -224,7 +224,7 @@
   std::unique_ptr<EntryRouter> Router;
   std::unique_ptr<EntryRouter> Replayed; ///< Fed with the same events.
   TimePoint Now{std::chrono::hours(1)};
-  std::map<uint64_t, Watched> Packets;
+  std::map<uint64_t, TrackedPacket> Packets;
 };
 
 // Peers answer, die, answer late or for others, callers leave, views change, in
@@ -233,11 +233,11 @@
 TEST(EntryRouterPropertyTest, EndsOnceTruthfullyAndRunsOnce) {
   EXPECT_TRUE(seededCheck(
       [] {
-        Chaos chaos;
+        RouterFuzzer fuzzer;
         auto steps = *rc::gen::inRange(0, 80);
         for (int i = 0; i < steps; ++i)
-          chaos.anyStep();
-        chaos.finish();
+          fuzzer.randomStep();
+        fuzzer.finish();
       },
       2000));
 }
--- a/UnitTests/Flows/EntryRouterTest.cpp
+++ b/UnitTests/Flows/EntryRouterTest.cpp
@@ -2,7 +2,7 @@
 #include <map>
 
 #include "Balsamrack/Flows/FlowToken.h"
-#include "UnitTests/Flows/RouterHelp.h"
+#include "UnitTests/Flows/RouterHarness.h"
 
 namespace balsamrack {
 namespace {
@@ -29,31 +29,31 @@
 
 class ObstacleTest : public testing::TestWithParam<ObstacleCase> {};
 
-TEST_P(ObstacleTest, NewFlowGoesOn) {
-  RoutingView view = parts(5);
-  RouterBench bench(view, withTokens());
-  ServerId first = bench.candidates()[0];
+TEST_P(ObstacleTest, NewFlowGoesToAnotherServer) {
+  RoutingView view = makeView(5);
+  RouterHarness harness(view, withTokens());
+  ServerId first = harness.candidates()[0];
   GetParam().Change(serverIn(view, first));
-  bench.use(view);
-  bench.arrive(true);
-  EXPECT_NE(bench.forward().Server, first);
+  harness.setView(view);
+  harness.arrive(true);
+  EXPECT_NE(harness.forward().Server, first);
 }
 
 TEST_P(ObstacleTest, EstablishedFlowIsNeverMoved) {
-  RoutingView view = parts(5);
-  RouterBench bench(view, withTokens());
-  ServerId first = bench.candidates()[0];
+  RoutingView view = makeView(5);
+  RouterHarness harness(view, withTokens());
+  ServerId first = harness.candidates()[0];
   GetParam().Change(serverIn(view, first));
-  bench.use(view);
-  bench.arrive(false, Semantics::RunOnce, token(bench.Flow, first));
+  harness.setView(view);
+  harness.arrive(false, Semantics::RunOnce, token(harness.Flow, first));
   if (std::string(GetParam().Established) != "sent") {
-    EXPECT_EQ(bench.ending(), GetParam().Established);
-    EXPECT_EQ(bench.End.Result.RetryAfter > Duration(0),
-              bench.End.Result.How == Ending::NotRun);
+    EXPECT_EQ(harness.ending(), GetParam().Established);
+    EXPECT_EQ(harness.End.Result.RetryAfter > Duration(0),
+              harness.End.Result.How == Ending::NotRun);
     return;
   }
-  EXPECT_EQ(bench.forward().Server, first);
-  EXPECT_TRUE(bench.LastForward.ByToken);
+  EXPECT_EQ(harness.forward().Server, first);
+  EXPECT_TRUE(harness.LastForward.ByToken);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -90,12 +90,12 @@
 class RefusalTest : public testing::TestWithParam<RefusalCase> {};
 
 TEST_P(RefusalTest, OnlyProvablyNotRunGoesToTheNextOwner) {
-  RouterBench bench(parts(5));
-  bench.arrive(true);
-  ServerId first = bench.forward().Server;
-  bench.reply(GetParam().How, GetParam().Why, first);
-  EXPECT_EQ(bench.all<SendForward>().size(), GetParam().TriesNext ? 1U : 0U);
-  EXPECT_EQ(bench.all<EndPacket>().size(), GetParam().TriesNext ? 0U : 1U);
+  RouterHarness harness(makeView(5));
+  harness.arrive(true);
+  ServerId first = harness.forward().Server;
+  harness.reply(GetParam().How, GetParam().Why, first);
+  EXPECT_EQ(harness.all<SendForward>().size(), GetParam().TriesNext ? 1U : 0U);
+  EXPECT_EQ(harness.all<EndPacket>().size(), GetParam().TriesNext ? 0U : 1U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -118,13 +118,13 @@
         RefusalCase{Ending::Answered, Reason::None, false}));
 
 TEST(EntryRouterTest, TriesAreBounded) {
-  RouterBench bench(parts(14));
-  bench.arrive(true);
-  for (uint32_t i = 1; i < bench.Settings.MaxTries; ++i)
-    bench.reply(Ending::NotRun, Reason::QueueFull, bench.forward().Server);
-  bench.reply(Ending::NotRun, Reason::QueueFull, bench.forward().Server);
-  EXPECT_EQ(bench.ending(), "not-run/queue-full");
-  EXPECT_GT(bench.End.Result.RetryAfter, Duration(0));
+  RouterHarness harness(makeView(14));
+  harness.arrive(true);
+  for (uint32_t i = 1; i < harness.Settings.MaxTries; ++i)
+    harness.reply(Ending::NotRun, Reason::QueueFull, harness.forward().Server);
+  harness.reply(Ending::NotRun, Reason::QueueFull, harness.forward().Server);
+  EXPECT_EQ(harness.ending(), "not-run/queue-full");
+  EXPECT_GT(harness.End.Result.RetryAfter, Duration(0));
 }
 
 // A whole service refuses. Each packet is offered to four owners, so that
@@ -132,17 +132,18 @@
 // budget lets only a fifth more through.
 TEST(EntryRouterTest, RetryBudgetShrinksUnderOverload) {
   EntrySettings settings;
-  RouterBench bench(parts(14), settings);
+  RouterHarness harness(makeView(14), settings);
   size_t forwards = 0;
   constexpr size_t Packets = 1000;
   for (size_t i = 0; i < Packets; ++i) {
-    bench.arrive(true);
-    while (!bench.all<SendForward>().empty()) {
+    harness.arrive(true);
+    while (!harness.all<SendForward>().empty()) {
       ++forwards;
-      bench.reply(Ending::NotRun, Reason::QueueFull, bench.forward().Server);
+      harness.reply(Ending::NotRun, Reason::QueueFull,
+                    harness.forward().Server);
     }
   }
-  EXPECT_EQ(bench.ending(), "not-run/retry-budget");
+  EXPECT_EQ(harness.ending(), "not-run/retry-budget");
   EXPECT_LE(forwards, Packets * 1.2 + settings.RetryBurst + 1);
 }
 
@@ -156,16 +157,17 @@
 class TokenTest : public testing::TestWithParam<TokenCase> {};
 
 TEST_P(TokenTest, ChoosesAServerOfTheServiceOrNothing) {
-  RouterBench bench(parts(5), withTokens());
-  ServerId last = bench.candidates()[4];
-  bench.arrive(false, Semantics::RunOnce, GetParam().Make(bench.Flow, last));
+  RouterHarness harness(makeView(5), withTokens());
+  ServerId last = harness.candidates()[4];
+  harness.arrive(false, Semantics::RunOnce,
+                 GetParam().Make(harness.Flow, last));
   std::string expected = GetParam().Result;
   if (expected != "token" && expected != "rank") {
-    EXPECT_EQ(bench.ending(), expected);
+    EXPECT_EQ(harness.ending(), expected);
     return;
   }
-  EXPECT_EQ(bench.forward().Server,
-            expected == "token" ? last : bench.candidates()[0]);
+  EXPECT_EQ(harness.forward().Server,
+            expected == "token" ? last : harness.candidates()[0]);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -204,14 +206,14 @@
     [](const auto &info) { return info.param.Name; });
 
 TEST(EntryRouterTest, AnswerCarriesATokenThatComesBack) {
-  RouterBench bench(parts(5), withTokens());
-  bench.arrive(true);
-  ServerId home = bench.forward().Server;
-  bench.reply(Ending::Answered, Reason::None, home);
-  EXPECT_EQ(bench.ending(), "answered/none");
-  bench.arrive(false, Semantics::RunOnce, bench.End.Token);
-  EXPECT_EQ(bench.forward().Server, home);
-  EXPECT_TRUE(bench.LastForward.ByToken);
+  RouterHarness harness(makeView(5), withTokens());
+  harness.arrive(true);
+  ServerId home = harness.forward().Server;
+  harness.reply(Ending::Answered, Reason::None, home);
+  EXPECT_EQ(harness.ending(), "answered/none");
+  harness.arrive(false, Semantics::RunOnce, harness.End.Token);
+  EXPECT_EQ(harness.forward().Server, home);
+  EXPECT_TRUE(harness.LastForward.ByToken);
 }
 
 /// What the owners of the first four candidates say about an established flow
@@ -220,7 +222,7 @@
 /// out but has a later ticket.
 struct QuestionCase {
   const char *Name;
-  std::vector<std::string> Says;
+  std::vector<std::string> Replies;
   const char *Result; ///< Candidate that it is forwarded to, or an ending.
 };
 
@@ -229,44 +231,47 @@
 TEST_P(QuestionTest, PlacesAnUnknownEstablishedFlow) {
   EntrySettings settings;
   settings.QuestionCandidates = 3;
-  RouterBench bench(parts(8), settings);
-  std::vector<ServerId> order = bench.candidates();
-  bench.arrive(false);
-  EXPECT_EQ(bench.forward().Server, order[0]);
-  EXPECT_FALSE(bench.LastForward.Accept);
-  bench.reply(Ending::NotRun, Reason::FlowElsewhere, ServerId());
+  RouterHarness harness(makeView(8), settings);
+  std::vector<ServerId> order = harness.candidates();
+  harness.arrive(false);
+  EXPECT_EQ(harness.forward().Server, order[0]);
+  EXPECT_FALSE(harness.LastForward.Accept);
+  harness.reply(Ending::NotRun, Reason::FlowElsewhere, ServerId());
   // Two are asked at first, the others when those don't know.
-  EXPECT_EQ(bench.all<SendQuestion>().size(), 2U);
-  std::map<VmId, std::string> says;
-  for (size_t i = 0; i < GetParam().Says.size(); ++i)
-    says[bench.View->findServer(order[i])->Owner.Id] = GetParam().Says[i];
+  EXPECT_EQ(harness.all<SendQuestion>().size(), 2U);
+  std::map<VmId, std::string> replies;
+  for (size_t i = 0; i < GetParam().Replies.size(); ++i)
+    replies[harness.View->findServer(order[i])->Owner.Id] =
+        GetParam().Replies[i];
   std::deque<VmId> asked;
   for (;;) {
-    for (const SendQuestion &it : bench.all<SendQuestion>())
+    for (const SendQuestion &it : harness.all<SendQuestion>())
       asked.push_back(it.To.Id);
     if (asked.empty())
       break;
     VmId vm = asked.front();
     asked.pop_front();
-    std::string word = says[vm];
-    if (word == "mute")
-      bench.step(SendFailed{RequestId{1}, vm});
-    else if (word == "fresh")
-      bench.flowReply(vm, serverId(std::stoul(vm.str().substr(3))).str(), true);
-    else if (word == "later")
-      bench.flowReply(vm, "", false, TicketNumber{11});
+    std::string reply = replies[vm];
+    if (reply == "mute")
+      harness.step(SendFailed{RequestId{1}, vm});
+    else if (reply == "fresh")
+      harness.flowReply(vm, serverId(std::stoul(vm.str().substr(3))).str(),
+                        true);
+    else if (reply == "later")
+      harness.flowReply(vm, "", false, TicketNumber{11});
     else
-      bench.flowReply(vm, word == "home" ? order[2].str() : "", false);
-    if (!bench.all<SendForward>().empty() || !bench.all<EndPacket>().empty())
+      harness.flowReply(vm, reply == "home" ? order[2].str() : "", false);
+    if (!harness.all<SendForward>().empty() ||
+        !harness.all<EndPacket>().empty())
       break;
   }
   std::string expected = GetParam().Result;
   if (expected.size() > 1) {
-    EXPECT_EQ(bench.ending(), expected);
+    EXPECT_EQ(harness.ending(), expected);
     return;
   }
-  EXPECT_EQ(bench.forward().Server, order[std::stoul(expected)]);
-  EXPECT_TRUE(bench.LastForward.Accept);
+  EXPECT_EQ(harness.forward().Server, order[std::stoul(expected)]);
+  EXPECT_TRUE(harness.LastForward.Accept);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -287,134 +292,135 @@
     [](const auto &info) { return info.param.Name; });
 
 TEST(EntryRouterTest, ExceptionIsFollowedOnce) {
-  RouterBench bench(parts(5));
-  std::vector<ServerId> order = bench.candidates();
-  bench.arrive(false);
-  bench.forward();
-  bench.reply(Ending::NotRun, Reason::FlowElsewhere, order[3]);
-  EXPECT_EQ(bench.forward().Server, order[3]);
-  EXPECT_TRUE(bench.LastForward.Accept);
-  bench.reply(Ending::NotRun, Reason::QueueFull, order[3]);
-  EXPECT_EQ(bench.ending(), "not-run/queue-full");
+  RouterHarness harness(makeView(5));
+  std::vector<ServerId> order = harness.candidates();
+  harness.arrive(false);
+  harness.forward();
+  harness.reply(Ending::NotRun, Reason::FlowElsewhere, order[3]);
+  EXPECT_EQ(harness.forward().Server, order[3]);
+  EXPECT_TRUE(harness.LastForward.Accept);
+  harness.reply(Ending::NotRun, Reason::QueueFull, order[3]);
+  EXPECT_EQ(harness.ending(), "not-run/queue-full");
 }
 
 // A caller's deposit is with the owner when the owner's VM dies. Nobody can
 // tell whether it ran. Handing it to another owner could charge it twice, so
 // the caller is told that the outcome is unknown.
 TEST(EntryRouterTest, LostOwnerEndsRunOnceUnknown) {
-  RouterBench bench(parts(5));
-  bench.arrive(true);
-  bench.step(PeerLost{bench.forward().To.Id});
-  EXPECT_EQ(bench.ending(), "unknown/owner-lost");
-  EXPECT_TRUE(bench.all<SendForward>().empty());
+  RouterHarness harness(makeView(5));
+  harness.arrive(true);
+  harness.step(PeerLost{harness.forward().To.Id});
+  EXPECT_EQ(harness.ending(), "unknown/owner-lost");
+  EXPECT_TRUE(harness.all<SendForward>().empty());
 }
 
 // The same with a harmless request: it is tried once more, elsewhere. If that
 // owner refuses, the caller still isn't told "not run": the first may have run.
 TEST(EntryRouterTest, LostOwnerOfIdempotentIsTriedOnceMore) {
-  RouterBench bench(parts(5));
-  bench.arrive(true, Semantics::Idempotent);
-  ServerId first = bench.forward().Server;
-  bench.step(PeerLost{bench.LastForward.To.Id});
-  EXPECT_NE(bench.forward().Server, first);
-  bench.reply(Ending::NotRun, Reason::DeadlinePassed, bench.LastForward.Server);
-  EXPECT_EQ(bench.ending(), "unknown/owner-lost");
-  EXPECT_EQ(bench.End.Result.Server, first);
+  RouterHarness harness(makeView(5));
+  harness.arrive(true, Semantics::Idempotent);
+  ServerId first = harness.forward().Server;
+  harness.step(PeerLost{harness.LastForward.To.Id});
+  EXPECT_NE(harness.forward().Server, first);
+  harness.reply(Ending::NotRun, Reason::DeadlinePassed,
+                harness.LastForward.Server);
+  EXPECT_EQ(harness.ending(), "unknown/owner-lost");
+  EXPECT_EQ(harness.End.Result.Server, first);
 }
 
 // An owner refuses; the packet goes to the next one, which starts to run it.
 // A duplicate of the first refusal arrives late. Were it taken for the second
 // owner's word, a third owner would run the deposit again.
 TEST(EntryRouterTest, DuplicatedRefusalIsDropped) {
-  RouterBench bench(parts(5));
-  bench.arrive(true);
-  SendForward first = bench.forward();
-  bench.reply(Ending::NotRun, Reason::QueueFull, first.Server);
-  bench.forward();
+  RouterHarness harness(makeView(5));
+  harness.arrive(true);
+  SendForward first = harness.forward();
+  harness.reply(Ending::NotRun, Reason::QueueFull, first.Server);
+  harness.forward();
   Outcome again;
   again.Request = RequestId{1};
   again.Why = Reason::QueueFull;
   again.Server = first.Server;
-  EXPECT_TRUE(bench.step(OwnerReplied{first.To.Id, again}).empty());
-  EXPECT_EQ(bench.Router->inProgress(), 1U);
+  EXPECT_TRUE(harness.step(OwnerReplied{first.To.Id, again}).empty());
+  EXPECT_EQ(harness.Router->inProgress(), 1U);
 }
 
 // The same when one daemon owns both servers: only the server named in the
 // refusal tells it from the present owner's word.
 TEST(EntryRouterTest, DuplicatedRefusalOfTheSameOwnerIsDropped) {
-  RoutingView view = parts(5);
+  RoutingView view = makeView(5);
   for (RoutedServer &it : view.Services[Booking].Servers)
     it.Owner.Id = vmId(0);
-  RouterBench bench(view);
-  bench.arrive(true);
-  ServerId first = bench.forward().Server;
-  bench.reply(Ending::NotRun, Reason::QueueFull, first);
-  bench.forward();
-  bench.reply(Ending::NotRun, Reason::QueueFull, first);
-  EXPECT_TRUE(bench.Last.empty());
+  RouterHarness harness(view);
+  harness.arrive(true);
+  ServerId first = harness.forward().Server;
+  harness.reply(Ending::NotRun, Reason::QueueFull, first);
+  harness.forward();
+  harness.reply(Ending::NotRun, Reason::QueueFull, first);
+  EXPECT_TRUE(harness.Last.empty());
 }
 
 // An owner names the flow's home, and the home's owner has the packet. A
 // duplicate of the first word must not send it there once more.
 TEST(EntryRouterTest, DuplicatedElsewhereIsDropped) {
-  RoutingView view = parts(5);
+  RoutingView view = makeView(5);
   for (RoutedServer &it : view.Services[Booking].Servers)
     it.Owner.Id = vmId(0);
-  RouterBench bench(view);
-  ServerId home = bench.candidates()[3];
-  bench.arrive(false);
-  bench.forward();
-  bench.reply(Ending::NotRun, Reason::FlowElsewhere, home);
-  EXPECT_EQ(bench.forward().Server, home);
-  bench.reply(Ending::NotRun, Reason::FlowElsewhere, home);
-  EXPECT_TRUE(bench.Last.empty());
+  RouterHarness harness(view);
+  ServerId home = harness.candidates()[3];
+  harness.arrive(false);
+  harness.forward();
+  harness.reply(Ending::NotRun, Reason::FlowElsewhere, home);
+  EXPECT_EQ(harness.forward().Server, home);
+  harness.reply(Ending::NotRun, Reason::FlowElsewhere, home);
+  EXPECT_TRUE(harness.Last.empty());
 }
 
 TEST(EntryRouterTest, DeadlineEndsTruthfully) {
-  RouterBench bench(parts(5));
-  bench.arrive(true);
-  EntryVm owner = bench.forward().To;
-  EXPECT_EQ(*bench.Router->nextWakeup(), bench.Now + ms(10'000));
-  bench.Now += ms(10'000);
-  bench.step(EntryTicked{});
-  EXPECT_EQ(bench.ending(), "unknown/deadline-passed");
-  ASSERT_EQ(bench.all<SendCancel>().size(), 1U);
-  EXPECT_EQ(bench.all<SendCancel>()[0].To.Id, owner.Id);
-  EXPECT_EQ(bench.Router->inProgress(), 0U);
-  EXPECT_FALSE(bench.Router->nextWakeup());
+  RouterHarness harness(makeView(5));
+  harness.arrive(true);
+  EntryVm owner = harness.forward().To;
+  EXPECT_EQ(*harness.Router->nextWakeup(), harness.Now + ms(10'000));
+  harness.Now += ms(10'000);
+  harness.step(EntryTicked{});
+  EXPECT_EQ(harness.ending(), "unknown/deadline-passed");
+  ASSERT_EQ(harness.all<SendCancel>().size(), 1U);
+  EXPECT_EQ(harness.all<SendCancel>()[0].To.Id, owner.Id);
+  EXPECT_EQ(harness.Router->inProgress(), 0U);
+  EXPECT_FALSE(harness.Router->nextWakeup());
 }
 
-TEST(EntryRouterTest, SendThatProvablyFailedGoesOn) {
-  RouterBench bench(parts(5));
-  bench.arrive(true);
-  ServerId first = bench.forward().Server;
-  bench.step(SendFailed{RequestId{1}, bench.LastForward.To.Id});
-  EXPECT_NE(bench.forward().Server, first);
+TEST(EntryRouterTest, UnsentForwardIsRetriedElsewhere) {
+  RouterHarness harness(makeView(5));
+  harness.arrive(true);
+  ServerId first = harness.forward().Server;
+  harness.step(SendFailed{RequestId{1}, harness.LastForward.To.Id});
+  EXPECT_NE(harness.forward().Server, first);
 }
 
 TEST(EntryRouterTest, PacketOfAnUnknownServiceGoesNowhere) {
-  RoutingView view = parts(3);
+  RoutingView view = makeView(3);
   view.Services[Booking].Servers[1].Server.Service = ServiceId("archive");
   EXPECT_FALSE(RoutingView::create(view).ok());
-  RouterBench bench(parts(3));
+  RouterHarness harness(makeView(3));
   Envelope head;
   head.Request = RequestId{1};
   head.Service = ServiceId("archive");
   head.Remaining = ms(1000);
-  bench.step(PacketArrived{head, ""});
-  EXPECT_EQ(bench.ending(), "not-run/unknown-service");
+  harness.step(PacketArrived{head, ""});
+  EXPECT_EQ(harness.ending(), "not-run/unknown-service");
 }
 
 TEST(EntryRouterTest, ExplainsWhereAFlowWouldGo) {
-  RoutingView view = parts(3);
-  RouterBench bench(view);
-  ServerId first = bench.candidates()[0];
+  RoutingView view = makeView(3);
+  RouterHarness harness(view);
+  ServerId first = harness.candidates()[0];
   serverIn(view, first).Server.Mode = ServerMode::Draining;
-  bench.use(view);
-  auto decisions = explainPlacement(*bench.View, Booking, bench.Flow, {});
+  harness.setView(view);
+  auto decisions = explainPlacement(*harness.View, Booking, harness.Flow, {});
   ASSERT_EQ(decisions.size(), 4U);
   EXPECT_EQ(decisions[0].Rule, "server-draining");
-  EXPECT_EQ(decisions[3].Server, bench.candidates()[1]);
+  EXPECT_EQ(decisions[3].Server, harness.candidates()[1]);
 }
 
 } // namespace
--- a/UnitTests/Flows/FlowTokenTest.cpp
+++ b/UnitTests/Flows/FlowTokenTest.cpp
@@ -11,7 +11,7 @@
           TicketNumber{*rc::gen::arbitrary<uint64_t>()}};
 }
 
-TEST(FlowTokenTest, ComesBackAsItWas) {
+TEST(FlowTokenTest, DecodesWhatWasEncoded) {
   EXPECT_TRUE(seededCheck([] {
     FlowTokenCodec codec("key");
     FlowToken token = someToken();
@@ -26,7 +26,7 @@
 
 // A caller flips bits of its token to reach another server, or sends anything.
 // Whatever it sends, it reads as no token.
-TEST(FlowTokenTest, AnyMutationIsNoToken) {
+TEST(FlowTokenTest, AnyMutationIsRejected) {
   EXPECT_TRUE(seededCheck(
       [] {
         FlowTokenCodec codec("key");
@@ -52,7 +52,7 @@
       2000));
 }
 
-TEST(FlowTokenTest, KeyOfAnotherFleetIsNoKey) {
+TEST(FlowTokenTest, TokenOfAnotherFleetIsRejected) {
   std::string text = FlowTokenCodec("a").encode({1, 2, FlowId{3}, {}});
   EXPECT_TRUE(FlowTokenCodec("a").decode(text));
   EXPECT_FALSE(FlowTokenCodec("b").decode(text));
--- a/UnitTests/Flows/KeyGuardFleetTest.cpp
+++ b/UnitTests/Flows/KeyStoreFleetTest.cpp
@@ -17,39 +17,39 @@
 
 /// Guards of a small fleet that share one view of who is there, and keys that
 /// are tried again and again. Counts the runs of each key.
-class GuardFleet {
+class KeyStoreFleet {
 public:
-  explicit GuardFleet(uint64_t seed) : Random(seed) {
+  explicit KeyStoreFleet(uint64_t seed) : Random(seed) {
     for (size_t i = 0; i < Daemons; ++i)
       start(i, true);
   }
   /// Share of hand-over messages that get lost.
   uint64_t LossPercent = 0;
 
-  void start(size_t i, bool founded) {
+  void start(size_t i, bool firstInstallation) {
     KeyStoreSettings settings;
-    settings.AssumeNoEarlierKeys = founded;
+    settings.AssumeNoEarlierKeys = firstInstallation;
     settings.MaxKeys = 10'000;
-    Guards[i] = std::move(*KeyStore::create(settings, Now));
+    Stores[i] = std::move(*KeyStore::create(settings, Now));
     ++Runs[i];
   }
   void leave(size_t i) {
-    std::unique_ptr<KeyStore> leaver = std::move(Guards[i]);
+    std::unique_ptr<KeyStore> leaver = std::move(Stores[i]);
     depart(i);
     for (const auto &it :
          leaver->exportKeys(Now, view(), vmName(i), Incarnation{Runs[i]}, 2))
       if (Random.below(100) >= LossPercent)
-        Guards[indexOf(it.To.Id)]->importKeys(Now, it.Batch);
+        Stores[indexOf(it.To.Id)]->importKeys(Now, it.Batch);
   }
   void die(size_t i) {
-    Guards[i] = nullptr;
+    Stores[i] = nullptr;
     depart(i);
   }
-  bool up(size_t i) const { return Guards[i] != nullptr; }
-  size_t upCount() const {
+  bool isUp(size_t i) const { return Stores[i] != nullptr; }
+  size_t countUp() const {
     size_t n = 0;
     for (size_t i = 0; i < Daemons; ++i)
-      n += up(i) ? 1 : 0;
+      n += isUp(i) ? 1 : 0;
     return n;
   }
   /// One attempt of key \p key. True when it ran.
@@ -60,7 +60,7 @@
     KeyClaims claims;
     for (const EntryVm &to : claims.updateReplicas(digest, view(), settings))
       claims.recordReply(to.Id,
-                         Guards[indexOf(to.Id)]
+                         Stores[indexOf(to.Id)]
                              ->claim(Now, {digest, request}, view(), to.Id)
                              .Verdict);
     const bool runs = claims.evaluate(settings) == KeyClaims::Result::Run;
@@ -70,11 +70,11 @@
                                              : Ending::OutcomeUnknown;
     if (!runs || Random.below(4) > 0)
       for (const EntryVm &to : claims.claimedReplicas())
-        if (up(indexOf(to.Id)))
-          Guards[indexOf(to.Id)]->settle(Now, {digest, request, how});
+        if (isUp(indexOf(to.Id)))
+          Stores[indexOf(to.Id)]->settle(Now, {digest, request, how});
     return runs;
   }
-  void pass(Duration time) {
+  void advance(Duration time) {
     Now += time;
     for (auto it = Departed.begin(); it != Departed.end();)
       it = it->second + KeyStoreSettings().KeyMemory <= Now ? Departed.erase(it)
@@ -93,7 +93,7 @@
   KeyReplicaView view() const {
     KeyReplicaView view;
     for (size_t i = 0; i < Daemons; ++i)
-      if (up(i))
+      if (isUp(i))
         view.Members.push_back({vmName(i), DomainId("a"), {}, false});
     for (const auto &[vm, at] : Departed)
       view.RecentlyDeparted.push_back(vm);
@@ -101,7 +101,7 @@
   }
 
   TimePoint Now{Second};
-  std::unique_ptr<KeyStore> Guards[Daemons];
+  std::unique_ptr<KeyStore> Stores[Daemons];
   uint64_t Runs[Daemons] = {};
   std::map<VmId, TimePoint> Departed; ///< With the time.
   uint64_t Requests = 0;
@@ -110,15 +110,15 @@
 // An upgrade restarts each daemon in turn, gracefully, within the key memory.
 // Sellers' new deposits must go on running, although no daemon has been up for
 // long; and those that ran before must not run again.
-TEST(KeyGuardFleetTest, RollingRestartKeepsKeysAndTheirProof) {
-  GuardFleet fleet(1);
+TEST(KeyStoreFleetTest, RollingRestartKeepsKeyHistory) {
+  KeyStoreFleet fleet(1);
   for (uint64_t key = 1; key <= 100; ++key)
     EXPECT_TRUE(fleet.attempt(key));
   for (size_t i = 0; i < Daemons; ++i) {
     fleet.leave(i);
-    fleet.pass(2 * Second);
+    fleet.advance(2 * Second);
     fleet.start(i, false);
-    fleet.pass(2 * Second);
+    fleet.advance(2 * Second);
   }
   for (uint64_t key = 1; key <= 100; ++key)
     EXPECT_FALSE(fleet.attempt(key)) << key;
@@ -128,8 +128,8 @@
 
 // The same, but a message of each hand-over gets lost with its connection. The
 // receivers must notice, and not vouch for what they can't know.
-TEST(KeyGuardFleetTest, LostHandOverProvesNothing) {
-  GuardFleet fleet(2);
+TEST(KeyStoreFleetTest, LostHandOverProvesNothing) {
+  KeyStoreFleet fleet(2);
   fleet.LossPercent = 50;
   for (uint64_t key = 1; key <= 300; ++key)
     EXPECT_TRUE(fleet.attempt(key));
@@ -141,32 +141,32 @@
     EXPECT_FALSE(fleet.attempt(key)) << key;
 }
 
-class KeyGuardChaosTest : public testing::TestWithParam<uint64_t> {};
+class KeyStoreChaosTest : public testing::TestWithParam<uint64_t> {};
 
 // Daemons leave, die and come back at random, hand-overs lose messages, and a
 // few deposits are sent again and again. None may run twice within the key
 // memory, whatever comes together.
-TEST_P(KeyGuardChaosTest, NoKeyRunsTwice) {
-  GuardFleet fleet(GetParam());
+TEST_P(KeyStoreChaosTest, NoKeyRunsTwice) {
+  KeyStoreFleet fleet(GetParam());
   fleet.LossPercent = GetParam() % 3 == 0 ? 20 : 0;
   std::map<uint64_t, int> runs;
   for (int step = 0; step < 3'000; ++step) {
     const size_t i = fleet.Random.below(Daemons);
     const uint64_t what = fleet.Random.below(100);
-    if (what < 4 && fleet.up(i) && fleet.upCount() > 1)
+    if (what < 4 && fleet.isUp(i) && fleet.countUp() > 1)
       fleet.leave(i);
-    else if (what < 6 && fleet.up(i) && fleet.upCount() > 1)
+    else if (what < 6 && fleet.isUp(i) && fleet.countUp() > 1)
       fleet.die(i);
-    else if (what < 14 && !fleet.up(i))
+    else if (what < 14 && !fleet.isUp(i))
       fleet.start(i, false);
     const uint64_t key = 1 + fleet.Random.below(200);
     runs[key] += fleet.attempt(key) ? 1 : 0;
     EXPECT_LE(runs[key], 1) << "key " << key << " at step " << step;
-    fleet.pass(Duration(100'000));
+    fleet.advance(Duration(100'000));
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, KeyGuardChaosTest,
+INSTANTIATE_TEST_SUITE_P(Seeds, KeyStoreChaosTest,
                          testing::Range(uint64_t{1}, uint64_t{41}));
 
 } // namespace
--- a/UnitTests/Flows/OwnerFlowsTest.cpp
+++ b/UnitTests/Flows/OwnerFlowsTest.cpp
@@ -1,20 +1,20 @@
 #include "Balsamrack/Flows/OwnerFlows.h"
 
-#include "UnitTests/Flows/RouterHelp.h"
+#include "UnitTests/Flows/RouterHarness.h"
 
 namespace balsamrack {
 namespace {
 
 /// An owner under a view in which it is vm-N.
-class OwnerBench {
+class OwnerHarness {
 public:
-  OwnerBench(RoutingView view, size_t self) {
+  OwnerHarness(RoutingView view, size_t self) {
     OwnerFlowsSettings s;
     s.Flows.Shards = s.Exceptions.Shards = 4;
     Owner = std::move(*OwnerFlows::create(s));
-    use(std::move(view), self);
+    setView(std::move(view), self);
   }
-  void use(RoutingView view, size_t self) {
+  void setView(RoutingView view, size_t self) {
     view.Self.Id = vmId(self);
     View = *RoutingView::create(std::move(view));
     Owner->setView(View);
@@ -56,24 +56,24 @@
 
 TEST_P(JudgeTest, JudgesAPacketForServerZero) {
   const JudgeCase &c = GetParam();
-  RoutingView view = parts(4);
+  RoutingView view = makeView(4);
   serverIn(view, serverId(1)).Owner.Id = vmId(0);
-  OwnerBench bench(view, 0);
+  OwnerHarness harness(view, 0);
   FlowId flow{5};
   if (c.KnownHere)
-    bench.judge(flow, true, 0);
+    harness.judge(flow, true, 0);
   if (c.KnownAtOther)
-    bench.judge(flow, true, 1);
+    harness.judge(flow, true, 1);
   if (c.Exception)
-    bench.Owner->addFlows(bench.Now, {Booking, {{flow, serverId(3)}}});
-  FlowVerdict v = bench.judge(flow, c.First, 0, c.Accept, c.ByToken);
+    harness.Owner->addFlows(harness.Now, {Booking, {{flow, serverId(3)}}});
+  FlowVerdict v = harness.judge(flow, c.First, 0, c.Accept, c.ByToken);
   EXPECT_EQ(v.How, c.How);
   std::string expected = "booking-0";
   if (c.How == FlowVerdict::Elsewhere)
     expected = c.KnownAtOther ? "booking-1" : "booking-3";
   EXPECT_EQ(v.Server.str(), c.How == FlowVerdict::Unknown ? "" : expected);
   bool bound = c.How != FlowVerdict::Elsewhere && c.How != FlowVerdict::Unknown;
-  EXPECT_EQ(bench.Owner->countFlows(serverId(0)), bound ? 1U : 0U);
+  EXPECT_EQ(harness.Owner->countFlows(serverId(0)), bound ? 1U : 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -99,46 +99,46 @@
 // A new flow is offered to a full server, refused, and goes to the next
 // one. Were the full server's owner to tell the first candidate's owner of it,
 // later packets could be sent to the full server: the flow would be broken.
-TEST(OwnerFlowsTest, DisplacedFlowIsToldOnceToItsFirstCandidatesOwner) {
-  OwnerBench bench(parts(4), 2);
-  FlowId flow = bench.flowRanked({1, 2});
-  bench.judge(flow, true, 2);
-  EXPECT_TRUE(bench.Owner->dequeueBatches(bench.Now, 10'000).empty());
-  bench.judge(flow, false, 2);
-  bench.judge(flow, false, 2);
-  auto batches = bench.Owner->dequeueBatches(bench.Now, 10'000);
+TEST(OwnerFlowsTest, DisplacedFlowIsAnnouncedOnceToItsFirstCandidatesOwner) {
+  OwnerHarness harness(makeView(4), 2);
+  FlowId flow = harness.flowRanked({1, 2});
+  harness.judge(flow, true, 2);
+  EXPECT_TRUE(harness.Owner->dequeueBatches(harness.Now, 10'000).empty());
+  harness.judge(flow, false, 2);
+  harness.judge(flow, false, 2);
+  auto batches = harness.Owner->dequeueBatches(harness.Now, 10'000);
   ASSERT_EQ(batches.size(), 1U);
   EXPECT_EQ(batches[0].To.Id, vmId(1));
   ASSERT_EQ(batches[0].Batch.Flows.size(), 1U);
   EXPECT_EQ(batches[0].Batch.Flows[0].Server, serverId(2));
-  EXPECT_TRUE(bench.Owner->dequeueBatches(bench.Now, 10'000).empty());
+  EXPECT_TRUE(harness.Owner->dequeueBatches(harness.Now, 10'000).empty());
 }
 
 // One daemon owns both the first candidate and the server that the flow lives
 // on, and dies. Its successor knows neither, and would take the flow in on its
 // first candidate. So the best-ranked other owner has a copy.
 TEST(OwnerFlowsTest, CopyGoesElsewhereWhenBothServersAreOurs) {
-  RoutingView view = parts(4);
+  RoutingView view = makeView(4);
   serverIn(view, serverId(1)).Owner.Id = vmId(2);
-  OwnerBench bench(view, 2);
-  FlowId flow = bench.flowRanked({1, 2, 3});
-  bench.judge(flow, true, 2);
-  bench.judge(flow, false, 2);
-  auto batches = bench.Owner->dequeueBatches(bench.Now, 10'000);
+  OwnerHarness harness(view, 2);
+  FlowId flow = harness.flowRanked({1, 2, 3});
+  harness.judge(flow, true, 2);
+  harness.judge(flow, false, 2);
+  auto batches = harness.Owner->dequeueBatches(harness.Now, 10'000);
   ASSERT_EQ(batches.size(), 1U);
   EXPECT_EQ(batches[0].To.Id, vmId(3));
 }
 
 TEST(OwnerFlowsTest, BatchesStayWithinTheByteBudget) {
-  OwnerBench bench(parts(4), 2);
+  OwnerHarness harness(makeView(4), 2);
   constexpr uint32_t NumFlows = 1000;
   for (uint64_t f = 1; f <= NumFlows; ++f)
-    bench.judge(FlowId{f}, false, 2, true);
+    harness.judge(FlowId{f}, false, 2, true);
   size_t flows = 0;
   for (int i = 0; i < 100; ++i) {
     size_t bytes = 0;
     for (const ExceptionBatch &it :
-         bench.Owner->dequeueBatches(bench.Now, 1000)) {
+         harness.Owner->dequeueBatches(harness.Now, 1000)) {
       bytes += 48 + it.Batch.Flows.size() * (16 + 9);
       flows += it.Batch.Flows.size();
     }
@@ -149,42 +149,42 @@
 
 // An owner died and we took its servers over blindly. A question about a flow
 // that we don't know must not be answered as if it could not live here.
-TEST(OwnerFlowsTest, FreshServerIsAGuessUntilItsTimeIsOver) {
-  OwnerBench bench(parts(4), 2);
-  FlowId flow = bench.flowRanked({2});
-  EXPECT_FALSE(bench.ask(flow).Fresh);
-  bench.Owner->setFreshUntil(serverId(2), bench.Now + ms(1000));
-  EXPECT_TRUE(bench.ask(flow).Fresh);
-  EXPECT_EQ(bench.ask(flow).Server, serverId(2));
-  bench.Now += ms(1000);
-  EXPECT_FALSE(bench.ask(flow).Fresh);
+TEST(OwnerFlowsTest, FreshServerIsPossibleUntilItsTimeout) {
+  OwnerHarness harness(makeView(4), 2);
+  FlowId flow = harness.flowRanked({2});
+  EXPECT_FALSE(harness.ask(flow).Fresh);
+  harness.Owner->setFreshUntil(serverId(2), harness.Now + ms(1000));
+  EXPECT_TRUE(harness.ask(flow).Fresh);
+  EXPECT_EQ(harness.ask(flow).Server, serverId(2));
+  harness.Now += ms(1000);
+  EXPECT_FALSE(harness.ask(flow).Fresh);
 }
 
 // A caller reads its map for ten minutes after the owner died. Its next packet
 // must still find a guess, or it is taken for a flow that lives nowhere.
 TEST(OwnerFlowsTest, TakenOverServerIsFreshForTheIdleTimeout) {
-  RoutingView view = parts(4);
+  RoutingView view = makeView(4);
   view.Services[Booking].Settings.FlowIdleTimeout = std::chrono::minutes(20);
-  OwnerBench bench(view, 2);
-  FlowId flow = bench.flowRanked({2});
-  bench.Owner->markTakenOver(bench.Now, serverId(2));
-  bench.Now += std::chrono::minutes(19);
-  EXPECT_TRUE(bench.ask(flow).Fresh);
-  bench.Now += std::chrono::minutes(1);
-  EXPECT_FALSE(bench.ask(flow).Fresh);
+  OwnerHarness harness(view, 2);
+  FlowId flow = harness.flowRanked({2});
+  harness.Owner->markTakenOver(harness.Now, serverId(2));
+  harness.Now += std::chrono::minutes(19);
+  EXPECT_TRUE(harness.ask(flow).Fresh);
+  harness.Now += std::chrono::minutes(1);
+  EXPECT_FALSE(harness.ask(flow).Fresh);
 }
 
-TEST(OwnerFlowsTest, HandOverLeavesNothingOpen) {
-  OwnerBench old(parts(4), 2);
+TEST(OwnerFlowsTest, HandOverTransfersAllFlows) {
+  OwnerHarness old(makeView(4), 2);
   FlowId here = old.flowRanked({2, 1});
   FlowId displaced = old.flowRanked({1, 2});
   FlowId elsewhere = old.flowRanked({2, 3});
   old.judge(here, true, 2);
   old.judge(displaced, true, 2);
   old.Owner->addFlows(old.Now, {Booking, {{elsewhere, serverId(3)}}});
-  RoutingView view = parts(4);
+  RoutingView view = makeView(4);
   serverIn(view, serverId(2)).Owner.Id = vmId(0);
-  OwnerBench next(view, 0);
+  OwnerHarness next(view, 0);
   next.Owner->setFreshUntil(serverId(2), next.Now + ms(1000));
   next.Owner->addFlows(next.Now, old.Owner->exportFlows(old.Now, serverId(2)));
   EXPECT_EQ(next.judge(displaced, false, 2).How, FlowVerdict::Known);
@@ -195,21 +195,21 @@
 // The old owner's hand-over overtakes the view that makes us the owner. The
 // flow must not be sent elsewhere, namely to us again.
 TEST(OwnerFlowsTest, HandOverMayComeBeforeTheView) {
-  OwnerBench bench(parts(4), 0);
-  bench.Owner->addFlows(bench.Now, {Booking, {{FlowId{5}, serverId(2)}}});
-  RoutingView view = parts(4);
+  OwnerHarness harness(makeView(4), 0);
+  harness.Owner->addFlows(harness.Now, {Booking, {{FlowId{5}, serverId(2)}}});
+  RoutingView view = makeView(4);
   serverIn(view, serverId(2)).Owner.Id = vmId(0);
-  bench.use(view, 0);
-  EXPECT_EQ(bench.judge(FlowId{5}, false, 2).How, FlowVerdict::Accepted);
-  EXPECT_EQ(bench.judge(FlowId{5}, false, 2).How, FlowVerdict::Known);
+  harness.setView(view, 0);
+  EXPECT_EQ(harness.judge(FlowId{5}, false, 2).How, FlowVerdict::Accepted);
+  EXPECT_EQ(harness.judge(FlowId{5}, false, 2).How, FlowVerdict::Known);
 }
 
-TEST(OwnerFlowsTest, DeletedServerIsNoHome) {
-  OwnerBench bench(parts(4), 0);
-  bench.Owner->addFlows(bench.Now, {Booking, {{FlowId{5}, serverId(3)}}});
-  EXPECT_EQ(bench.judge(FlowId{5}, false, 0).How, FlowVerdict::Elsewhere);
-  bench.use(parts(3), 0);
-  EXPECT_EQ(bench.judge(FlowId{5}, false, 0).How, FlowVerdict::Unknown);
+TEST(OwnerFlowsTest, FlowOfADeletedServerIsUnknown) {
+  OwnerHarness harness(makeView(4), 0);
+  harness.Owner->addFlows(harness.Now, {Booking, {{FlowId{5}, serverId(3)}}});
+  EXPECT_EQ(harness.judge(FlowId{5}, false, 0).How, FlowVerdict::Elsewhere);
+  harness.setView(makeView(3), 0);
+  EXPECT_EQ(harness.judge(FlowId{5}, false, 0).How, FlowVerdict::Unknown);
 }
 
 } // namespace
--- a/UnitTests/Flows/RouterHelp.h
+++ b/UnitTests/Flows/RouterHarness.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_UNITTESTS_FLOWS_ROUTERHELP_H
-#define BALSAMRACK_UNITTESTS_FLOWS_ROUTERHELP_H
+#ifndef BALSAMRACK_UNITTESTS_FLOWS_ROUTERHARNESS_H
+#define BALSAMRACK_UNITTESTS_FLOWS_ROUTERHARNESS_H
 
 #include <string>
 #include <utility>
@@ -23,7 +23,7 @@
 }
 
 /// A view of one service: server i stands in domain i and vm i owns it.
-inline RoutingView parts(size_t servers, size_t vms = 0) {
+inline RoutingView makeView(size_t servers, size_t vms = 0) {
   RoutingView v;
   v.Ticket = TicketNumber{10};
   v.Self = {vmId(0), DomainId("d-0"), {}, false};
@@ -45,16 +45,16 @@
 }
 
 /// A router under a view, with its actions by kind.
-class RouterBench {
+class RouterHarness {
 public:
-  explicit RouterBench(const RoutingView &view,
-                       const EntrySettings &settings = {})
+  explicit RouterHarness(const RoutingView &view,
+                         const EntrySettings &settings = {})
       : Settings(settings), Router(*EntryRouter::create(settings, 1)) {
-    use(view);
+    setView(view);
   }
 
   /// Puts a view into force.
-  void use(const RoutingView &view) {
+  void setView(const RoutingView &view) {
     View = *RoutingView::create(view);
     step(ViewChanged{View});
   }
@@ -145,4 +145,4 @@
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_UNITTESTS_FLOWS_ROUTERHELP_H
+#endif // BALSAMRACK_UNITTESTS_FLOWS_ROUTERHARNESS_H
