--- a/Balsamrack/Daemon/Daemon.cpp
+++ b/Balsamrack/Daemon/Daemon.cpp
@@ -37,10 +37,10 @@
 EntryPartSettings entryOf(const Settings &values, uint64_t seed) {
   EntryPartSettings settings;
   settings.Router.TokenKey = values.Peers.FleetKey;
-  settings.Router.GuardianCount = values.Keys.Guardians;
+  settings.Router.KeyReplicaCount = values.Keys.Guardians;
   settings.Router.KeyMemory = values.Keys.Memory;
   settings.Router.AssumeNoEarlierKeys = values.Keys.AssumeNoEarlierKeysAtStart;
-  settings.Router.WhenCut = values.Keys.WhenCut;
+  settings.Router.OnUnreachableReplica = values.Keys.WhenCut;
   settings.PortOffset = values.Callers.PortOffset;
   settings.MaxInProgress = values.Callers.MaxInProgress;
   settings.Seed = seed;
@@ -105,12 +105,12 @@
   if (!ownerFlows.ok())
     return ownerFlows.status();
   Flows = std::move(*ownerFlows);
-  KeyGuardSettings keys;
-  keys.GuardianCount = Values.Keys.Guardians;
+  KeyStoreSettings keys;
+  keys.KeyReplicaCount = Values.Keys.Guardians;
   keys.KeyMemory = Values.Keys.Memory;
   keys.AssumeNoEarlierKeys = Values.Keys.AssumeNoEarlierKeysAtStart;
   keys.MaxKeys = Values.Keys.MaxKeys;
-  auto guard = KeyGuard::create(keys, Time.now());
+  auto guard = KeyStore::create(keys, Time.now());
   if (!guard.ok())
     return guard.status();
   Keys = std::move(*guard);
@@ -296,7 +296,7 @@
 }
 
 void Daemon::sendExceptions(TimePoint now) {
-  for (ExceptionBatch &it : Flows->takeBatch(now, ExceptionBytes))
+  for (ExceptionBatch &it : Flows->dequeueBatches(now, ExceptionBytes))
     send(it.To, std::move(it.Batch)).IgnoreError();
 }
 
@@ -304,13 +304,13 @@
   const auto view = Control->view();
   if (!view)
     return;
-  GuardianView others = view->Guardians;
+  KeyReplicaView others = view->KeyReplicas;
   others.Members.erase(
       std::remove_if(others.Members.begin(), others.Members.end(),
                      [&](const EntryVm &it) { return it.Id == Self.Id; }),
       others.Members.end());
   for (auto &it :
-       Keys->handOver(Time.now(), others, Self.Id, Run, KeysPerMessage))
+       Keys->exportKeys(Time.now(), others, Self.Id, Run, KeysPerMessage))
     send(it.To, std::move(it.Batch)).IgnoreError();
 }
 
@@ -372,22 +372,23 @@
   } else if (const auto *it = std::get_if<CancelRequest>(&message)) {
     Owner->onCancel(it->Request);
   } else if (const auto *it = std::get_if<FlowQuestion>(&message)) {
-    send(from, Flows->answer(Time.now(), *it)).IgnoreError();
+    send(from, Flows->answerQuestion(Time.now(), *it)).IgnoreError();
   } else if (const auto *it = std::get_if<FlowReply>(&message)) {
     Entry->onFlowReply(from.Id, *it);
   } else if (const auto *it = std::get_if<FlowExceptions>(&message)) {
-    Flows->learn(Time.now(), *it);
+    Flows->addFlows(Time.now(), *it);
   } else if (const auto *it = std::get_if<KeyClaim>(&message)) {
     const auto view = Control->view();
-    send(from, Keys->claim(Time.now(), *it,
-                           view ? view->Guardians : GuardianView(), Self.Id))
+    send(from,
+         Keys->claim(Time.now(), *it,
+                     view ? view->KeyReplicas : KeyReplicaView(), Self.Id))
         .IgnoreError();
   } else if (const auto *it = std::get_if<KeyReply>(&message)) {
     Entry->onKeyReply(from.Id, *it);
   } else if (const auto *it = std::get_if<KeySettled>(&message)) {
     Keys->settle(Time.now(), *it);
   } else if (const auto *it = std::get_if<KeysHandedOver>(&message)) {
-    Keys->learn(Time.now(), *it);
+    Keys->importKeys(Time.now(), *it);
   } else {
     Control->onMessage(from, message);
   }
@@ -407,10 +408,10 @@
 void Daemon::onOwned(const OwnedServers &owned) { Owner->setOwned(owned); }
 
 uint32_t Daemon::onLost(const ServerId &server, const EntryVm &newOwner) {
-  const FlowExceptions flows = Flows->handOver(Time.now(), server);
+  const FlowExceptions flows = Flows->exportFlows(Time.now(), server);
   if (!newOwner.Id.empty() && !flows.Flows.empty())
     send(newOwner, flows).IgnoreError();
-  Flows->dropServer(server);
+  Flows->removeServer(server);
   return Owner->inProgressAt(server);
 }
 
@@ -418,7 +419,7 @@
   // After a hand-over too: flows may have been bound after it was written.
   // Without this a flow's packet was answered "elsewhere" by the very owner of
   // its server, and accepted by another.
-  Flows->takenOver(Time.now(), server);
+  Flows->markTakenOver(Time.now(), server);
 }
 
 void Daemon::onSuperseded() {
