--- a/Balsamrack/Daemon/ControlPart.cpp
+++ b/Balsamrack/Daemon/ControlPlane.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Daemon/ControlPart.h"
+#include "Balsamrack/Daemon/ControlPlane.h"
 
 #include <algorithm>
 
@@ -13,9 +13,9 @@
 /// is gathered for this long. Changes of configuration don't wait.
 constexpr Duration ViewPeriod{50'000};
 /// A peer that holds more is asked no more often than this.
-constexpr Duration AskStatePeriod{200'000};
+constexpr Duration StateRequestPeriod{200'000};
 /// Earlier server sets whose first candidates may still hold flows.
-constexpr size_t EarlierSets = 3;
+constexpr size_t MaxEarlierServerSets = 3;
 /// Well below the largest frame, so that control stays in small pieces.
 constexpr size_t StateMessageBytes = size_t{64} * 1024;
 
@@ -42,12 +42,12 @@
 
 } // namespace
 
-absl::StatusOr<std::unique_ptr<ControlPart>>
-ControlPart::create(const ControlSettings &settings, const Clock &clock,
-                    ConfigurationStore &store, OwnershipFence &fence,
-                    PeerSender &sender, Telemetry &telemetry,
-                    ControlListener &listener) {
-  std::unique_ptr<ControlPart> part(new ControlPart(
+absl::StatusOr<std::unique_ptr<ControlPlane>>
+ControlPlane::create(const ControlSettings &settings, const Clock &clock,
+                     ConfigurationStore &store, OwnershipFence &fence,
+                     PeerSender &sender, Telemetry &telemetry,
+                     ControlListener &listener) {
+  std::unique_ptr<ControlPlane> part(new ControlPlane(
       settings, clock, store, fence, sender, telemetry, listener));
   auto members = Membership::create(settings.Membership, settings.Self,
                                     settings.Run, settings.Seed);
@@ -68,14 +68,14 @@
   return part;
 }
 
-ControlPart::ControlPart(const ControlSettings &settings, const Clock &clock,
-                         ConfigurationStore &store, OwnershipFence &fence,
-                         PeerSender &sender, Telemetry &telemetry,
-                         ControlListener &listener)
+ControlPlane::ControlPlane(const ControlSettings &settings, const Clock &clock,
+                           ConfigurationStore &store, OwnershipFence &fence,
+                           PeerSender &sender, Telemetry &telemetry,
+                           ControlListener &listener)
     : Settings(settings), Time(clock), Store(store), Fence(fence),
-      Sender(sender), Watch(telemetry), Listener(listener) {}
+      Sender(sender), TelemetrySink(telemetry), Listener(listener) {}
 
-bool ControlPart::onMessage(const EntryVm &from, const PeerMessage &message) {
+bool ControlPlane::onMessage(const EntryVm &from, const PeerMessage &message) {
   {
     std::lock_guard<std::mutex> guard(Lock);
     const TimePoint now = Time.now();
@@ -101,12 +101,12 @@
   if (const auto *update = std::get_if<StateUpdate>(&message))
     onObjects(update->Objects, from.Id.str());
   else
-    settle();
+    applyChanges();
   return true;
 }
 
-void ControlPart::onObjects(const std::vector<ObjectState> &objects,
-                            const std::string &from) {
+void ControlPlane::onObjects(const std::vector<ObjectState> &objects,
+                             const std::string &from) {
   {
     std::lock_guard<std::mutex> guard(Lock);
     const auto merged = Store.merge(objects);
@@ -120,27 +120,27 @@
                                      " objects into force");
       decision.AtStep = stepName(Step::CheckTicket);
       decision.AtPeer = from;
-      Watch.decided(std::move(decision));
-      Watch.log(Part::Reader, Severity::Info,
-                absl::StrCat("Ticket ", merged.View->highest().Value,
-                             " is in force, by ", from, "."));
+      TelemetrySink.recordDecision(std::move(decision));
+      TelemetrySink.log(Part::Reader, Severity::Info,
+                        absl::StrCat("Ticket ", merged.View->highest().Value,
+                                     " is in force, by ", from, "."));
       configurationChanged(Time.now());
     }
   }
-  settle();
+  applyChanges();
 }
 
-void ControlPart::onVmList(const std::vector<EntryVm> &vms) {
+void ControlPlane::onVmList(const std::vector<EntryVm> &vms) {
   {
     std::lock_guard<std::mutex> guard(Lock);
     const TimePoint now = Time.now();
     stepMembership(now, PlatformList{vms});
     stepOwnership(now, ListedPeers{Members->listedDomainPeers()});
   }
-  settle();
+  applyChanges();
 }
 
-void ControlPart::onCondition(ServerCondition condition) {
+void ControlPlane::onCondition(ServerCondition condition) {
   std::lock_guard<std::mutex> guard(Lock);
   // The run goes before the owner's own count, so that a later owner's word
   // wins over an earlier one's.
@@ -151,33 +151,33 @@
   stepMembership(Time.now(), ConditionLearned{condition});
 }
 
-void ControlPart::tick(TimePoint now) {
+void ControlPlane::tick(TimePoint now) {
   {
     std::lock_guard<std::mutex> guard(Lock);
     Fence.ticked(now);
     const auto due = Members->nextWakeup();
     if (!due || *due <= now)
       stepMembership(now, MembershipTicked{});
-    noteExpiry(now);
+    handleLeaseExpiry(now);
     stepOwnership(now, OwnershipTicked{});
   }
-  settle();
+  applyChanges();
 }
 
-void ControlPart::noteExpiry(TimePoint now) {
-  if (ExpiryToEnd || Fence.state(now) != AuthorityState::Renewed)
+void ControlPlane::handleLeaseExpiry(TimePoint now) {
+  if (ExpiryToClear || Fence.state(now) != AuthorityState::Renewed)
     return;
   // Whatever was owned may have another owner by now: win it anew. The fence
   // stays closed until applyOwned() has taken it from the owner part, which
   // would otherwise dispatch to it once more.
-  ExpiryToEnd = Fence.expiries();
-  Watch.log(Part::Membership, Severity::Warning,
-            "Authority had expired. All ownership is won anew.");
+  ExpiryToClear = Fence.expiries();
+  TelemetrySink.log(Part::Membership, Severity::Warning,
+                    "Authority had expired. All ownership is won anew.");
   stepOwnership(now, AuthorityExpired{});
   OwnedChanged = true;
 }
 
-void ControlPart::beginLeave() {
+void ControlPlane::beginLeave() {
   {
     std::lock_guard<std::mutex> guard(Lock);
     Leaving = true;
@@ -185,10 +185,10 @@
     stepMembership(now, MembershipLeaving{});
     membersChanged(now);
   }
-  settle();
+  applyChanges();
 }
 
-bool ControlPart::released() const {
+bool ControlPlane::isReleased() const {
   std::lock_guard<std::mutex> guard(Lock);
   // The last daemon of its domain has nobody to hand over to.
   bool handedOver =
@@ -196,20 +196,20 @@
   return handedOver && Losses.empty() && Outbox.empty();
 }
 
-void ControlPart::finishLeave() {
+void ControlPlane::finishLeave() {
   {
     std::lock_guard<std::mutex> guard(Lock);
     stepMembership(Time.now(), MembershipLeft{});
   }
-  settle();
+  applyChanges();
 }
 
-std::shared_ptr<const RoutingView> ControlPart::view() const {
+std::shared_ptr<const RoutingView> ControlPlane::view() const {
   std::lock_guard<std::mutex> guard(Lock);
   return View;
 }
 
-ControlReport ControlPart::report(TimePoint now) const {
+ControlReport ControlPlane::report(TimePoint now) const {
   std::lock_guard<std::mutex> guard(Lock);
   ControlReport report;
   report.Members = Members->members();
@@ -223,13 +223,13 @@
   return report;
 }
 
-void ControlPart::stepMembership(TimePoint now, const MembershipEvent &event) {
+void ControlPlane::stepMembership(TimePoint now, const MembershipEvent &event) {
   for (const MembershipAction &it : Members->step(now, event))
     onMembershipAction(now, it);
 }
 
-void ControlPart::onMembershipAction(TimePoint now,
-                                     const MembershipAction &action) {
+void ControlPlane::onMembershipAction(TimePoint now,
+                                      const MembershipAction &action) {
   if (const auto *send = std::get_if<SendTo>(&action)) {
     std::visit(
         [&](const auto &content) { Outbox.emplace_back(send->To, content); },
@@ -237,8 +237,8 @@
   } else if (std::get_if<MemberChanged>(&action)) {
     membersChanged(now);
   } else if (const auto *newer = std::get_if<PeerHasNewer>(&action)) {
-    TimePoint &asked = AskedAt[newer->Peer.Id];
-    if (now - asked >= AskStatePeriod) {
+    TimePoint &asked = StateRequestedAt[newer->Peer.Id];
+    if (now - asked >= StateRequestPeriod) {
       asked = now;
       Outbox.emplace_back(newer->Peer, Store.request());
     }
@@ -249,24 +249,24 @@
   } else if (std::get_if<HeldForDead>(&action)) {
     stepOwnership(now, AuthorityExpired{});
   } else if (std::get_if<Superseded>(&action)) {
-    Watch.log(Part::Membership, Severity::Error,
-              "A later run of this VM is there. This one ends.");
+    TelemetrySink.log(Part::Membership, Severity::Error,
+                      "A later run of this VM is there. This one ends.");
     stepOwnership(now, AuthorityExpired{});
     IsSuperseded = true;
   } else if (const auto *explain = std::get_if<Explain>(&action)) {
-    Watch.decided(explain->What);
+    TelemetrySink.recordDecision(explain->What);
   }
 }
 
-void ControlPart::membersChanged(TimePoint now) {
+void ControlPlane::membersChanged(TimePoint now) {
   Fence.peersChanged(Members->liveDomainPeers(), now);
   stepOwnership(now, MembersChanged{Members->members()});
   ViewStale = true;
 }
 
-void ControlPart::configurationChanged(TimePoint now) {
+void ControlPlane::configurationChanged(TimePoint now) {
   const auto view = Store.view();
-  rememberServers(*view);
+  recordServerSets(*view);
   DomainServersChanged servers;
   for (const BackendServer *it : view->serversIn(Settings.Self.Domain))
     servers.Servers.push_back(it->Id);
@@ -274,30 +274,30 @@
   stepOwnership(now, servers);
   OwnedChanged = true;
   ViewStale = true;
-  ViewAt = TimePoint();
+  ViewBuiltAt = TimePoint();
 }
 
-void ControlPart::rememberServers(const ConfigurationView &view) {
+void ControlPlane::recordServerSets(const ConfigurationView &view) {
   for (const auto &[id, service] : view.services()) {
     std::vector<RankedServer> now = rankedServers(view.serversOf(id));
-    auto &sets = Earlier[id];
+    auto &sets = EarlierServerSets[id];
     if (!sets.empty() && sets.front() == now)
       continue;
     sets.push_front(std::move(now));
-    if (sets.size() > EarlierSets + 1)
+    if (sets.size() > MaxEarlierServerSets + 1)
       sets.pop_back();
   }
 }
 
-void ControlPart::stepOwnership(TimePoint now, const OwnershipEvent &event) {
+void ControlPlane::stepOwnership(TimePoint now, const OwnershipEvent &event) {
   for (const OwnershipAction &it : Ownership->step(now, event))
     onOwnershipAction(it);
 }
 
-void ControlPart::onOwnershipAction(const OwnershipAction &action) {
+void ControlPlane::onOwnershipAction(const OwnershipAction &action) {
   if (const auto *gain = std::get_if<Gain>(&action)) {
     Gains[gain->Server] = *gain;
-    Gained.push_back(gain->Server);
+    GainedServers.push_back(gain->Server);
     OwnedChanged = ViewStale = true;
   } else if (const auto *lose = std::get_if<Lose>(&action)) {
     Gains.erase(lose->Server);
@@ -306,11 +306,11 @@
   } else if (const auto *send = std::get_if<SendHandOver>(&action)) {
     Outbox.emplace_back(send->To, send->Message);
   } else if (const auto *explain = std::get_if<Explain>(&action)) {
-    Watch.decided(explain->What);
+    TelemetrySink.recordDecision(explain->What);
   }
 }
 
-OwnedServers ControlPart::ownedServers() const {
+OwnedServers ControlPlane::ownedServers() const {
   const auto view = Store.view();
   OwnedServers owned;
   for (const auto &[id, gain] : Gains) {
@@ -328,8 +328,8 @@
   return owned;
 }
 
-EntryVm ControlPart::ownerOf(const BackendServer &server,
-                             const OwnershipMap &map) const {
+EntryVm ControlPlane::ownerOf(const BackendServer &server,
+                              const OwnershipMap &map) const {
   // In the own domain ownership itself is known, which lags behind the map
   // while a server is handed over.
   if (Ownership->owns(server.Id))
@@ -342,9 +342,9 @@
   return map.ownerOf(server.Id, server.Domain).value_or(EntryVm());
 }
 
-RoutedServer ControlPart::routed(const BackendServer &server,
-                                 const ConfigurationView &view,
-                                 const OwnershipMap &map) const {
+RoutedServer ControlPlane::routeTo(const BackendServer &server,
+                                   const ConfigurationView &view,
+                                   const OwnershipMap &map) const {
   RoutedServer route;
   route.Server = server;
   route.DomainInService = view.domainInService(server.Domain);
@@ -356,7 +356,7 @@
   return route;
 }
 
-GuardianView ControlPart::guardians(TimePoint now) const {
+GuardianView ControlPlane::guardians(TimePoint now) const {
   GuardianView view;
   for (const auto &[id, member] : Members->members()) {
     if (member.Record.State == MemberState::Dead ||
@@ -371,7 +371,7 @@
 }
 
 absl::StatusOr<std::shared_ptr<const RoutingView>>
-ControlPart::buildView(TimePoint now) {
+ControlPlane::buildView(TimePoint now) {
   const auto configuration = Store.view();
   RoutingView view;
   view.Ticket = configuration->highest();
@@ -382,15 +382,15 @@
     ServiceRoute &route = view.Services[id];
     route.Settings = service;
     for (const BackendServer *it : configuration->serversOf(id))
-      route.Servers.push_back(routed(*it, *configuration, map));
-    const auto sets = Earlier.find(id);
-    if (sets != Earlier.end() && sets->second.size() > 1)
+      route.Servers.push_back(routeTo(*it, *configuration, map));
+    const auto sets = EarlierServerSets.find(id);
+    if (sets != EarlierServerSets.end() && sets->second.size() > 1)
       route.EarlierServers.assign(sets->second.begin() + 1, sets->second.end());
   }
   return RoutingView::create(std::move(view));
 }
 
-void ControlPart::settle() {
+void ControlPlane::applyChanges() {
   // Ownership is applied before anything is sent, and by one thread at a time:
   // a message that tells others that this daemon lives, or that it releases a
   // server, must not leave while something may still be dispatched to it.
@@ -404,7 +404,7 @@
       std::lock_guard<std::mutex> guard(Lock);
       superseded = std::exchange(IsSuperseded, false);
       owned = OwnedChanged;
-      view = ViewStale && Time.now() - ViewAt >= ViewPeriod;
+      view = ViewStale && Time.now() - ViewBuiltAt >= ViewPeriod;
       if (!owned)
         outbox.swap(Outbox);
     }
@@ -415,7 +415,7 @@
     for (auto &[to, message] : outbox) {
       const absl::Status status = Sender.send(to, std::move(message));
       if (!status.ok())
-        Watch.log(Part::Membership, Severity::Debug, describe(status));
+        TelemetrySink.log(Part::Membership, Severity::Debug, describe(status));
     }
     if (view)
       applyView();
@@ -424,7 +424,7 @@
   }
 }
 
-void ControlPart::applyOwned() {
+void ControlPlane::applyOwned() {
   OwnedServers owned;
   std::vector<Lose> losses;
   std::vector<ServerId> gained;
@@ -432,10 +432,10 @@
   {
     std::lock_guard<std::mutex> guard(Lock);
     OwnedChanged = false;
-    expiry = std::exchange(ExpiryToEnd, std::nullopt);
+    expiry = std::exchange(ExpiryToClear, std::nullopt);
     owned = ownedServers();
     losses.swap(Losses);
-    gained.swap(Gained);
+    gained.swap(GainedServers);
   }
   for (const ServerId &it : gained)
     Listener.onGained(it);
@@ -456,15 +456,15 @@
   }
 }
 
-void ControlPart::applyView() {
+void ControlPlane::applyView() {
   std::shared_ptr<const RoutingView> view;
   {
     std::lock_guard<std::mutex> guard(Lock);
     ViewStale = false;
-    ViewAt = Time.now();
-    auto built = buildView(ViewAt);
+    ViewBuiltAt = Time.now();
+    auto built = buildView(ViewBuiltAt);
     if (!built.ok()) {
-      Watch.failed(Part::Daemon, built.status());
+      TelemetrySink.recordError(Part::Daemon, built.status());
       return;
     }
     View = view = std::move(*built);
--- a/Balsamrack/Daemon/ControlPart.h
+++ b/Balsamrack/Daemon/ControlPlane.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_DAEMON_CONTROLPART_H
-#define BALSAMRACK_DAEMON_CONTROLPART_H
+#ifndef BALSAMRACK_DAEMON_CONTROLPLANE_H
+#define BALSAMRACK_DAEMON_CONTROLPLANE_H
 
 #include <deque>
 #include <functional>
@@ -12,7 +12,7 @@
 
 #include "Balsamrack/Configuration/ConfigurationStore.h"
 #include "Balsamrack/Core/Time.h"
-#include "Balsamrack/Daemon/OwnerPart.h"
+#include "Balsamrack/Daemon/OwnerDispatcher.h"
 #include "Balsamrack/Daemon/PeerSender.h"
 #include "Balsamrack/Daemon/Telemetry.h"
 #include "Balsamrack/Flows/RoutingView.h"
@@ -63,11 +63,11 @@
 };
 
 /// Membership, ownership and configuration of one daemon under one lock.
-class ControlPart {
+class ControlPlane {
 public:
   /// Precondition: all references outlive the result. Error kInvalidArgument
   /// for settings out of range. Thread-safe.
-  static absl::StatusOr<std::unique_ptr<ControlPart>>
+  static absl::StatusOr<std::unique_ptr<ControlPlane>>
   create(const ControlSettings &settings, const Clock &clock,
          ConfigurationStore &store, OwnershipFence &fence, PeerSender &sender,
          Telemetry &telemetry, ControlListener &listener);
@@ -87,7 +87,7 @@
   /// Begins a graceful leave: others take over what is owned. Thread-safe.
   void beginLeave();
   /// True when nothing is owned that another daemon could take. Thread-safe.
-  bool released() const;
+  bool isReleased() const;
   /// Announces that it leaves. Precondition: released(). Thread-safe.
   void finishLeave();
 
@@ -97,10 +97,10 @@
   ControlReport report(TimePoint now) const;
 
 private:
-  ControlPart(const ControlSettings &settings, const Clock &clock,
-              ConfigurationStore &store, OwnershipFence &fence,
-              PeerSender &sender, Telemetry &telemetry,
-              ControlListener &listener);
+  ControlPlane(const ControlSettings &settings, const Clock &clock,
+               ConfigurationStore &store, OwnershipFence &fence,
+               PeerSender &sender, Telemetry &telemetry,
+               ControlListener &listener);
 
   // All of these are called with the lock held.
   void stepMembership(TimePoint now, const MembershipEvent &event);
@@ -109,26 +109,26 @@
   void onOwnershipAction(const OwnershipAction &action);
   void membersChanged(TimePoint now);
   void configurationChanged(TimePoint now);
-  void noteExpiry(TimePoint now);
-  void rememberServers(const ConfigurationView &view);
+  void handleLeaseExpiry(TimePoint now);
+  void recordServerSets(const ConfigurationView &view);
   OwnedServers ownedServers() const;
   absl::StatusOr<std::shared_ptr<const RoutingView>> buildView(TimePoint now);
   EntryVm ownerOf(const BackendServer &server, const OwnershipMap &map) const;
-  RoutedServer routed(const BackendServer &server,
-                      const ConfigurationView &view,
-                      const OwnershipMap &map) const;
+  RoutedServer routeTo(const BackendServer &server,
+                       const ConfigurationView &view,
+                       const OwnershipMap &map) const;
   GuardianView guardians(TimePoint now) const;
 
-  void settle();     ///< Called without any lock.
-  void applyOwned(); ///< Called with ApplyLock.
-  void applyView();  ///< Called with ApplyLock.
+  void applyChanges(); ///< Called without any lock.
+  void applyOwned();   ///< Called with ApplyLock.
+  void applyView();    ///< Called with ApplyLock.
 
   const ControlSettings Settings;
   const Clock &Time;
   ConfigurationStore &Store;
   OwnershipFence &Fence;
   PeerSender &Sender;
-  Telemetry &Watch;
+  Telemetry &TelemetrySink;
   ControlListener &Listener;
 
   std::mutex ApplyLock;    ///< One application at a time; taken before Lock.
@@ -138,21 +138,22 @@
   std::map<ServerId, Gain> Gains; ///< How each owned server came.
   std::map<ServerId, ServerCondition> Conditions; ///< Newest of owned servers.
   std::vector<Lose> Losses;                       ///< Not applied yet.
-  std::vector<ServerId> Gained;                   ///< Not told yet.
+  std::vector<ServerId> GainedServers;            ///< Not told yet.
   std::vector<std::pair<EntryVm, PeerMessage>> Outbox; ///< Not sent yet.
   std::map<ServiceId, std::deque<std::vector<RankedServer>>>
-      Earlier;                       ///< Server sets, newest first.
-  std::map<VmId, TimePoint> AskedAt; ///< Last StateRequest to each peer.
+      EarlierServerSets; ///< Server sets, newest first.
+  std::map<VmId, TimePoint>
+      StateRequestedAt; ///< Last StateRequest to each peer.
   std::shared_ptr<const RoutingView> View;
   bool OwnedChanged = false; ///< applyOwned is due.
   bool ViewStale = true;     ///< applyView is due.
-  TimePoint ViewAt;          ///< When the view was last built.
+  TimePoint ViewBuiltAt;     ///< When the view was last built.
   bool Leaving = false;
-  bool IsSuperseded = false;           ///< Not told yet.
-  std::optional<uint64_t> ExpiryToEnd; ///< Fence.restart() is due after
-                                       ///< applyOwned().
+  bool IsSuperseded = false;             ///< Not told yet.
+  std::optional<uint64_t> ExpiryToClear; ///< Fence.restart() is due after
+                                         ///< applyOwned().
 };
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_DAEMON_CONTROLPART_H
+#endif // BALSAMRACK_DAEMON_CONTROLPLANE_H
--- a/Balsamrack/Daemon/Daemon.cpp
+++ b/Balsamrack/Daemon/Daemon.cpp
@@ -27,15 +27,15 @@
 constexpr size_t KeysPerMessage = 500;
 
 /// Rises with each start on the same VM, as long as its wall clock does.
-Incarnation thisRun() {
+Incarnation newIncarnation() {
   return Incarnation{static_cast<uint64_t>(
       std::chrono::duration_cast<std::chrono::microseconds>(
           std::chrono::system_clock::now().time_since_epoch())
           .count())};
 }
 
-EntryPartSettings entryOf(const Settings &values, uint64_t seed) {
-  EntryPartSettings settings;
+EntryHandlerSettings entrySettingsOf(const Settings &values, uint64_t seed) {
+  EntryHandlerSettings settings;
   settings.Router.TokenKey = values.Peers.FleetKey;
   settings.Router.GuardianCount = values.Keys.Guardians;
   settings.Router.KeyMemory = values.Keys.Memory;
@@ -52,23 +52,23 @@
 absl::StatusOr<std::unique_ptr<Daemon>> Daemon::create(const Settings &settings,
                                                        const Clock &clock) {
   std::unique_ptr<Daemon> daemon(new Daemon(settings, clock));
-  absl::Status status = daemon->openRecords();
+  absl::Status status = daemon->openObservability();
   if (status.ok())
-    status = daemon->createMemory();
+    status = daemon->createStores();
   if (status.ok())
-    status = daemon->createParts();
+    status = daemon->createComponents();
   if (status.ok())
     status = daemon->openPorts();
   if (status.ok())
-    status = daemon->startReading();
+    status = daemon->startThreads();
   if (!status.ok())
     return status;
   return daemon;
 }
 
 Daemon::Daemon(const Settings &settings, const Clock &clock)
-    : Values(settings), Time(clock), Self(settings.self()), Run(thisRun()),
-      Seed(combineHash(Values.Vm.hash(), Run.Value)) {}
+    : Config(settings), Time(clock), Self(settings.self()),
+      Run(newIncarnation()), Seed(combineHash(Config.Vm.hash(), Run.Value)) {}
 
 Daemon::~Daemon() {
   // Without a reader the start failed early, and nothing runs that others know.
@@ -76,15 +76,16 @@
     shutDown();
 }
 
-absl::Status Daemon::openRecords() {
-  auto watch = Witness::create(Values.Observability, Values.Vm, Time, Seed);
+absl::Status Daemon::openObservability() {
+  auto watch =
+      DaemonTelemetry::create(Config.Observability, Config.Vm, Time, Seed);
   if (!watch.ok())
     return watch.status();
-  Watch = std::move(*watch);
-  const ObservabilitySettings &observe = Values.Observability;
+  TelemetrySink = std::move(*watch);
+  const ObservabilitySettings &observe = Config.Observability;
   if (!observe.RecordFile.empty()) {
     auto record = Recorder::create(observe.RecordFile, observe.RecordMaxBytes,
-                                   Values.Peers.FleetKey);
+                                   Config.Peers.FleetKey);
     if (!record.ok())
       return record.status();
     Record = std::move(*record);
@@ -92,24 +93,24 @@
   return absl::OkStatus();
 }
 
-absl::Status Daemon::createMemory() {
+absl::Status Daemon::createStores() {
   Store = ConfigurationStore::create();
-  auto fence = OwnershipFence::create(Values.Timing, Time.now());
+  auto fence = OwnershipFence::create(Config.Timing, Time.now());
   if (!fence.ok())
     return fence.status();
   Fence = std::move(*fence);
   OwnerFlowsSettings flows;
-  flows.Flows.MaxFlows = Values.MaxFlows;
-  flows.Exceptions.MaxFlows = Values.MaxFlows;
+  flows.Flows.MaxFlows = Config.MaxFlows;
+  flows.Exceptions.MaxFlows = Config.MaxFlows;
   auto ownerFlows = OwnerFlows::create(flows);
   if (!ownerFlows.ok())
     return ownerFlows.status();
   Flows = std::move(*ownerFlows);
   KeyGuardSettings keys;
-  keys.GuardianCount = Values.Keys.Guardians;
-  keys.KeyMemory = Values.Keys.Memory;
-  keys.AssumeNoEarlierKeys = Values.Keys.AssumeNoEarlierKeysAtStart;
-  keys.MaxKeys = Values.Keys.MaxKeys;
+  keys.GuardianCount = Config.Keys.Guardians;
+  keys.KeyMemory = Config.Keys.Memory;
+  keys.AssumeNoEarlierKeys = Config.Keys.AssumeNoEarlierKeysAtStart;
+  keys.MaxKeys = Config.Keys.MaxKeys;
   auto guard = KeyGuard::create(keys, Time.now());
   if (!guard.ok())
     return guard.status();
@@ -117,37 +118,38 @@
   return absl::OkStatus();
 }
 
-absl::Status Daemon::createParts() {
+absl::Status Daemon::createComponents() {
   ServerLinkSettings link;
-  link.MaxDispatches = Values.ServerThreads;
-  link.ConnectTimeout = Values.ServerConnectTimeout;
+  link.MaxDispatches = Config.ServerThreads;
+  link.ConnectTimeout = Config.ServerConnectTimeout;
   link.MayLeave = [this] { return Fence->mayDispatch(Time.now()); };
   auto servers = createHttpServerLink(link);
   if (!servers.ok())
     return servers.status();
   Servers = std::move(*servers);
-  OwnerPartSettings owner;
-  owner.HealthPeriod = Values.HealthPeriod;
+  OwnerDispatcherSettings owner;
+  owner.HealthPeriod = Config.HealthPeriod;
   owner.Seed = Seed;
   owner.Record = Record.get();
-  Owner = std::make_unique<OwnerPart>(
-      owner, Time, *Fence, *Flows, *Servers, *this, *Watch,
+  Owner = std::make_unique<OwnerDispatcher>(
+      owner, Time, *Fence, *Flows, *Servers, *this, *TelemetrySink,
       [this](const ServerCondition &it) { Control->onCondition(it); });
-  EntryPartSettings packets = entryOf(Values, Seed);
+  EntryHandlerSettings packets = entrySettingsOf(Config, Seed);
   packets.Record = Record.get();
-  auto entry = EntryPart::create(packets, Time, *Store, *this, *Watch);
+  auto entry =
+      EntryHandler::create(packets, Time, *Store, *this, *TelemetrySink);
   if (!entry.ok())
     return entry.status();
   Entry = std::move(*entry);
   ControlSettings control;
-  control.Membership = Values.Timing;
+  control.Membership = Config.Timing;
   control.Self = Self;
   control.Run = Run;
-  control.Seeds = Values.Peers.Seeds;
-  control.KeyMemory = Values.Keys.Memory;
+  control.Seeds = Config.Peers.Seeds;
+  control.KeyMemory = Config.Keys.Memory;
   control.Seed = Seed;
-  auto made =
-      ControlPart::create(control, Time, *Store, *Fence, *this, *Watch, *this);
+  auto made = ControlPlane::create(control, Time, *Store, *Fence, *this,
+                                   *TelemetrySink, *this);
   if (!made.ok())
     return made.status();
   Control = std::move(*made);
@@ -157,64 +159,65 @@
 absl::Status Daemon::openPorts() {
   // Before peers can be heard: their updates open callers' ports.
   CallerPortSettings callers;
-  callers.Ip = Values.Callers.Ip;
-  callers.MaxBodyBytes = Values.Callers.MaxBodyBytes;
-  callers.MaxHeaderBytes = Values.Callers.MaxHeaderBytes;
+  callers.Ip = Config.Callers.Ip;
+  callers.MaxBodyBytes = Config.Callers.MaxBodyBytes;
+  callers.MaxHeaderBytes = Config.Callers.MaxHeaderBytes;
   auto callerSide = CallerPort::create(callers, {}, *Entry);
   if (!callerSide.ok())
     return callerSide.status();
-  CallerSide = std::move(*callerSide);
+  CallerListener = std::move(*callerSide);
   PeerTransportSettings peers;
-  peers.Listen = Values.Peers.Listen;
+  peers.Listen = Config.Peers.Listen;
   peers.Self = Self;
   peers.Run = Run;
-  peers.FleetKey = Values.Peers.FleetKey;
-  peers.Allowed = Values.Peers.Allowed;
+  peers.FleetKey = Config.Peers.FleetKey;
+  peers.Allowed = Config.Peers.Allowed;
   peers.OnFault = [this](const absl::Status &fault) {
-    Watch->failed(Part::Peers, fault);
+    TelemetrySink->recordError(Part::Peers, fault);
   };
   auto transport = WebsocketTransport::create(peers, *this);
   if (!transport.ok())
     return transport.status();
   Transport = std::move(*transport);
-  Sending = Transport.get();
+  ActiveTransport = Transport.get();
   return absl::OkStatus();
 }
 
-absl::Status Daemon::startReading() {
+absl::Status Daemon::startThreads() {
   Ticker = std::thread([this] { tickUntilStopped(); });
-  Platform = createHttpPlatformLink(Values.Platform.At);
-  Reader = std::make_unique<ReaderPart>(
-      Values.Platform, *Platform, *Watch, Run.Value,
+  Platform = createHttpPlatformLink(Config.Platform.At);
+  Reader = std::make_unique<PlatformReader>(
+      Config.Platform, *Platform, *TelemetrySink, Run.Value,
       [this](const std::string &text) { onTicket(text); },
       [this](const std::vector<EntryVm> &vms) { Control->onVmList(vms); });
-  Operators = std::make_unique<OperatorPart>(
+  Operators = std::make_unique<DaemonOperatorHandler>(
       OperatorSources{Time, Self, Run, *Store, *Control, *Entry, *Owner, *Flows,
-                      *Reader, *Watch});
-  auto operators = OperatorPort::create(Values.Operators.Listen,
-                                        Values.Operators.Allowed, *Operators);
+                      *Reader, *TelemetrySink});
+  auto operators = OperatorPort::create(Config.Operators.Listen,
+                                        Config.Operators.Allowed, *Operators);
   if (!operators.ok())
     return operators.status();
-  OperatorSide = std::move(*operators);
-  Watch->log(Part::Daemon, Severity::Info,
-             absl::StrCat("VM ", Self.Id.str(), " in ", Self.Domain.str(),
-                          " serves. Run ", Run.Value, "."));
+  OperatorListener = std::move(*operators);
+  TelemetrySink->log(Part::Daemon, Severity::Info,
+                     absl::StrCat("VM ", Self.Id.str(), " in ",
+                                  Self.Domain.str(), " serves. Run ", Run.Value,
+                                  "."));
   return absl::OkStatus();
 }
 
 bool Daemon::shutDown() {
   const TimePoint start = Time.now();
-  const TimePoint end = start + Values.ShutdownLimit;
-  Watch->log(Part::Daemon, Severity::Info, "Shutdown begins.");
+  const TimePoint end = start + Config.ShutdownLimit;
+  TelemetrySink->log(Part::Daemon, Severity::Info, "Shutdown begins.");
 
   // Let others take over what is owned; packets are still served meanwhile.
   // However long that takes, requests in hand keep half of the time to end.
   Control->beginLeave();
-  const bool released = waitFor(start + Values.ShutdownLimit / 2,
-                                [&] { return Control->released(); });
+  const bool released = waitFor(start + Config.ShutdownLimit / 2,
+                                [&] { return Control->isReleased(); });
 
   // Take no new packets, and end those in hand.
-  CallerSide->stop();
+  CallerListener->stop();
   Owner->beginShutdown();
   const bool ended =
       waitFor(end, [&] { return Owner->idle() && Entry->inProgress() == 0; });
@@ -230,15 +233,15 @@
   }
   StopChanged.notify_all();
   Ticker.join();
-  if (OperatorSide)
-    OperatorSide->stop();
+  if (OperatorListener)
+    OperatorListener->stop();
   Servers->stop();
   Transport->stop();
   Stopped = true;
-  Watch->log(Part::Daemon, Severity::Info,
-             absl::StrCat("Shutdown is complete: ownership ",
-                          released ? "released" : "not released", ", requests ",
-                          ended ? "ended." : "cut."));
+  TelemetrySink->log(Part::Daemon, Severity::Info,
+                     absl::StrCat("Shutdown is complete: ownership ",
+                                  released ? "released" : "not released",
+                                  ", requests ", ended ? "ended." : "cut."));
   return ended;
 }
 
@@ -259,28 +262,30 @@
     Control->tick(now);
     Owner->tick(now, Fence->mayDispatch(now));
     Entry->tick(now);
-    housekeep(now);
+    runHousekeeping(now);
     guard.lock();
   }
 }
 
-void Daemon::housekeep(TimePoint now) {
-  if (now - ExceptionsAt >= ExceptionPeriod) {
-    ExceptionsAt = now;
+void Daemon::runHousekeeping(TimePoint now) {
+  if (now - LastExceptionsAt >= ExceptionPeriod) {
+    LastExceptionsAt = now;
     sendExceptions(now);
   }
-  if (now - HousekeptAt < HousekeepingPeriod)
+  if (now - LastHousekeepingAt < HousekeepingPeriod)
     return;
-  HousekeptAt = now;
+  LastHousekeepingAt = now;
   Flows->expire(now);
   Keys->expire(now);
-  Watch->gauge("balsamrack_flows", static_cast<double>(Flows->size()));
-  Watch->gauge("balsamrack_flow_bytes", static_cast<double>(Flows->bytes()));
-  Watch->gauge("balsamrack_keys", static_cast<double>(Keys->size()));
-  showPeerTraffic();
+  TelemetrySink->setGauge("balsamrack_flows",
+                          static_cast<double>(Flows->size()));
+  TelemetrySink->setGauge("balsamrack_flow_bytes",
+                          static_cast<double>(Flows->bytes()));
+  TelemetrySink->setGauge("balsamrack_keys", static_cast<double>(Keys->size()));
+  publishPeerMetrics();
 }
 
-void Daemon::showPeerTraffic() {
+void Daemon::publishPeerMetrics() {
   const TransportCounters now = Transport->counters();
   const std::pair<const char *, uint64_t> all[] = {
       {"balsamrack_peer_control_bytes_sent", now.ControlBytesSent},
@@ -292,7 +297,7 @@
       {"balsamrack_peer_connects_failed", now.ConnectsFailed},
       {"balsamrack_peer_connections_lost", now.ConnectionsLost}};
   for (const auto &[name, value] : all)
-    Watch->gauge(name, static_cast<double>(value));
+    TelemetrySink->setGauge(name, static_cast<double>(value));
 }
 
 void Daemon::sendExceptions(TimePoint now) {
@@ -323,7 +328,7 @@
     Control->onObjects(ticket->Objects, "platform");
     return;
   }
-  Watch->failed(Part::Reader, status);
+  TelemetrySink->recordError(Part::Reader, status);
   Decision decision;
   decision.At = Time.now();
   decision.Kind = DecisionKind::TicketRejected;
@@ -334,22 +339,22 @@
     decision.Ticket = ticket->Number;
   decision.AtStep = stepName(Step::CheckTicket);
   decision.AtPeer = "platform";
-  Watch->decided(std::move(decision));
+  TelemetrySink->recordDecision(std::move(decision));
 }
 
 void Daemon::openCallerPorts(const ConfigurationView &view) {
   for (const auto &[id, service] : view.services())
     for (uint16_t port : service.Ports) {
-      const uint32_t at = port + uint32_t{Values.Callers.PortOffset};
+      const uint32_t at = port + uint32_t{Config.Callers.PortOffset};
       const absl::Status status =
           at > 65535 ? makeError(absl::StatusCode::kOutOfRange, Step::Listen,
                                  absl::StrCat(at), "port beyond 65535")
-                     : CallerSide->open(static_cast<uint16_t>(at));
+                     : CallerListener->open(static_cast<uint16_t>(at));
       std::lock_guard<std::mutex> guard(PortsLock);
       if (status.ok())
         FailedPorts.erase(port);
       else if (FailedPorts.insert(port).second)
-        Watch->failed(Part::Http, status);
+        TelemetrySink->recordError(Part::Http, status);
     }
 }
 
@@ -358,7 +363,7 @@
     onPeerMessage(Self, std::move(message));
     return absl::OkStatus();
   }
-  PeerTransport *transport = Sending.load();
+  PeerTransport *transport = ActiveTransport.load();
   return transport ? transport->send(to, message)
                    : makeError(absl::StatusCode::kUnavailable, Step::SendToPeer,
                                to.Id.str(), "peers are not connected yet");
@@ -429,7 +434,7 @@
 void Daemon::onView(std::shared_ptr<const RoutingView> view) {
   Flows->setView(view);
   Entry->setView(view);
-  if (CallerSide)
+  if (CallerListener)
     openCallerPorts(*Store->view());
 }
 
--- a/Balsamrack/Daemon/Daemon.h
+++ b/Balsamrack/Daemon/Daemon.h
@@ -8,12 +8,12 @@
 #include <set>
 #include <thread>
 
-#include "Balsamrack/Daemon/ControlPart.h"
-#include "Balsamrack/Daemon/EntryPart.h"
-#include "Balsamrack/Daemon/OperatorPart.h"
-#include "Balsamrack/Daemon/OwnerPart.h"
-#include "Balsamrack/Daemon/ReaderPart.h"
-#include "Balsamrack/Daemon/Witness.h"
+#include "Balsamrack/Daemon/ControlPlane.h"
+#include "Balsamrack/Daemon/DaemonOperatorHandler.h"
+#include "Balsamrack/Daemon/DaemonTelemetry.h"
+#include "Balsamrack/Daemon/EntryHandler.h"
+#include "Balsamrack/Daemon/OwnerDispatcher.h"
+#include "Balsamrack/Daemon/PlatformReader.h"
 #include "Balsamrack/Flows/KeyGuard.h"
 #include "Balsamrack/Peers/PeerTransport.h"
 #include "Balsamrack/Settings/Settings.h"
@@ -51,43 +51,43 @@
 
 private:
   Daemon(const Settings &settings, const Clock &clock);
-  absl::Status openRecords();
-  absl::Status createMemory();
-  absl::Status createParts();
+  absl::Status openObservability();
+  absl::Status createStores();
+  absl::Status createComponents();
   absl::Status openPorts();
-  absl::Status startReading();
+  absl::Status startThreads();
   void tickUntilStopped();
-  void housekeep(TimePoint now);
+  void runHousekeeping(TimePoint now);
   void openCallerPorts(const ConfigurationView &view);
   void onTicket(const std::string &text);
-  void showPeerTraffic();
+  void publishPeerMetrics();
   void sendExceptions(TimePoint now);
   void handOverKeys();
   bool waitFor(TimePoint end, const std::function<bool()> &done);
 
-  const Settings Values;
+  const Settings Config;
   const Clock &Time;
   const EntryVm Self;
   const Incarnation Run;
   const uint64_t Seed; ///< Differs from run to run.
-  std::unique_ptr<Witness> Watch;
+  std::unique_ptr<DaemonTelemetry> TelemetrySink;
   std::unique_ptr<Recorder> Record; ///< Null when nothing is recorded.
   std::unique_ptr<ConfigurationStore> Store;
   std::unique_ptr<OwnershipFence> Fence;
   std::unique_ptr<OwnerFlows> Flows;
   std::unique_ptr<KeyGuard> Keys;
   std::unique_ptr<ServerLink> Servers;
-  std::unique_ptr<OwnerPart> Owner;
-  std::unique_ptr<EntryPart> Entry;
-  std::unique_ptr<ControlPart> Control;
+  std::unique_ptr<OwnerDispatcher> Owner;
+  std::unique_ptr<EntryHandler> Entry;
+  std::unique_ptr<ControlPlane> Control;
   std::unique_ptr<PeerTransport> Transport;
-  std::atomic<PeerTransport *> Sending{
+  std::atomic<PeerTransport *> ActiveTransport{
       nullptr}; ///< Transport, once made: its threads send at once.
   std::unique_ptr<PlatformLink> Platform;
-  std::unique_ptr<ReaderPart> Reader;
-  std::unique_ptr<OperatorPart> Operators;
-  std::unique_ptr<OperatorPort> OperatorSide;
-  std::unique_ptr<CallerPort> CallerSide;
+  std::unique_ptr<PlatformReader> Reader;
+  std::unique_ptr<DaemonOperatorHandler> Operators;
+  std::unique_ptr<OperatorPort> OperatorListener;
+  std::unique_ptr<CallerPort> CallerListener;
   std::mutex PortsLock;           ///< Guards the next one.
   std::set<uint16_t> FailedPorts; ///< Told once each.
   std::mutex StopLock;            ///< Guards Stopping.
@@ -95,8 +95,8 @@
   bool Stopping = false;
   bool Stopped = false;
   std::thread Ticker;
-  TimePoint HousekeptAt;
-  TimePoint ExceptionsAt;
+  TimePoint LastHousekeepingAt;
+  TimePoint LastExceptionsAt;
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/OperatorPart.cpp
+++ b/Balsamrack/Daemon/DaemonOperatorHandler.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Daemon/OperatorPart.h"
+#include "Balsamrack/Daemon/DaemonOperatorHandler.h"
 
 #include <nlohmann/json.hpp>
 
@@ -50,10 +50,10 @@
 
 } // namespace
 
-OperatorPart::OperatorPart(const OperatorSources &sources)
-    : From(sources), StartedAt(sources.Time.now()) {}
+DaemonOperatorHandler::DaemonOperatorHandler(const OperatorSources &sources)
+    : Sources(sources), StartedAt(sources.Time.now()) {}
 
-OperatorAnswer OperatorPart::answer(const OperatorQuestion &question) {
+OperatorAnswer DaemonOperatorHandler::answer(const OperatorQuestion &question) {
   const std::string &path = question.Path;
   if (path == "status")
     return status();
@@ -72,15 +72,16 @@
   if (path == "trace")
     return trace(question);
   if (path == "metrics")
-    return {200, "text/plain; version=0.0.4", From.Watch.metricsText()};
+    return {200, "text/plain; version=0.0.4",
+            Sources.TelemetrySink.metricsText()};
   if (path == "metrics.json")
-    return goodAnswer(From.Watch.metricsJson());
+    return goodAnswer(Sources.TelemetrySink.metricsJson());
   return badAnswer(404, "no such question");
 }
 
-OperatorAnswer OperatorPart::status() const {
-  const ControlReport control = From.Control.report(From.Time.now());
-  const auto view = From.Store.view();
+OperatorAnswer DaemonOperatorHandler::status() const {
+  const ControlReport control = Sources.Control.report(Sources.Time.now());
+  const auto view = Sources.Store.view();
   json members = json::array();
   for (const auto &[id, member] : control.Members)
     members.push_back({{"vm", id.str()},
@@ -97,43 +98,44 @@
          {"in_service", domain.InService},
          {"reachable", it != control.Reachable.end() && it->second}});
   }
-  const StateDigest digest = From.Store.digest();
-  return goodAnswer({{"vm", From.Self.Id.str()},
-                     {"failure_domain", From.Self.Domain.str()},
-                     {"run", From.Run.Value},
-                     {"version", BALSAMRACK_VERSION},
-                     {"uptime_ms", (From.Time.now() - StartedAt) /
-                                       std::chrono::milliseconds(1)},
-                     {"leaving", control.Leaving},
-                     {"ticket", digest.Highest.Value},
-                     {"state_hash", absl::StrFormat("%016x", digest.Hash)},
-                     {"platform_state", platformStateName(From.Reader.state())},
-                     {"platform_ticket", From.Reader.highest().Value},
-                     {"authority", authorityName(control.Authority)},
-                     {"members", members},
-                     {"domains", domains},
-                     {"owned", namesOf(control.Owned)},
-                     {"wanted", namesOf(control.Wanted)},
-                     {"in_progress", From.Entry.inProgress()},
-                     {"flows", From.Flows.size()}});
+  const StateDigest digest = Sources.Store.digest();
+  return goodAnswer(
+      {{"vm", Sources.Self.Id.str()},
+       {"failure_domain", Sources.Self.Domain.str()},
+       {"run", Sources.Run.Value},
+       {"version", BALSAMRACK_VERSION},
+       {"uptime_ms",
+        (Sources.Time.now() - StartedAt) / std::chrono::milliseconds(1)},
+       {"leaving", control.Leaving},
+       {"ticket", digest.Highest.Value},
+       {"state_hash", absl::StrFormat("%016x", digest.Hash)},
+       {"platform_state", platformStateName(Sources.Reader.state())},
+       {"platform_ticket", Sources.Reader.highestTicket().Value},
+       {"authority", authorityName(control.Authority)},
+       {"members", members},
+       {"domains", domains},
+       {"owned", namesOf(control.Owned)},
+       {"wanted", namesOf(control.Wanted)},
+       {"in_progress", Sources.Entry.inProgress()},
+       {"flows", Sources.Flows.size()}});
 }
 
-OperatorAnswer OperatorPart::configuration() const {
+OperatorAnswer DaemonOperatorHandler::configuration() const {
   json objects = json::array();
-  for (const ObjectState &it : From.Store.objects())
+  for (const ObjectState &it : Sources.Store.objects())
     objects.push_back(objectToJson(it));
-  return goodAnswer({{"vm", From.Self.Id.str()},
-                     {"ticket", From.Store.view()->highest().Value},
+  return goodAnswer({{"vm", Sources.Self.Id.str()},
+                     {"ticket", Sources.Store.view()->highest().Value},
                      {"objects", objects}});
 }
 
-OperatorAnswer OperatorPart::servers() const {
+OperatorAnswer DaemonOperatorHandler::servers() const {
   std::map<ServerId, ServerReport> owned;
-  for (ServerReport &it : From.Owner.report())
+  for (ServerReport &it : Sources.Owner.report())
     owned.emplace(it.Server, std::move(it));
-  const auto routes = From.Control.view();
+  const auto routes = Sources.Control.view();
   json all = json::array();
-  for (const auto &[id, server] : From.Store.view()->servers()) {
+  for (const auto &[id, server] : Sources.Store.view()->servers()) {
     const RoutedServer *route = routes ? routes->findServer(id) : nullptr;
     json entry = {
         {"id", id.str()},
@@ -158,14 +160,15 @@
       entry["typical_answer_us"] = report.TypicalAnswer.count();
       entry["expected_wait_us"] = report.ExpectedWait.count();
       entry["instance"] = report.Instance.str();
-      entry["flows"] = From.Flows.flowsOn(id);
+      entry["flows"] = Sources.Flows.flowsOn(id);
     }
     all.push_back(std::move(entry));
   }
-  return goodAnswer({{"vm", From.Self.Id.str()}, {"servers", all}});
+  return goodAnswer({{"vm", Sources.Self.Id.str()}, {"servers", all}});
 }
 
-OperatorAnswer OperatorPart::flows(const OperatorQuestion &question) const {
+OperatorAnswer
+DaemonOperatorHandler::flows(const OperatorQuestion &question) const {
   uint32_t limit = FlowsListed;
   const std::string text = parameterOf(question, "limit");
   if (!text.empty() &&
@@ -173,10 +176,10 @@
     return badAnswer(400,
                      absl::StrCat("limit has to be at most ", MostFlowsListed));
   json listed = json::array();
-  const auto view = From.Store.view();
-  for (const ServerReport &it : From.Owner.report()) {
+  const auto view = Sources.Store.view();
+  for (const ServerReport &it : Sources.Owner.report()) {
     const BackendServer *server = view->server(it.Server);
-    for (FlowId flow : From.Flows.listFlows(From.Time.now(), it.Server)) {
+    for (FlowId flow : Sources.Flows.listFlows(Sources.Time.now(), it.Server)) {
       if (listed.size() >= limit)
         break;
       listed.push_back({{"flow", absl::StrFormat("%016x", flow.Value)},
@@ -184,48 +187,52 @@
                         {"service", server ? server->Service.str() : ""}});
     }
   }
-  return goodAnswer({{"vm", From.Self.Id.str()},
-                     {"count", From.Flows.size()},
-                     {"bytes", From.Flows.bytes()},
+  return goodAnswer({{"vm", Sources.Self.Id.str()},
+                     {"count", Sources.Flows.size()},
+                     {"bytes", Sources.Flows.bytes()},
                      {"flows", listed}});
 }
 
-OperatorAnswer OperatorPart::explain(const OperatorQuestion &question) const {
-  const auto found = From.Watch.about(parameterOf(question, "kind"),
-                                      parameterOf(question, "id"));
+OperatorAnswer
+DaemonOperatorHandler::explain(const OperatorQuestion &question) const {
+  const auto found = Sources.TelemetrySink.findDecisions(
+      parameterOf(question, "kind"), parameterOf(question, "id"));
   if (!found.ok())
     return badAnswer(400, std::string(found.status().message()));
   return goodAnswer(
-      {{"vm", From.Self.Id.str()}, {"decisions", decisionsOf(*found)}});
+      {{"vm", Sources.Self.Id.str()}, {"decisions", decisionsOf(*found)}});
 }
 
-OperatorAnswer OperatorPart::where(const OperatorQuestion &question) const {
+OperatorAnswer
+DaemonOperatorHandler::where(const OperatorQuestion &question) const {
   FlowId flow;
   if (!absl::SimpleHexAtoi(parameterOf(question, "flow"), &flow.Value))
     return badAnswer(400, "flow has to be hex digits");
   const ServiceId service(parameterOf(question, "service"));
-  const auto view = From.Control.view();
+  const auto view = Sources.Control.view();
   if (!view || !view->findService(service))
     return badAnswer(404, "no such service");
   return goodAnswer(
-      {{"vm", From.Self.Id.str()},
-       {"decisions",
-        decisionsOf(explainPlacement(*view, service, flow, From.Time.now()))}});
+      {{"vm", Sources.Self.Id.str()},
+       {"decisions", decisionsOf(explainPlacement(*view, service, flow,
+                                                  Sources.Time.now()))}});
 }
 
-OperatorAnswer OperatorPart::inForce(const OperatorQuestion &question) const {
+OperatorAnswer
+DaemonOperatorHandler::inForce(const OperatorQuestion &question) const {
   TicketNumber number;
   if (!absl::SimpleAtoi(parameterOf(question, "number"), &number.Value))
     return badAnswer(400, "number has to be a ticket's number");
-  return goodAnswer({{"vm", From.Self.Id.str()},
-                     {"ticket", From.Store.view()->highest().Value},
-                     {"in_force", From.Store.inForce(number)}});
+  return goodAnswer({{"vm", Sources.Self.Id.str()},
+                     {"ticket", Sources.Store.view()->highest().Value},
+                     {"in_force", Sources.Store.inForce(number)}});
 }
 
-OperatorAnswer OperatorPart::trace(const OperatorQuestion &question) const {
-  return goodAnswer(
-      {{"vm", From.Self.Id.str()},
-       {"spans", From.Watch.spansOf(parameterOf(question, "id"))}});
+OperatorAnswer
+DaemonOperatorHandler::trace(const OperatorQuestion &question) const {
+  return goodAnswer({{"vm", Sources.Self.Id.str()},
+                     {"spans", Sources.TelemetrySink.findSpans(
+                                   parameterOf(question, "id"))}});
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/OperatorPart.h
+++ b/Balsamrack/Daemon/DaemonOperatorHandler.h
@@ -1,12 +1,12 @@
-#ifndef BALSAMRACK_DAEMON_OPERATORPART_H
-#define BALSAMRACK_DAEMON_OPERATORPART_H
+#ifndef BALSAMRACK_DAEMON_DAEMONOPERATORHANDLER_H
+#define BALSAMRACK_DAEMON_DAEMONOPERATORHANDLER_H
 
 #include "Balsamrack/Configuration/ConfigurationStore.h"
-#include "Balsamrack/Daemon/ControlPart.h"
-#include "Balsamrack/Daemon/EntryPart.h"
-#include "Balsamrack/Daemon/OwnerPart.h"
-#include "Balsamrack/Daemon/ReaderPart.h"
-#include "Balsamrack/Daemon/Witness.h"
+#include "Balsamrack/Daemon/ControlPlane.h"
+#include "Balsamrack/Daemon/DaemonTelemetry.h"
+#include "Balsamrack/Daemon/EntryHandler.h"
+#include "Balsamrack/Daemon/OwnerDispatcher.h"
+#include "Balsamrack/Daemon/PlatformReader.h"
 #include "Balsamrack/Http/OperatorPort.h"
 
 namespace balsamrack {
@@ -17,20 +17,20 @@
   EntryVm Self;
   Incarnation Run;
   const ConfigurationStore &Store;
-  const ControlPart &Control;
-  const EntryPart &Entry;
-  const OwnerPart &Owner;
+  const ControlPlane &Control;
+  const EntryHandler &Entry;
+  const OwnerDispatcher &Owner;
   const OwnerFlows &Flows;
-  const ReaderPart &Reader;
-  const Witness &Watch;
+  const PlatformReader &Reader;
+  const DaemonTelemetry &TelemetrySink;
 };
 
 /// Answers operators' questions from what the other parts hold; changes
 /// nothing.
-class OperatorPart final : public OperatorHandler {
+class DaemonOperatorHandler final : public OperatorHandler {
 public:
   /// Precondition: what \p sources refers to outlives the result.
-  explicit OperatorPart(const OperatorSources &sources);
+  explicit DaemonOperatorHandler(const OperatorSources &sources);
 
   OperatorAnswer answer(const OperatorQuestion &question) override;
 
@@ -44,10 +44,10 @@
   OperatorAnswer inForce(const OperatorQuestion &question) const;
   OperatorAnswer trace(const OperatorQuestion &question) const;
 
-  const OperatorSources From;
+  const OperatorSources Sources;
   const TimePoint StartedAt;
 };
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_DAEMON_OPERATORPART_H
+#endif // BALSAMRACK_DAEMON_DAEMONOPERATORHANDLER_H
--- a/Balsamrack/Daemon/Witness.cpp
+++ b/Balsamrack/Daemon/DaemonTelemetry.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Daemon/Witness.h"
+#include "Balsamrack/Daemon/DaemonTelemetry.h"
 
 #include <map>
 #include <mutex>
@@ -45,94 +45,104 @@
 
 } // namespace
 
-struct Witness::State {
+struct DaemonTelemetry::State {
   State(const Clock &clock, size_t decisions)
-      : Decisions(decisions), Numbers(Metrics::create(clock)) {}
+      : Decisions(decisions), Registry(Metrics::create(clock)) {}
 
   Journal Decisions;
-  std::unique_ptr<Metrics> Numbers;
-  std::unique_ptr<Log> Lines;
+  std::unique_ptr<Metrics> Registry;
+  std::unique_ptr<Log> Logger;
   std::unique_ptr<SpanSink> Spans;
   std::mutex Lock;                            ///< Guards what follows.
   std::map<std::string, MetricFamily> Gauges; ///< Made on their first use.
 };
 
-absl::StatusOr<std::unique_ptr<Witness>>
-Witness::create(const ObservabilitySettings &settings, const VmId &vm,
-                const Clock &clock, uint64_t seed) {
+absl::StatusOr<std::unique_ptr<DaemonTelemetry>>
+DaemonTelemetry::create(const ObservabilitySettings &settings, const VmId &vm,
+                        const Clock &clock, uint64_t seed) {
   auto state = std::make_unique<State>(clock, settings.JournalDecisions);
   auto log = Log::create(logOf(settings));
   if (!log.ok())
     return log.status();
-  state->Lines = *std::move(log);
+  state->Logger = *std::move(log);
   auto spans = SpanSink::create(spanSettings(settings, vm, seed), clock);
   if (!spans.ok())
     return spans.status();
   state->Spans = *std::move(spans);
-  return std::unique_ptr<Witness>(new Witness(std::move(state)));
+  return std::unique_ptr<DaemonTelemetry>(
+      new DaemonTelemetry(std::move(state)));
 }
 
-Witness::Witness(std::unique_ptr<State> state) : Self(std::move(state)) {}
-Witness::~Witness() = default;
+DaemonTelemetry::DaemonTelemetry(std::unique_ptr<State> state)
+    : Impl(std::move(state)) {}
+DaemonTelemetry::~DaemonTelemetry() = default;
 
-void Witness::decided(Decision what) { Self->Decisions.add(std::move(what)); }
+void DaemonTelemetry::recordDecision(Decision what) {
+  Impl->Decisions.add(std::move(what));
+}
 
-std::string Witness::startSpan(const std::string &parent) {
-  return Self->Spans->start(parent);
+std::string DaemonTelemetry::startSpan(const std::string &parent) {
+  return Impl->Spans->start(parent);
 }
 
-void Witness::endSpan(HopSpan span) { Self->Spans->end(span); }
+void DaemonTelemetry::endSpan(HopSpan span) { Impl->Spans->end(span); }
 
-void Witness::packetEnded(const ServiceId &service, Ending how, Reason why,
-                          Duration took) {
-  Self->Numbers->count(Packets, {{"service", service.str()},
-                                 {"ending", endingName(how)},
-                                 {"reason", reasonName(why)}});
+void DaemonTelemetry::recordPacketEnd(const ServiceId &service, Ending how,
+                                      Reason why, Duration took) {
+  Impl->Registry->count(Packets, {{"service", service.str()},
+                                  {"ending", endingName(how)},
+                                  {"reason", reasonName(why)}});
   if (how == Ending::Answered)
-    Self->Numbers->observe(PacketTimes, {{"service", service.str()}}, took);
+    Impl->Registry->observe(PacketTimes, {{"service", service.str()}}, took);
 }
 
-void Witness::dispatchEnded(const ServerId &server, DispatchEnd how,
-                            Duration took) {
-  Self->Numbers->count(
+void DaemonTelemetry::recordDispatchEnd(const ServerId &server, DispatchEnd how,
+                                        Duration took) {
+  Impl->Registry->count(
       Dispatches, {{"server", server.str()}, {"end", dispatchEndName(how)}});
   if (how == DispatchEnd::Answered)
-    Self->Numbers->observe(AnswerTimes, {{"server", server.str()}}, took);
+    Impl->Registry->observe(AnswerTimes, {{"server", server.str()}}, took);
 }
 
-void Witness::log(Part part, Severity severity, const std::string &sentence) {
-  Self->Lines->write(part, severity, sentence);
+void DaemonTelemetry::log(Part part, Severity severity,
+                          const std::string &sentence) {
+  Impl->Logger->write(part, severity, sentence);
 }
 
-void Witness::failed(Part part, const absl::Status &status) {
-  Self->Numbers->count(Errors,
-                       {{"part", partName(part)}, {"step", stepOf(status)}});
-  Self->Lines->error(part, status);
+void DaemonTelemetry::recordError(Part part, const absl::Status &status) {
+  Impl->Registry->count(Errors,
+                        {{"part", partName(part)}, {"step", stepOf(status)}});
+  Impl->Logger->error(part, status);
 }
 
-void Witness::gauge(const char *name, double value) {
+void DaemonTelemetry::setGauge(const char *name, double value) {
   const MetricFamily *family = nullptr;
   {
-    std::lock_guard<std::mutex> guard(Self->Lock);
-    family = &Self->Gauges
+    std::lock_guard<std::mutex> guard(Impl->Lock);
+    family = &Impl->Gauges
                   .try_emplace(name, MetricFamily{name, "As it is now.",
                                                   MetricKind::Gauge})
                   .first->second;
   }
-  Self->Numbers->set(*family, {}, value);
+  Impl->Registry->set(*family, {}, value);
 }
 
 absl::StatusOr<std::vector<Decision>>
-Witness::about(const std::string &kind, const std::string &id) const {
-  return Self->Decisions.about(kind, id);
+DaemonTelemetry::findDecisions(const std::string &kind,
+                               const std::string &id) const {
+  return Impl->Decisions.about(kind, id);
 }
 
-nlohmann::json Witness::spansOf(const std::string &trace) const {
-  return Self->Spans->spansOf(trace);
+nlohmann::json DaemonTelemetry::findSpans(const std::string &trace) const {
+  return Impl->Spans->spansOf(trace);
 }
 
-std::string Witness::metricsText() const { return Self->Numbers->prometheus(); }
+std::string DaemonTelemetry::metricsText() const {
+  return Impl->Registry->prometheus();
+}
 
-nlohmann::json Witness::metricsJson() const { return Self->Numbers->json(); }
+nlohmann::json DaemonTelemetry::metricsJson() const {
+  return Impl->Registry->json();
+}
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/Witness.h
+++ b/Balsamrack/Daemon/DaemonTelemetry.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_DAEMON_WITNESS_H
-#define BALSAMRACK_DAEMON_WITNESS_H
+#ifndef BALSAMRACK_DAEMON_DAEMONTELEMETRY_H
+#define BALSAMRACK_DAEMON_DAEMONTELEMETRY_H
 
 #include <memory>
 #include <string>
@@ -16,34 +16,34 @@
 
 /// The daemon's own Telemetry: journal, metrics, spans and log together, and
 /// the answers to operators' questions about them.
-class Witness final : public Telemetry {
+class DaemonTelemetry final : public Telemetry {
 public:
   /// Opens what \p settings name. Precondition: \p clock outlives the result.
   /// Error (step read-settings) when a file can't be opened. Thread-safe.
-  static absl::StatusOr<std::unique_ptr<Witness>>
+  static absl::StatusOr<std::unique_ptr<DaemonTelemetry>>
   create(const ObservabilitySettings &settings, const VmId &vm,
          const Clock &clock, uint64_t seed);
-  ~Witness() override;
+  ~DaemonTelemetry() override;
 
-  void decided(Decision what) override;
+  void recordDecision(Decision what) override;
   std::string startSpan(const std::string &parent) override;
   void endSpan(HopSpan span) override;
-  void packetEnded(const ServiceId &service, Ending how, Reason why,
-                   Duration took) override;
-  void dispatchEnded(const ServerId &server, DispatchEnd how,
-                     Duration took) override;
+  void recordPacketEnd(const ServiceId &service, Ending how, Reason why,
+                       Duration took) override;
+  void recordDispatchEnd(const ServerId &server, DispatchEnd how,
+                         Duration took) override;
   void log(Part part, Severity severity, const std::string &sentence) override;
-  void failed(Part part, const absl::Status &status) override;
+  void recordError(Part part, const absl::Status &status) override;
 
   /// Sets a gauge that is shown with the metrics. Precondition: \p name is a
   /// string literal. Thread-safe.
-  void gauge(const char *name, double value);
+  void setGauge(const char *name, double value);
   /// Decisions about a "request", "flow", "server" or "ticket", oldest first.
   /// Error kInvalidArgument for another kind or an unreadable id. Thread-safe.
-  absl::StatusOr<std::vector<Decision>> about(const std::string &kind,
-                                              const std::string &id) const;
+  absl::StatusOr<std::vector<Decision>>
+  findDecisions(const std::string &kind, const std::string &id) const;
   /// Spans held of the trace with these 32 hex digits. Thread-safe.
-  nlohmann::json spansOf(const std::string &trace) const;
+  nlohmann::json findSpans(const std::string &trace) const;
   /// Metrics in Prometheus text format. Thread-safe.
   std::string metricsText() const;
   /// Metrics as JSON. Thread-safe.
@@ -51,11 +51,11 @@
 
 private:
   struct State;
-  explicit Witness(std::unique_ptr<State> state);
+  explicit DaemonTelemetry(std::unique_ptr<State> state);
 
-  std::unique_ptr<State> Self; ///< Not null.
+  std::unique_ptr<State> Impl; ///< Not null.
 };
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_DAEMON_WITNESS_H
+#endif // BALSAMRACK_DAEMON_DAEMONTELEMETRY_H
--- a/Balsamrack/Daemon/EntryPart.cpp
+++ b/Balsamrack/Daemon/EntryHandler.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Daemon/EntryPart.h"
+#include "Balsamrack/Daemon/EntryHandler.h"
 
 #include <condition_variable>
 #include <mutex>
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr Duration SecondOf{1'000'000};
+constexpr Duration OneSecond{1'000'000};
 
 /// HTTP status by which a caller without our headers can tell the endings.
-uint32_t statusOf(const Outcome &outcome) {
+uint32_t httpStatusOf(const Outcome &outcome) {
   switch (outcome.How) {
   case Ending::Answered:
     return outcome.Content.Status;
@@ -40,7 +40,7 @@
 /// envelope's fields added.
 Answer toAnswer(const Outcome &outcome, const std::string &token) {
   Answer answer = outcome.Content;
-  answer.Status = statusOf(outcome);
+  answer.Status = httpStatusOf(outcome);
   auto add = [&](const char *name, std::string value) {
     answer.Headers.emplace_back(name, std::move(value));
   };
@@ -60,7 +60,8 @@
     const int64_t ms = (outcome.RetryAfter.count() + 999) / 1000;
     add("Balsamrack-Retry-After-Ms", absl::StrCat(ms));
     add("Retry-After",
-        absl::StrCat((outcome.RetryAfter + SecondOf - Duration(1)) / SecondOf));
+        absl::StrCat((outcome.RetryAfter + OneSecond - Duration(1)) /
+                     OneSecond));
   }
   answer.Body = absl::StrCat(endingName(outcome.How), ": ",
                              reasonName(outcome.Why), "\n");
@@ -71,7 +72,7 @@
 
 /// A packet that waits for its ending. The thread that serves it holds it, the
 /// shard points to it.
-struct EntryPart::Pending {
+struct EntryHandler::PendingPacket {
   Message Content; ///< Forwarded as it is.
   Envelope Head;   ///< With the trace of the entry's span.
   std::mutex Lock; ///< Guards Ended.
@@ -80,22 +81,22 @@
 };
 
 /// A router with the packets that it decides about.
-struct EntryPart::Shard {
+struct EntryHandler::Shard {
   std::string Name;                    ///< In recordings.
   std::mutex Lock;                     ///< Guards all below.
   std::unique_ptr<EntryRouter> Router; ///< Not null.
-  absl::flat_hash_map<RequestId, std::shared_ptr<Pending>> Packets;
+  absl::flat_hash_map<RequestId, std::shared_ptr<PendingPacket>> Packets;
 };
 
-absl::StatusOr<std::unique_ptr<EntryPart>>
-EntryPart::create(const EntryPartSettings &settings, const Clock &clock,
-                  const ConfigurationStore &store, PeerSender &sender,
-                  Telemetry &telemetry) {
+absl::StatusOr<std::unique_ptr<EntryHandler>>
+EntryHandler::create(const EntryHandlerSettings &settings, const Clock &clock,
+                     const ConfigurationStore &store, PeerSender &sender,
+                     Telemetry &telemetry) {
   if (settings.Shards == 0 || (settings.Shards & (settings.Shards - 1)) != 0)
     return makeError(absl::StatusCode::kInvalidArgument, Step::ReadSettings, "",
                      "entry shards: not a power of two");
-  std::unique_ptr<EntryPart> part(
-      new EntryPart(settings, clock, store, sender, telemetry));
+  std::unique_ptr<EntryHandler> part(
+      new EntryHandler(settings, clock, store, sender, telemetry));
   for (uint32_t i = 0; i < settings.Shards; ++i) {
     auto router =
         EntryRouter::create(settings.Router, combineHash(settings.Seed, i));
@@ -113,19 +114,19 @@
   return part;
 }
 
-EntryPart::EntryPart(const EntryPartSettings &settings, const Clock &clock,
-                     const ConfigurationStore &store, PeerSender &sender,
-                     Telemetry &telemetry)
+EntryHandler::EntryHandler(const EntryHandlerSettings &settings,
+                           const Clock &clock, const ConfigurationStore &store,
+                           PeerSender &sender, Telemetry &telemetry)
     : Settings(settings), Time(clock), Store(store), Sender(sender),
-      Watch(telemetry) {}
+      TelemetrySink(telemetry) {}
 
-EntryPart::~EntryPart() = default;
+EntryHandler::~EntryHandler() = default;
 
-EntryPart::Shard &EntryPart::shardOf(RequestId request) {
+EntryHandler::Shard &EntryHandler::shardOf(RequestId request) {
   return *Shards[request.Value & (Settings.Shards - 1)];
 }
 
-RequestId EntryPart::nextRequest(FlowId flow) {
+RequestId EntryHandler::nextRequest(FlowId flow) {
   // Unique across daemons and runs by the seed; the low bits name the shard,
   // so that all packets of a flow meet under one lock.
   const uint64_t mask = Settings.Shards - 1;
@@ -134,8 +135,8 @@
   return RequestId{id == 0 ? Settings.Shards : id};
 }
 
-Answer EntryPart::serve(uint16_t port, const std::string &peerIp,
-                        Message message) {
+Answer EntryHandler::serve(uint16_t port, const std::string &peerIp,
+                           Message message) {
   // Who is meant, and who asks.
   const TimePoint start = Time.now();
   const auto view = Store.view();
@@ -146,7 +147,7 @@
                   "no service has this port");
   auto envelope = readEnvelope(*service, peerIp, message);
   if (!envelope.ok()) {
-    Watch.failed(Part::Entry, envelope.status());
+    TelemetrySink.recordError(Part::Entry, envelope.status());
     return refuse(peerIp, 400, Reason::BadRequest,
                   std::string(envelope.status().message()));
   }
@@ -154,11 +155,11 @@
     return refuse(peerIp, 503, Reason::QueueFull, "too many packets in hand");
 
   // Let the router decide, and wait for the packet's ending.
-  auto packet = std::make_shared<Pending>();
+  auto packet = std::make_shared<PendingPacket>();
   const std::string parent = envelope->Head.Trace;
   packet->Head = envelope->Head;
   packet->Head.Request = nextRequest(packet->Head.Flow);
-  packet->Head.Trace = Watch.startSpan(parent);
+  packet->Head.Trace = TelemetrySink.startSpan(parent);
   packet->Content = std::move(message);
   Shard &shard = shardOf(packet->Head.Request);
   ++InProgress;
@@ -178,8 +179,8 @@
   // Tell the caller and the operators.
   const Duration took = Time.now() - start;
   const Outcome &result = ended.Result;
-  Watch.packetEnded(service->Id, result.How, result.Why, took);
-  Watch.endSpan(
+  TelemetrySink.recordPacketEnd(service->Id, result.How, result.Why, took);
+  TelemetrySink.endSpan(
       {"entry", parent, packet->Head.Trace, start, took, service->Id,
        result.Server, result.Request,
        absl::StrCat(endingName(result.How), " ", reasonName(result.Why)),
@@ -187,8 +188,8 @@
   return toAnswer(result, ended.Token);
 }
 
-Answer EntryPart::refuse(const std::string &peer, uint32_t status, Reason why,
-                         const std::string &detail) {
+Answer EntryHandler::refuse(const std::string &peer, uint32_t status,
+                            Reason why, const std::string &detail) {
   Outcome outcome;
   outcome.How = Ending::NotRun;
   outcome.Why = why;
@@ -196,41 +197,42 @@
   outcome.AtPeer = peer;
   if (status == 503)
     outcome.RetryAfter = Settings.Router.RetryAfter;
-  Watch.packetEnded(ServiceId(), outcome.How, why, Duration::zero());
+  TelemetrySink.recordPacketEnd(ServiceId(), outcome.How, why,
+                                Duration::zero());
   Answer answer = toAnswer(outcome, "");
   answer.Status = status;
   absl::StrAppend(&answer.Body, detail, "\n");
   return answer;
 }
 
-void EntryPart::setView(const std::shared_ptr<const RoutingView> &view) {
+void EntryHandler::setView(const std::shared_ptr<const RoutingView> &view) {
   for (auto &shard : Shards)
     step(*shard, ViewChanged{view});
 }
 
-void EntryPart::onOutcome(const VmId &from, Outcome outcome) {
+void EntryHandler::onOutcome(const VmId &from, Outcome outcome) {
   Shard &shard = shardOf(outcome.Request);
   step(shard, OwnerReplied{from, std::move(outcome)});
 }
 
-void EntryPart::onFlowReply(const VmId &from, const FlowReply &reply) {
+void EntryHandler::onFlowReply(const VmId &from, const FlowReply &reply) {
   step(shardOf(reply.Request), FlowReplied{from, reply});
 }
 
-void EntryPart::onKeyReply(const VmId &from, const KeyReply &reply) {
+void EntryHandler::onKeyReply(const VmId &from, const KeyReply &reply) {
   step(shardOf(reply.Request), KeyReplied{from, reply});
 }
 
-void EntryPart::onPeerLost(const VmId &peer) {
+void EntryHandler::onPeerLost(const VmId &peer) {
   for (auto &shard : Shards)
     step(*shard, PeerLost{peer});
 }
 
-void EntryPart::onSendFailed(const VmId &peer, RequestId request) {
+void EntryHandler::onSendFailed(const VmId &peer, RequestId request) {
   step(shardOf(request), SendFailed{request, peer});
 }
 
-void EntryPart::tick(TimePoint now) {
+void EntryHandler::tick(TimePoint now) {
   for (auto &shard : Shards) {
     std::optional<TimePoint> due;
     {
@@ -242,7 +244,7 @@
   }
 }
 
-void EntryPart::step(Shard &shard, const EntryEvent &event) {
+void EntryHandler::step(Shard &shard, const EntryEvent &event) {
   std::vector<EntryAction> actions;
   {
     // The clock is read under the lock, so that a shard's time never goes back.
@@ -256,12 +258,12 @@
   // go into the journal first, or their consequences would stand before them.
   for (const EntryAction &it : actions)
     if (const auto *explain = std::get_if<ExplainEntry>(&it))
-      Watch.decided(explain->Made);
+      TelemetrySink.recordDecision(explain->Made);
   for (const EntryAction &it : actions)
     perform(shard, it);
 }
 
-void EntryPart::perform(Shard &shard, const EntryAction &action) {
+void EntryHandler::perform(Shard &shard, const EntryAction &action) {
   if (const auto *it = std::get_if<SendForward>(&action))
     forward(shard, *it);
   else if (const auto *it = std::get_if<SendQuestion>(&action))
@@ -274,11 +276,11 @@
   else if (const auto *it = std::get_if<SendCancel>(&action))
     Sender.send(it->To, CancelRequest{it->Request}).IgnoreError();
   else if (const auto *it = std::get_if<EndPacket>(&action))
-    end(shard, *it);
+    endPacket(shard, *it);
 }
 
-void EntryPart::forward(Shard &shard, const SendForward &action) {
-  std::shared_ptr<Pending> packet;
+void EntryHandler::forward(Shard &shard, const SendForward &action) {
+  std::shared_ptr<PendingPacket> packet;
   {
     std::lock_guard<std::mutex> guard(shard.Lock);
     auto it = shard.Packets.find(action.Request);
@@ -298,17 +300,17 @@
   sendOrFail(action.To, action.Request, std::move(message));
 }
 
-void EntryPart::sendOrFail(const EntryVm &to, RequestId request,
-                           PeerMessage message) {
+void EntryHandler::sendOrFail(const EntryVm &to, RequestId request,
+                              PeerMessage message) {
   const absl::Status status = Sender.send(to, std::move(message));
   if (status.ok())
     return;
-  Watch.failed(Part::Entry, status);
+  TelemetrySink.recordError(Part::Entry, status);
   onSendFailed(to.Id, request);
 }
 
-void EntryPart::end(Shard &shard, const EndPacket &action) {
-  std::shared_ptr<Pending> packet;
+void EntryHandler::endPacket(Shard &shard, const EndPacket &action) {
+  std::shared_ptr<PendingPacket> packet;
   {
     std::lock_guard<std::mutex> guard(shard.Lock);
     auto it = shard.Packets.find(action.Result.Request);
--- a/Balsamrack/Daemon/EntryPart.h
+++ b/Balsamrack/Daemon/EntryHandler.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_DAEMON_ENTRYPART_H
-#define BALSAMRACK_DAEMON_ENTRYPART_H
+#ifndef BALSAMRACK_DAEMON_ENTRYHANDLER_H
+#define BALSAMRACK_DAEMON_ENTRYHANDLER_H
 
 #include <atomic>
 #include <memory>
@@ -19,7 +19,7 @@
 namespace balsamrack {
 
 /// Settings of an EntryPart.
-struct EntryPartSettings {
+struct EntryHandlerSettings {
   EntrySettings Router;          ///< For each shard's router.
   uint16_t PortOffset = 0;       ///< Taken off a port before a service is
                                  ///< looked up.
@@ -32,15 +32,15 @@
 /// The entry of one daemon: takes packets in, lets its routers decide, and
 /// tells callers how each ended. Packets are spread over shards by flow, each
 /// with a router under its own lock.
-class EntryPart final : public CallerHandler {
+class EntryHandler final : public CallerHandler {
 public:
   /// Precondition: all references outlive the result. Error kInvalidArgument
   /// (step read-settings) for settings out of range. Thread-safe.
-  static absl::StatusOr<std::unique_ptr<EntryPart>>
-  create(const EntryPartSettings &settings, const Clock &clock,
+  static absl::StatusOr<std::unique_ptr<EntryHandler>>
+  create(const EntryHandlerSettings &settings, const Clock &clock,
          const ConfigurationStore &store, PeerSender &sender,
          Telemetry &telemetry);
-  ~EntryPart() override;
+  ~EntryHandler() override;
 
   Answer serve(uint16_t port, const std::string &peerIp,
                Message message) override;
@@ -63,28 +63,28 @@
   size_t inProgress() const { return InProgress.load(); }
 
 private:
-  struct Pending;
+  struct PendingPacket;
   struct Shard;
 
-  EntryPart(const EntryPartSettings &settings, const Clock &clock,
-            const ConfigurationStore &store, PeerSender &sender,
-            Telemetry &telemetry);
+  EntryHandler(const EntryHandlerSettings &settings, const Clock &clock,
+               const ConfigurationStore &store, PeerSender &sender,
+               Telemetry &telemetry);
 
   Shard &shardOf(RequestId request);
   RequestId nextRequest(FlowId flow);
   void step(Shard &shard, const EntryEvent &event);
   void perform(Shard &shard, const EntryAction &action);
   void forward(Shard &shard, const SendForward &action);
-  void end(Shard &shard, const EndPacket &action);
+  void endPacket(Shard &shard, const EndPacket &action);
   void sendOrFail(const EntryVm &to, RequestId request, PeerMessage message);
   Answer refuse(const std::string &peer, uint32_t status, Reason why,
                 const std::string &detail);
 
-  const EntryPartSettings Settings;
+  const EntryHandlerSettings Settings;
   const Clock &Time;
   const ConfigurationStore &Store;
   PeerSender &Sender;
-  Telemetry &Watch;
+  Telemetry &TelemetrySink;
   std::vector<std::unique_ptr<Shard>> Shards; ///< By low bits of RequestId.
   std::atomic<uint64_t> Sequence{0};          ///< Of requests.
   std::atomic<size_t> InProgress{0};          ///< Packets not ended.
@@ -92,4 +92,4 @@
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_DAEMON_ENTRYPART_H
+#endif // BALSAMRACK_DAEMON_ENTRYHANDLER_H
--- a/Balsamrack/Daemon/EnvelopeReader.cpp
+++ b/Balsamrack/Daemon/EnvelopeReader.cpp
@@ -15,7 +15,7 @@
 constexpr size_t MaxKeyBytes = 255;
 constexpr int64_t MaxTimeoutMs = 3'600'000;
 
-absl::Status badField(const std::string &peer, const std::string &what) {
+absl::Status fieldError(const std::string &peer, const std::string &what) {
   return makeError(absl::StatusCode::kInvalidArgument, Step::DecodeEnvelope,
                    peer, what);
 }
@@ -50,53 +50,53 @@
 
 } // namespace
 
-std::string headerOf(const HeaderList &headers, const char *name) {
+std::string headerValue(const HeaderList &headers, const char *name) {
   for (const auto &[key, value] : headers)
     if (absl::EqualsIgnoreCase(key, name))
       return value;
   return "";
 }
 
-absl::StatusOr<ReadEnvelope> readEnvelope(const Service &service,
-                                          const std::string &peerIp,
-                                          const Message &message) {
-  ReadEnvelope result;
+absl::StatusOr<DecodedEnvelope> readEnvelope(const Service &service,
+                                             const std::string &peerIp,
+                                             const Message &message) {
+  DecodedEnvelope result;
   Envelope &head = result.Head;
   head.Service = service.Id;
   head.Kind = semanticsOf(message.Method);
-  head.Trace = headerOf(message.Headers, "traceparent");
-  result.Token = headerOf(message.Headers, "Balsamrack-Token");
+  head.Trace = headerValue(message.Headers, "traceparent");
+  result.Token = headerValue(message.Headers, "Balsamrack-Token");
 
   // Whose flow it is.
   std::string caller = peerIp;
-  const std::string forwarded = headerOf(message.Headers, "Forwarded");
+  const std::string forwarded = headerValue(message.Headers, "Forwarded");
   if (!forwarded.empty()) {
     caller = forwardedFor(forwarded);
     if (!Address::parse(caller).ok())
-      return badField(peerIp, "Forwarded: no for=\"IP:PORT\" in it");
+      return fieldError(peerIp, "Forwarded: no for=\"IP:PORT\" in it");
   }
   head.Flow.Value = nonZero(stableHash(caller, service.Id.hash()));
   head.Caller.Value = nonZero(stableHash(caller.substr(0, caller.rfind(':'))));
 
   // Which packet of the flow.
   uint64_t number = 1;
-  const std::string packet = headerOf(message.Headers, "Balsamrack-Packet");
+  const std::string packet = headerValue(message.Headers, "Balsamrack-Packet");
   if (!packet.empty() && (!absl::SimpleAtoi(packet, &number) || number == 0))
-    return badField(peerIp, "Balsamrack-Packet: no number above zero");
+    return fieldError(peerIp, "Balsamrack-Packet: no number above zero");
   head.FirstOfFlow = number == 1;
 
   // What may run once, and for how long there is somebody to answer.
-  const std::string key = headerOf(message.Headers, "Idempotency-Key");
+  const std::string key = headerValue(message.Headers, "Idempotency-Key");
   if (key.size() > MaxKeyBytes)
-    return badField(peerIp, "Idempotency-Key: longer than 255 bytes");
+    return fieldError(peerIp, "Idempotency-Key: longer than 255 bytes");
   head.Key = digestKey(service.Id, key);
   head.Remaining = service.DefaultTimeout;
-  const std::string timeout = headerOf(message.Headers, "Request-Timeout");
+  const std::string timeout = headerValue(message.Headers, "Request-Timeout");
   int64_t ms = 0;
   if (!timeout.empty()) {
     if (!absl::SimpleAtoi(timeout, &ms) || ms <= 0 || ms > MaxTimeoutMs)
-      return badField(peerIp, "Request-Timeout: no milliseconds from 1 to "
-                              "3600000");
+      return fieldError(peerIp, "Request-Timeout: no milliseconds from 1 to "
+                                "3600000");
     head.Remaining = std::chrono::milliseconds(ms);
   }
   return result;
--- a/Balsamrack/Daemon/EnvelopeReader.h
+++ b/Balsamrack/Daemon/EnvelopeReader.h
@@ -10,7 +10,7 @@
 namespace balsamrack {
 
 /// An envelope as read from a message, with the token that the router reads.
-struct ReadEnvelope {
+struct DecodedEnvelope {
   Envelope Head;     ///< Without its RequestId, which the entry gives.
   std::string Token; ///< As the caller sent it; may be empty.
 };
@@ -18,13 +18,13 @@
 /// Reads the envelope fields of docs/PROTOCOLS.md from \p message, which came
 /// from \p peerIp for \p service. Error kInvalidArgument (step decode-envelope)
 /// names the field that can't be read. Never looks at the body. Thread-safe.
-absl::StatusOr<ReadEnvelope> readEnvelope(const Service &service,
-                                          const std::string &peerIp,
-                                          const Message &message);
+absl::StatusOr<DecodedEnvelope> readEnvelope(const Service &service,
+                                             const std::string &peerIp,
+                                             const Message &message);
 
 /// Value of the first header field named \p name, in any case; empty when there
 /// is none. Thread-safe.
-std::string headerOf(const HeaderList &headers, const char *name);
+std::string headerValue(const HeaderList &headers, const char *name);
 
 } // namespace balsamrack
 
--- a/Balsamrack/Daemon/OwnerPart.cpp
+++ b/Balsamrack/Daemon/OwnerDispatcher.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Daemon/OwnerPart.h"
+#include "Balsamrack/Daemon/OwnerDispatcher.h"
 
 #include <cassert>
 #include <optional>
@@ -17,7 +17,7 @@
 
 /// Health questions have ids of their own, apart from requests': their lowest
 /// bit pattern is never made by an entry with a power of two of shards.
-constexpr uint64_t HealthMark = 0xFFFF'0000'0000'0000ULL;
+constexpr uint64_t HealthRequestIdPrefix = 0xFFFF'0000'0000'0000ULL;
 constexpr Duration HealthTimeout{1'000'000};
 /// A hand-over takes a round trip, a takeover seconds: a caller that comes back
 /// this often finds the new owner soon and is no burden until then.
@@ -41,7 +41,7 @@
 } // namespace
 
 /// A request that an entry waits for.
-struct OwnerPart::Work {
+struct OwnerDispatcher::PendingRequest {
   EntryVm From;                ///< Who waits.
   Envelope Head;               ///< With the trace of the owner's span.
   std::string Parent;          ///< traceparent that came with it.
@@ -53,28 +53,31 @@
 };
 
 /// One service's owner with the requests that it decides about.
-struct OwnerPart::Shard {
+struct OwnerDispatcher::Shard {
   ServiceId Id;
   mutable std::mutex Lock;             ///< Guards all below.
   std::unique_ptr<ServiceOwner> Owner; ///< Not null.
-  absl::flat_hash_map<RequestId, Work> Requests;
-  std::map<ServerId, BackendServer> Servers; ///< Owned now.
-  std::map<ServerId, uint32_t> Dispatched;   ///< Dispatches not ended.
-  bool MayDispatch = false;                  ///< As last told to Owner.
-  TimePoint HealthAskedAt;                   ///< Last round of questions.
-  uint64_t HealthSequence = 0;               ///< Makes their ids.
+  absl::flat_hash_map<RequestId, PendingRequest> Requests;
+  std::map<ServerId, BackendServer> Servers;         ///< Owned now.
+  std::map<ServerId, uint32_t> DispatchesInProgress; ///< Dispatches not ended.
+  bool MayDispatch = false;                          ///< As last told to Owner.
+  TimePoint LastHealthProbeAt; ///< Last round of questions.
+  uint64_t HealthSequence = 0; ///< Makes their ids.
 };
 
-OwnerPart::OwnerPart(const OwnerPartSettings &settings, const Clock &clock,
-                     const OwnershipFence &fence, OwnerFlows &flows,
-                     ServerLink &link, PeerSender &sender, Telemetry &telemetry,
-                     ConditionSink onCondition)
+OwnerDispatcher::OwnerDispatcher(const OwnerDispatcherSettings &settings,
+                                 const Clock &clock,
+                                 const OwnershipFence &fence, OwnerFlows &flows,
+                                 ServerLink &link, PeerSender &sender,
+                                 Telemetry &telemetry,
+                                 ConditionSink onCondition)
     : Settings(settings), Time(clock), Fence(fence), Flows(flows), Link(link),
-      Sender(sender), Watch(telemetry), OnCondition(std::move(onCondition)) {}
+      Sender(sender), TelemetrySink(telemetry),
+      OnCondition(std::move(onCondition)) {}
 
-OwnerPart::~OwnerPart() = default;
+OwnerDispatcher::~OwnerDispatcher() = default;
 
-OwnerPart::Shard &OwnerPart::shardOf(const ServiceId &service) {
+OwnerDispatcher::Shard &OwnerDispatcher::shardOf(const ServiceId &service) {
   std::lock_guard<std::mutex> guard(ShardsLock);
   std::unique_ptr<Shard> &shard = Shards[service];
   if (!shard) {
@@ -93,7 +96,7 @@
   return *shard;
 }
 
-std::vector<OwnerPart::Shard *> OwnerPart::allShards() const {
+std::vector<OwnerDispatcher::Shard *> OwnerDispatcher::allShards() const {
   std::lock_guard<std::mutex> guard(ShardsLock);
   std::vector<Shard *> all;
   for (const auto &[id, shard] : Shards)
@@ -101,7 +104,7 @@
   return all;
 }
 
-void OwnerPart::onForward(const EntryVm &from, Forward forward) {
+void OwnerDispatcher::onForward(const EntryVm &from, Forward forward) {
   const TimePoint now = Time.now();
   Outcome refusal;
   refusal.Request = forward.Head.Request;
@@ -134,11 +137,11 @@
   }
 
   // Admit it.
-  Work work;
+  PendingRequest work;
   work.From = from;
   work.Parent = forward.Head.Trace;
   work.Head = forward.Head;
-  work.Head.Trace = Watch.startSpan(work.Parent);
+  work.Head.Trace = TelemetrySink.startSpan(work.Parent);
   work.Server = forward.Server;
   work.Content = std::move(forward.Content);
   work.Start = now;
@@ -153,12 +156,12 @@
     std::lock_guard<std::mutex> guard(shard.Lock);
     if (!shard.Requests.emplace(work.Head.Request, std::move(work)).second)
       return;
-    actions = decide(shard, arrived);
+    actions = stepOwner(shard, arrived);
   }
   performAll(shard, std::move(actions));
 }
 
-void OwnerPart::onCancel(RequestId request) {
+void OwnerDispatcher::onCancel(RequestId request) {
   for (Shard *shard : allShards()) {
     bool known = false;
     {
@@ -170,7 +173,7 @@
   }
 }
 
-void OwnerPart::setOwned(const OwnedServers &owned) {
+void OwnerDispatcher::setOwned(const OwnedServers &owned) {
   for (const auto &[service, change] : owned)
     shardOf(service);
   for (Shard *shard : allShards()) {
@@ -188,26 +191,26 @@
       shard->Servers.clear();
       for (const OwnedServer &server : change.Servers)
         shard->Servers[server.Server.Id] = server.Server;
-      actions = decide(*shard, change);
+      actions = stepOwner(*shard, change);
     }
     performAll(*shard, std::move(actions));
   }
 }
 
-uint32_t OwnerPart::inProgressAt(const ServerId &server) const {
+uint32_t OwnerDispatcher::inProgressAt(const ServerId &server) const {
   uint32_t n = 0;
   for (Shard *shard : allShards()) {
     std::lock_guard<std::mutex> guard(shard->Lock);
-    auto it = shard->Dispatched.find(server);
-    if (it != shard->Dispatched.end())
+    auto it = shard->DispatchesInProgress.find(server);
+    if (it != shard->DispatchesInProgress.end())
       n += it->second;
   }
   return n;
 }
 
-void OwnerPart::tick(TimePoint now, bool mayDispatch) {
+void OwnerDispatcher::tick(TimePoint now, bool mayDispatch) {
   for (Shard *shard : allShards()) {
-    tellAuthority(*shard, mayDispatch);
+    updateAuthority(*shard, mayDispatch);
     std::optional<TimePoint> due;
     {
       std::lock_guard<std::mutex> guard(shard->Lock);
@@ -215,27 +218,27 @@
     }
     if (due && *due <= now)
       step(*shard, Ticked{});
-    askHealth(*shard, now);
+    probeHealth(*shard, now);
   }
 }
 
-void OwnerPart::tellAuthority(Shard &shard, bool mayDispatch) {
+void OwnerDispatcher::updateAuthority(Shard &shard, bool mayDispatch) {
   std::vector<OwnerAction> actions;
   {
     std::lock_guard<std::mutex> guard(shard.Lock);
     if (std::exchange(shard.MayDispatch, mayDispatch) == mayDispatch)
       return;
-    actions = decide(shard, AuthorityChanged{mayDispatch});
+    actions = stepOwner(shard, AuthorityChanged{mayDispatch});
   }
   performAll(shard, std::move(actions));
 }
 
-void OwnerPart::beginShutdown() {
+void OwnerDispatcher::beginShutdown() {
   for (Shard *shard : allShards())
     step(*shard, ShutdownBegan{});
 }
 
-bool OwnerPart::idle() const {
+bool OwnerDispatcher::idle() const {
   for (Shard *shard : allShards()) {
     std::lock_guard<std::mutex> guard(shard->Lock);
     if (!shard->Owner->idle() || !shard->Requests.empty())
@@ -244,7 +247,7 @@
   return true;
 }
 
-std::vector<ServerReport> OwnerPart::report() const {
+std::vector<ServerReport> OwnerDispatcher::report() const {
   std::vector<ServerReport> all;
   for (Shard *shard : allShards()) {
     std::lock_guard<std::mutex> guard(shard->Lock);
@@ -254,8 +257,8 @@
   return all;
 }
 
-std::vector<OwnerAction> OwnerPart::decide(Shard &shard,
-                                           const OwnerEvent &event) {
+std::vector<OwnerAction> OwnerDispatcher::stepOwner(Shard &shard,
+                                                    const OwnerEvent &event) {
   const TimePoint now = Time.now();
   if (Settings.Record)
     Settings.Record->record(
@@ -270,28 +273,29 @@
   return actions;
 }
 
-void OwnerPart::step(Shard &shard, const OwnerEvent &event) {
+void OwnerDispatcher::step(Shard &shard, const OwnerEvent &event) {
   std::vector<OwnerAction> actions;
   {
     std::lock_guard<std::mutex> guard(shard.Lock);
-    actions = decide(shard, event);
+    actions = stepOwner(shard, event);
   }
   performAll(shard, std::move(actions));
 }
 
-void OwnerPart::performAll(Shard &shard, std::vector<OwnerAction> actions) {
+void OwnerDispatcher::performAll(Shard &shard,
+                                 std::vector<OwnerAction> actions) {
   for (OwnerAction &it : actions)
     perform(shard, std::move(it));
 }
 
-void OwnerPart::dispatch(Shard &shard, const StartDispatch &action) {
+void OwnerDispatcher::dispatch(Shard &shard, const StartDispatch &action) {
   auto work = shard.Requests.find(action.Request);
   auto server = shard.Servers.find(action.Server);
   assert(work != shard.Requests.end() && server != shard.Servers.end());
-  ++shard.Dispatched[action.Server];
+  ++shard.DispatchesInProgress[action.Server];
   const TimePoint start = Time.now();
   Envelope head = work->second.Head;
-  head.Trace = Watch.startSpan(work->second.Head.Trace);
+  head.Trace = TelemetrySink.startSpan(work->second.Head.Trace);
   const std::string span = head.Trace;
   Link.dispatch(server->second, head, work->second.Content, action.Timeout,
                 [this, &shard, request = action.Request, id = action.Server,
@@ -301,11 +305,11 @@
                 });
 }
 
-void OwnerPart::onDispatchEnded(Shard &shard, RequestId request,
-                                const ServerId &server, TimePoint start,
-                                const std::string &span,
-                                DispatchResult result) {
-  Watch.dispatchEnded(server, result.How, result.Took);
+void OwnerDispatcher::onDispatchEnded(Shard &shard, RequestId request,
+                                      const ServerId &server, TimePoint start,
+                                      const std::string &span,
+                                      DispatchResult result) {
+  TelemetrySink.recordDispatchEnd(server, result.How, result.Took);
   HopSpan hop{"server",
               "",
               span,
@@ -320,8 +324,8 @@
                       result.Took, result.RetryAfter, result.Content.Status};
   {
     std::lock_guard<std::mutex> guard(shard.Lock);
-    if (--shard.Dispatched[server] == 0)
-      shard.Dispatched.erase(server);
+    if (--shard.DispatchesInProgress[server] == 0)
+      shard.DispatchesInProgress.erase(server);
     auto it = shard.Requests.find(request);
     if (it != shard.Requests.end()) {
       hop.Parent = it->second.Head.Trace;
@@ -329,27 +333,27 @@
         it->second.Reply = std::move(result.Content);
     }
   }
-  Watch.endSpan(std::move(hop));
+  TelemetrySink.endSpan(std::move(hop));
   // Our own fence may have stopped it. Unless the owner hears of that first, it
   // takes the server for unreachable, and for cold afterwards.
-  if (result.How == DispatchEnd::Unreachable && !mayLeave())
-    tellAuthority(shard, false);
+  if (result.How == DispatchEnd::Unreachable && !mayDispatch())
+    updateAuthority(shard, false);
   step(shard, event);
 }
 
-void OwnerPart::perform(Shard &shard, OwnerAction action) {
+void OwnerDispatcher::perform(Shard &shard, OwnerAction action) {
   if (auto *it = std::get_if<EndRequest>(&action))
-    end(shard, std::move(it->Result));
+    endRequest(shard, std::move(it->Result));
   else if (auto *it = std::get_if<CancelDispatch>(&action))
     Link.cancel(it->Request);
   else if (auto *it = std::get_if<Explain>(&action))
-    Watch.decided(std::move(it->What));
+    TelemetrySink.recordDecision(std::move(it->What));
   else if (auto *it = std::get_if<ConditionLearned>(&action))
     OnCondition(it->Condition);
 }
 
-void OwnerPart::end(Shard &shard, Outcome outcome) {
-  std::optional<Work> work;
+void OwnerDispatcher::endRequest(Shard &shard, Outcome outcome) {
+  std::optional<PendingRequest> work;
   {
     std::lock_guard<std::mutex> guard(shard.Lock);
     auto it = shard.Requests.find(outcome.Request);
@@ -365,7 +369,7 @@
     Flows.forget(work->Head.Flow);
   if (outcome.Server.empty())
     outcome.Server = work->Server;
-  Watch.endSpan(
+  TelemetrySink.endSpan(
       {"owner", work->Parent, work->Head.Trace, work->Start,
        Time.now() - work->Start, shard.Id, work->Server, outcome.Request,
        absl::StrCat(endingName(outcome.How), " ", reasonName(outcome.Why)),
@@ -373,24 +377,24 @@
   report(work->From, std::move(outcome));
 }
 
-void OwnerPart::report(const EntryVm &to, Outcome outcome) {
+void OwnerDispatcher::report(const EntryVm &to, Outcome outcome) {
   const absl::Status status =
       Sender.send(to, OutcomeReport{std::move(outcome)});
   if (!status.ok())
-    Watch.failed(Part::Owner, status);
+    TelemetrySink.recordError(Part::Owner, status);
 }
 
-void OwnerPart::askHealth(Shard &shard, TimePoint now) {
+void OwnerDispatcher::probeHealth(Shard &shard, TimePoint now) {
   std::lock_guard<std::mutex> guard(shard.Lock);
-  if (now - shard.HealthAskedAt < Settings.HealthPeriod)
+  if (now - shard.LastHealthProbeAt < Settings.HealthPeriod)
     return;
-  shard.HealthAskedAt = now;
+  shard.LastHealthProbeAt = now;
   Message question;
   question.Target = "/balsamrack/health";
   for (const auto &[id, server] : shard.Servers) {
     Envelope head;
     head.Request.Value =
-        HealthMark |
+        HealthRequestIdPrefix |
         (combineHash(shard.Id.hash(), ++shard.HealthSequence) >> 16);
     head.Kind = Semantics::Idempotent;
     Link.dispatch(server, head, question, HealthTimeout,
--- a/Balsamrack/Daemon/OwnerPart.h
+++ b/Balsamrack/Daemon/OwnerDispatcher.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_DAEMON_OWNERPART_H
-#define BALSAMRACK_DAEMON_OWNERPART_H
+#ifndef BALSAMRACK_DAEMON_OWNERDISPATCHER_H
+#define BALSAMRACK_DAEMON_OWNERDISPATCHER_H
 
 #include <functional>
 #include <map>
@@ -24,7 +24,7 @@
 using OwnedServers = std::map<ServiceId, ServersChanged>;
 
 /// Settings of an OwnerPart.
-struct OwnerPartSettings {
+struct OwnerDispatcherSettings {
   OwnerSettings Limits;             ///< For each service's owner.
   Duration HealthPeriod{1'000'000}; ///< Between health questions to a server.
   uint64_t Seed = 1;                ///< Differs from run to run.
@@ -33,17 +33,17 @@
 
 /// The owner of some backend servers: all work for them goes through here. One
 /// shard a service, each with a ServiceOwner under its own lock.
-class OwnerPart {
+class OwnerDispatcher {
 public:
   using ConditionSink = std::function<void(const ServerCondition &)>;
 
   /// Precondition: all references outlive the result. \p onCondition is called
   /// without a lock held. Thread-safe.
-  OwnerPart(const OwnerPartSettings &settings, const Clock &clock,
-            const OwnershipFence &fence, OwnerFlows &flows, ServerLink &link,
-            PeerSender &sender, Telemetry &telemetry,
-            ConditionSink onCondition);
-  ~OwnerPart();
+  OwnerDispatcher(const OwnerDispatcherSettings &settings, const Clock &clock,
+                  const OwnershipFence &fence, OwnerFlows &flows,
+                  ServerLink &link, PeerSender &sender, Telemetry &telemetry,
+                  ConditionSink onCondition);
+  ~OwnerDispatcher();
 
   /// An entry passes a request on. Each leads to exactly one OutcomeReport to
   /// \p from. Thread-safe.
@@ -66,34 +66,34 @@
   std::vector<ServerReport> report() const;
   /// True right before a dispatch may leave: asked by the link's threads.
   /// Thread-safe.
-  bool mayLeave() const { return Fence.mayDispatch(Time.now()); }
+  bool mayDispatch() const { return Fence.mayDispatch(Time.now()); }
 
 private:
-  struct Work;
+  struct PendingRequest;
   struct Shard;
 
   Shard &shardOf(const ServiceId &service);
   std::vector<Shard *> allShards() const;
-  std::vector<OwnerAction> decide(Shard &shard, const OwnerEvent &event);
+  std::vector<OwnerAction> stepOwner(Shard &shard, const OwnerEvent &event);
   void step(Shard &shard, const OwnerEvent &event);
   void performAll(Shard &shard, std::vector<OwnerAction> actions);
-  void tellAuthority(Shard &shard, bool mayDispatch);
+  void updateAuthority(Shard &shard, bool mayDispatch);
   void dispatch(Shard &shard, const StartDispatch &action);
   void perform(Shard &shard, OwnerAction action);
   void onDispatchEnded(Shard &shard, RequestId request, const ServerId &server,
                        TimePoint start, const std::string &span,
                        DispatchResult result);
-  void end(Shard &shard, Outcome outcome);
+  void endRequest(Shard &shard, Outcome outcome);
   void report(const EntryVm &to, Outcome outcome);
-  void askHealth(Shard &shard, TimePoint now);
+  void probeHealth(Shard &shard, TimePoint now);
 
-  const OwnerPartSettings Settings;
+  const OwnerDispatcherSettings Settings;
   const Clock &Time;
   const OwnershipFence &Fence;
   OwnerFlows &Flows;
   ServerLink &Link;
   PeerSender &Sender;
-  Telemetry &Watch;
+  Telemetry &TelemetrySink;
   const ConditionSink OnCondition;
   mutable std::mutex ShardsLock; ///< Guards Shards; held while none is locked.
   std::map<ServiceId, std::unique_ptr<Shard>> Shards; ///< Never shrinks.
@@ -101,4 +101,4 @@
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_DAEMON_OWNERPART_H
+#endif // BALSAMRACK_DAEMON_OWNERDISPATCHER_H
--- a/Balsamrack/Daemon/StatePart.cpp
+++ b/Balsamrack/Daemon/PacketControlPlane.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Daemon/StatePart.h"
+#include "Balsamrack/Daemon/PacketControlPlane.h"
 
 #include <poll.h>
 
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr Duration FiguresPeriod{1'000'000};
+constexpr Duration MetricsPeriod{1'000'000};
 /// The loop looks around at least so often.
-constexpr Duration MostWait{250'000};
+constexpr Duration MaxPollWait{250'000};
 constexpr int64_t MicrosPerMilli = 1000;
 /// Guards against changes that come one by one by the hundred, at a start of
 /// the fleet or in a release: each update goes through all daemons or servers.
@@ -24,7 +24,7 @@
 /// Changes that get a line each, of one listing or of the members in one
 /// UpdatePeriod; a line that counts stands for more. Formatting thousands would
 /// delay the start of a daemon on a tenth of a core.
-constexpr size_t MostLoggedChanges = 16;
+constexpr size_t MaxLoggedChanges = 16;
 constexpr std::array<const char *, 4> MemberStateNames = {"alive", "suspect",
                                                           "dead", "left"};
 
@@ -45,34 +45,36 @@
 
 } // namespace
 
-absl::StatusOr<std::unique_ptr<StatePart>>
-StatePart::create(const EntryVm &self, const std::vector<EntryVm> &seeds,
-                  Incarnation run, uint64_t seed,
-                  std::unique_ptr<DatagramPeers> peers, PublishedSource &source,
-                  const Clock &clock, PacketTelemetry &telemetry,
-                  StateListener &listener) {
-  std::unique_ptr<StatePart> part(new StatePart(
+absl::StatusOr<std::unique_ptr<PacketControlPlane>> PacketControlPlane::create(
+    const EntryVm &self, const std::vector<EntryVm> &seeds, Incarnation run,
+    uint64_t seed, std::unique_ptr<DatagramPeers> peers,
+    PublishedSource &source, const Clock &clock, PacketTelemetry &telemetry,
+    PacketControlListener &listener) {
+  std::unique_ptr<PacketControlPlane> part(new PacketControlPlane(
       self, run, seed, std::move(peers), source, clock, telemetry, listener));
   part->Seeds = seeds;
   absl::Status status = part->startMembership();
   if (!status.ok())
     return status;
-  part->Loop = std::thread([raw = part.get()] { raw->run(); });
+  part->Thread = std::thread([raw = part.get()] { raw->run(); });
   return part;
 }
 
-StatePart::StatePart(const EntryVm &self, Incarnation run, uint64_t seed,
-                     std::unique_ptr<DatagramPeers> peers,
-                     PublishedSource &source, const Clock &clock,
-                     PacketTelemetry &telemetry, StateListener &listener)
+PacketControlPlane::PacketControlPlane(const EntryVm &self, Incarnation run,
+                                       uint64_t seed,
+                                       std::unique_ptr<DatagramPeers> peers,
+                                       PublishedSource &source,
+                                       const Clock &clock,
+                                       PacketTelemetry &telemetry,
+                                       PacketControlListener &listener)
     : Self(self), Run(run), Random(seed), Peers(std::move(peers)),
-      Source(source), Time(clock), Watch(telemetry), Listener(listener),
+      Source(source), Time(clock), TelemetrySink(telemetry), Listener(listener),
       Tasks(std::make_shared<TaskQueue>()),
       Exchange(StateExchangeSettings(), self, Random) {}
 
-StatePart::~StatePart() { stop(); }
+PacketControlPlane::~PacketControlPlane() { stop(); }
 
-absl::Status StatePart::startMembership() {
+absl::Status PacketControlPlane::startMembership() {
   auto members =
       Membership::create(packetMembership(), Self, Run, Random.next());
   if (!members.ok())
@@ -81,43 +83,43 @@
   return absl::OkStatus();
 }
 
-void StatePart::stop() {
+void PacketControlPlane::stop() {
   if (Stopping.exchange(true))
     return;
   Tasks->post([](TimePoint) {});
-  if (Loop.joinable())
-    Loop.join();
+  if (Thread.joinable())
+    Thread.join();
   Tasks->close();
 }
 
-void StatePart::addSeeds(const std::vector<EntryVm> &seeds) {
+void PacketControlPlane::addSeeds(const std::vector<EntryVm> &seeds) {
   Tasks->post([this, seeds](TimePoint now) {
     Seeds = seeds;
     stepMembership(now, balsamrack::Seeds{seeds});
   });
 }
 
-void StatePart::requestAfterPause() {
+void PacketControlPlane::requestAfterPause() {
   Tasks->post([this](TimePoint now) {
-    AwaitsRefresh = true;
+    AwaitingRefresh = true;
     runExchange(now, Exchange.requestAfterPause(now));
   });
 }
 
-void StatePart::leave() {
+void PacketControlPlane::announceLeaving() {
   Tasks->post(
       [this](TimePoint now) { stepMembership(now, MembershipLeaving{}); });
 }
 
-void StatePart::wait() {
+void PacketControlPlane::wait() {
   pollfd polled[] = {{Peers->fd(), POLLIN, 0}, {Tasks->fd(), POLLIN, 0}};
   TimePoint now = Time.now();
   TimePoint until =
-      std::min({now + MostWait, Exchange.nextWakeup(), Book.nextChange()});
+      std::min({now + MaxPollWait, Exchange.nextWakeup(), Book.nextChange()});
   if (RoutesDue && Exchange.store().complete())
-    until = std::min(until, NextRoutes);
+    until = std::min(until, NextRoutesAt);
   if (MembersDue)
-    until = std::min(until, NextMembers);
+    until = std::min(until, NextMembersAt);
   if (auto next = Members->nextWakeup())
     until = std::min(until, *next);
   int64_t micros = std::max<int64_t>(0, (until - now).count());
@@ -125,26 +127,26 @@
        static_cast<int>((micros + MicrosPerMilli - 1) / MicrosPerMilli));
 }
 
-void StatePart::run() {
+void PacketControlPlane::run() {
   stepMembership(Time.now(), balsamrack::Seeds{Seeds});
   while (!Stopping) {
     TimePoint now = Time.now();
-    for (const TaskQueue::Task &task : Tasks->take())
+    for (const TaskQueue::Task &task : Tasks->dequeueAll())
       task(now);
     Peers->receive([&](const Address &from, PeerMessage message) {
-      received(now, from, std::move(message));
+      handleMessage(now, from, std::move(message));
     });
     stepMembership(now, MembershipTicked{});
     publishMembers(now);
     runExchange(now, Exchange.tick(now));
     publishRoutes(now);
-    publishFigures(now);
+    publishMetrics(now);
     wait();
   }
   stepMembership(Time.now(), MembershipLeft{});
 }
 
-EntryVm StatePart::senderOf(const Address &from) const {
+EntryVm PacketControlPlane::senderOf(const Address &from) const {
   VmId id(from.Ip);
   auto it = Members->members().find(id);
   if (it != Members->members().end())
@@ -152,8 +154,8 @@
   return EntryVm{id, DomainId(), from, false};
 }
 
-void StatePart::received(TimePoint now, const Address &from,
-                         PeerMessage message) {
+void PacketControlPlane::handleMessage(TimePoint now, const Address &from,
+                                       PeerMessage message) {
   EntryVm sender = senderOf(from);
   if (auto *ping = std::get_if<Ping>(&message)) {
     stepMembership(now, MessageReceived{ping->Sender.Vm, std::move(*ping)});
@@ -164,27 +166,28 @@
       sender = ack->Sender.Vm;
     stepMembership(now, MessageReceived{sender, std::move(*ack)});
   } else if (const auto *offer = std::get_if<PublishedDigest>(&message)) {
-    noteRefreshed();
+    notifyIfRefreshed();
     runExchange(now, Exchange.handleDigest(now, sender, *offer));
   } else if (const auto *asked = std::get_if<PublishedRequest>(&message)) {
     runExchange(now, Exchange.handleRequest(now, sender, *asked));
   } else if (const auto *update = std::get_if<PublishedUpdate>(&message)) {
-    noteRefreshed();
+    notifyIfRefreshed();
     runExchange(now, Exchange.handleUpdate(now, sender, *update));
   }
 }
 
-void StatePart::noteRefreshed() {
-  if (std::exchange(AwaitsRefresh, false))
-    Listener.refreshed();
+void PacketControlPlane::notifyIfRefreshed() {
+  if (std::exchange(AwaitingRefresh, false))
+    Listener.onRefreshed();
 }
 
-void StatePart::stepMembership(TimePoint now, const MembershipEvent &event) {
+void PacketControlPlane::stepMembership(TimePoint now,
+                                        const MembershipEvent &event) {
   for (const MembershipAction &it : Members->step(now, event))
-    onMembership(it);
+    onMembershipAction(it);
 }
 
-void StatePart::onMembership(const MembershipAction &action) {
+void PacketControlPlane::onMembershipAction(const MembershipAction &action) {
   if (const auto *to = std::get_if<SendTo>(&action)) {
     std::visit([&](const auto &content) { send(to->To, content); },
                to->Content);
@@ -196,58 +199,60 @@
     // day, from which the number was taken, has gone back. There is one
     // process at an address, so this one takes the next number.
     Incarnation next{later->Record.Run.Value + 1};
-    Tasks->post([this, next](TimePoint at) { restartAs(at, next); });
+    Tasks->post([this, next](TimePoint at) { restartMembership(at, next); });
   }
 }
 
-void StatePart::logMember(const MemberChanged &changed) {
+void PacketControlPlane::logMember(const MemberChanged &changed) {
   const MemberRecord &record = changed.Record;
   auto state = static_cast<size_t>(record.State);
-  if (LoggedMembers >= MostLoggedChanges) {
-    ++UnloggedMembers[state];
+  if (LoggedMemberChanges >= MaxLoggedChanges) {
+    ++SuppressedMemberChanges[state];
     return;
   }
-  ++LoggedMembers;
-  Watch.log(LogLine(Part::Membership, Severity::Info, "member-changed")
-                .text("vm", record.Vm.Id.str())
-                .text("domain", record.Vm.Domain.str())
-                .text("state", MemberStateNames[state])
-                .flag("unreachable", changed.Unreachable)
-                .flag("leaving", record.Vm.Leaving)
-                .number("run", record.Run.Value));
+  ++LoggedMemberChanges;
+  TelemetrySink.log(LogLine(Part::Membership, Severity::Info, "member-changed")
+                        .text("vm", record.Vm.Id.str())
+                        .text("domain", record.Vm.Domain.str())
+                        .text("state", MemberStateNames[state])
+                        .flag("unreachable", changed.Unreachable)
+                        .flag("leaving", record.Vm.Leaving)
+                        .number("run", record.Run.Value));
 }
 
-void StatePart::logUnloggedMembers() {
-  LoggedMembers = 0;
-  if (std::all_of(UnloggedMembers.begin(), UnloggedMembers.end(),
+void PacketControlPlane::logSuppressedMembers() {
+  LoggedMemberChanges = 0;
+  if (std::all_of(SuppressedMemberChanges.begin(),
+                  SuppressedMemberChanges.end(),
                   [](uint64_t n) { return n == 0; }))
     return;
   LogLine line(Part::Membership, Severity::Info, "more-members-changed");
   for (size_t i = 0; i < MemberStateNames.size(); ++i)
-    line.number(MemberStateNames[i], UnloggedMembers[i]);
-  Watch.log(line);
-  UnloggedMembers.fill(0);
+    line.number(MemberStateNames[i], SuppressedMemberChanges[i]);
+  TelemetrySink.log(line);
+  SuppressedMemberChanges.fill(0);
 }
 
-void StatePart::restartAs(TimePoint now, Incarnation run) {
+void PacketControlPlane::restartMembership(TimePoint now, Incarnation run) {
   if (run <= Run)
     return;
   Run = run;
   absl::Status status = startMembership();
   if (!status.ok()) {
-    Watch.failed(Part::Membership, "membership-not-restarted", status);
+    TelemetrySink.logError(Part::Membership, "membership-not-restarted",
+                           status);
     return;
   }
   stepMembership(now, balsamrack::Seeds{Seeds});
   MembersDue = true;
 }
 
-void StatePart::publishMembers(TimePoint now) {
-  if (!MembersDue || now < NextMembers)
+void PacketControlPlane::publishMembers(TimePoint now) {
+  if (!MembersDue || now < NextMembersAt)
     return;
   MembersDue = false;
-  NextMembers = now + UpdatePeriod;
-  logUnloggedMembers();
+  NextMembersAt = now + UpdatePeriod;
+  logSuppressedMembers();
   std::vector<EntryVm> peers;
   std::vector<std::pair<DomainId, VmId>> order;
   for (const auto &[id, member] : Members->members()) {
@@ -265,29 +270,29 @@
   LivePeers = peers.size();
   Exchange.setPeers(peers);
   if (self != order.end())
-    Listener.fleetChanged(order.size(),
-                          static_cast<size_t>(self - order.begin()));
+    Listener.onFleetChanged(order.size(),
+                            static_cast<size_t>(self - order.begin()));
 }
 
-void StatePart::send(const EntryVm &to, const PeerMessage &message) {
+void PacketControlPlane::send(const EntryVm &to, const PeerMessage &message) {
   absl::Status status = Peers->send(to.PeerAt, message);
   if (!status.ok())
-    Watch.failed(Part::Peers, "send-failed", status);
+    TelemetrySink.logError(Part::Peers, "send-failed", status);
 }
 
-void StatePart::sendAll(const std::vector<EntryVm> &to,
-                        const PeerMessage &message) {
+void PacketControlPlane::sendAll(const std::vector<EntryVm> &to,
+                                 const PeerMessage &message) {
   std::vector<Address> addresses;
   addresses.reserve(to.size());
   for (const EntryVm &it : to)
     addresses.push_back(it.PeerAt);
   absl::Status status = Peers->sendAll(addresses, message);
   if (!status.ok())
-    Watch.failed(Part::Peers, "send-failed", status);
+    TelemetrySink.logError(Part::Peers, "send-failed", status);
 }
 
-void StatePart::runExchange(TimePoint now,
-                            const std::vector<StateExchangeAction> &actions) {
+void PacketControlPlane::runExchange(
+    TimePoint now, const std::vector<StateExchangeAction> &actions) {
   for (const StateExchangeAction &action : actions) {
     if (const auto *to = std::get_if<SendStateMessage>(&action)) {
       std::visit([&](const auto &what) { sendAll(to->To, what); }, to->What);
@@ -296,37 +301,41 @@
     } else if (const auto *changed = std::get_if<StateChanged>(&action)) {
       handleStateChange(now, *changed);
     } else if (const auto *source = std::get_if<SourceChanged>(&action)) {
-      Watch.log(LogLine(Part::Platform,
-                        source->Good ? Severity::Info : Severity::Warning,
-                        source->Good ? "source-regained" : "source-lost")
-                    .text("section", sectionName(source->Section))
-                    .text("error", source->Error));
+      TelemetrySink.log(
+          LogLine(Part::Platform,
+                  source->Good ? Severity::Info : Severity::Warning,
+                  source->Good ? "source-regained" : "source-lost")
+              .text("section", sectionName(source->Section))
+              .text("error", source->Error));
     }
   }
   Complete = Exchange.store().complete();
 }
 
-void StatePart::startRead(const PublishedRead &read) {
+void PacketControlPlane::startRead(const PublishedRead &read) {
   // The answer may come after this part has ended; then the queue is closed,
   // and the task, with its pointer to this part, is never run.
   auto done = [this, read,
                tasks = Tasks](absl::StatusOr<PublishedChanges> result) {
     tasks->post([this, read, result = std::move(result)](TimePoint now) {
-      readEnded(now, read, result);
+      onReadEnded(now, read, result);
     });
   };
   Source.read(read, std::move(done));
 }
 
-void StatePart::readEnded(TimePoint now, const PublishedRead &read,
-                          const absl::StatusOr<PublishedChanges> &result) {
-  Watch.readEnded(read.Section, read.After == Revision{}, result.status());
+void PacketControlPlane::onReadEnded(
+    TimePoint now, const PublishedRead &read,
+    const absl::StatusOr<PublishedChanges> &result) {
+  TelemetrySink.recordRead(read.Section, read.After == Revision{},
+                           result.status());
   if (result.ok())
-    noteRefreshed();
+    notifyIfRefreshed();
   runExchange(now, Exchange.readEnded(now, read, result));
 }
 
-void StatePart::logChange(const PublishedObject &object, const VmId &from) {
+void PacketControlPlane::logChange(const PublishedObject &object,
+                                   const VmId &from) {
   LogLine line(Part::Reader, Severity::Info, "published-changed");
   line.text("section", sectionName(object.Section))
       .text("object", object.Name)
@@ -347,13 +356,13 @@
         .millis("cold_ms", (*server)->ColdLeft);
   else
     line.text("state", object.gone() ? "gone" : "domain-out");
-  Watch.log(line);
+  TelemetrySink.log(line);
 }
 
-void StatePart::logChanges(const StateChanged &changed) {
+void PacketControlPlane::logChanges(const StateChanged &changed) {
   auto gone = std::count_if(changed.Changed.begin(), changed.Changed.end(),
                             [](const auto &it) { return it.gone(); });
-  Watch.log(
+  TelemetrySink.log(
       LogLine(Part::Reader, Severity::Info, "many-published-changed")
           .text("section", sectionName(changed.Section))
           .number("objects", changed.Changed.size())
@@ -363,8 +372,9 @@
           .text("from", changed.From.empty() ? "source" : changed.From.str()));
 }
 
-void StatePart::handleStateChange(TimePoint now, const StateChanged &changed) {
-  if (changed.Changed.size() <= MostLoggedChanges)
+void PacketControlPlane::handleStateChange(TimePoint now,
+                                           const StateChanged &changed) {
+  if (changed.Changed.size() <= MaxLoggedChanges)
     for (const PublishedObject &object : changed.Changed)
       logChange(object, changed.From);
   else
@@ -376,22 +386,22 @@
   RoutesDue = true;
 }
 
-void StatePart::publishRoutes(TimePoint now) {
-  bool due = (RoutesDue && now >= NextRoutes) || now >= Book.nextChange();
+void PacketControlPlane::publishRoutes(TimePoint now) {
+  bool due = (RoutesDue && now >= NextRoutesAt) || now >= Book.nextChange();
   if (!due || !Exchange.store().complete())
     return;
   RoutesDue = false;
-  NextRoutes = now + UpdatePeriod;
-  Listener.routesChanged(Book.snapshot(now));
+  NextRoutesAt = now + UpdatePeriod;
+  Listener.onRoutesChanged(Book.snapshot(now));
 }
 
-void StatePart::publishFigures(TimePoint now) {
-  if (now < NextFigures)
+void PacketControlPlane::publishMetrics(TimePoint now) {
+  if (now < NextMetricsAt)
     return;
-  NextFigures = now + FiguresPeriod;
-  Watch.setPeers(Peers->counters(), LivePeers);
+  NextMetricsAt = now + MetricsPeriod;
+  TelemetrySink.setPeerMetrics(Peers->counters(), LivePeers);
   for (auto section : {PublishedSection::Operators, PublishedSection::Servers})
-    Watch.setAge(section, now - Exchange.provedAt(section));
+    TelemetrySink.setPublishedAge(section, now - Exchange.provedAt(section));
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/StatePart.h
+++ b/Balsamrack/Daemon/PacketControlPlane.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_DAEMON_STATEPART_H
-#define BALSAMRACK_DAEMON_STATEPART_H
+#ifndef BALSAMRACK_DAEMON_PACKETCONTROLPLANE_H
+#define BALSAMRACK_DAEMON_PACKETCONTROLPLANE_H
 
 #include <array>
 #include <atomic>
@@ -19,33 +19,33 @@
 namespace balsamrack {
 
 /// Gets what a StatePart finds out. Called on its thread; must not block.
-class StateListener {
+class PacketControlListener {
 public:
-  virtual ~StateListener() = default;
+  virtual ~PacketControlListener() = default;
   /// Where packets may go has changed.
-  virtual void routesChanged(std::shared_ptr<const PacketRoutes> routes) = 0;
+  virtual void onRoutesChanged(std::shared_ptr<const PacketRoutes> routes) = 0;
   /// There are \p daemons, and this one is number \p self in the order of
   /// failure domain and id.
-  virtual void fleetChanged(size_t daemons, size_t self) = 0;
+  virtual void onFleetChanged(size_t daemons, size_t self) = 0;
   /// Updates came in after a pause.
-  virtual void refreshed() = 0;
+  virtual void onRefreshed() = 0;
 };
 
 /// The thread that knows who is there and what is published: membership, the
 /// state exchange and the book of routes, with the socket for peers. Public
 /// methods are thread-safe.
-class StatePart {
+class PacketControlPlane {
 public:
   /// Starts the thread. \p run orders the lives of this VM. Error as of
   /// Membership::create. Preconditions: all references outlive the part.
-  static absl::StatusOr<std::unique_ptr<StatePart>>
+  static absl::StatusOr<std::unique_ptr<PacketControlPlane>>
   create(const EntryVm &self, const std::vector<EntryVm> &seeds,
          Incarnation run, uint64_t seed, std::unique_ptr<DatagramPeers> peers,
          PublishedSource &source, const Clock &clock,
-         PacketTelemetry &telemetry, StateListener &listener);
-  StatePart(const StatePart &) = delete;
-  StatePart &operator=(const StatePart &) = delete;
-  ~StatePart();
+         PacketTelemetry &telemetry, PacketControlListener &listener);
+  PacketControlPlane(const PacketControlPlane &) = delete;
+  PacketControlPlane &operator=(const PacketControlPlane &) = delete;
+  ~PacketControlPlane();
 
   /// True once something is known of everything that is published.
   bool complete() const { return Complete.load(); }
@@ -54,39 +54,40 @@
   /// This process was paused.
   void requestAfterPause();
   /// This daemon will end soon: peers shall not count on it.
-  void leave();
+  void announceLeaving();
   /// Announces that it leaves and ends the thread. Idempotent.
   void stop();
 
 private:
-  StatePart(const EntryVm &self, Incarnation run, uint64_t seed,
-            std::unique_ptr<DatagramPeers> peers, PublishedSource &source,
-            const Clock &clock, PacketTelemetry &telemetry,
-            StateListener &listener);
+  PacketControlPlane(const EntryVm &self, Incarnation run, uint64_t seed,
+                     std::unique_ptr<DatagramPeers> peers,
+                     PublishedSource &source, const Clock &clock,
+                     PacketTelemetry &telemetry,
+                     PacketControlListener &listener);
 
   absl::Status startMembership();
   void run();
   void wait();
-  void received(TimePoint now, const Address &from, PeerMessage message);
+  void handleMessage(TimePoint now, const Address &from, PeerMessage message);
   void stepMembership(TimePoint now, const MembershipEvent &event);
-  void onMembership(const MembershipAction &action);
-  void restartAs(TimePoint now, Incarnation run);
+  void onMembershipAction(const MembershipAction &action);
+  void restartMembership(TimePoint now, Incarnation run);
   void runExchange(TimePoint now,
                    const std::vector<StateExchangeAction> &actions);
   void startRead(const PublishedRead &read);
-  void readEnded(TimePoint now, const PublishedRead &read,
-                 const absl::StatusOr<PublishedChanges> &result);
+  void onReadEnded(TimePoint now, const PublishedRead &read,
+                   const absl::StatusOr<PublishedChanges> &result);
   void handleStateChange(TimePoint now, const StateChanged &changed);
   void logMember(const MemberChanged &changed);
-  void logUnloggedMembers();
+  void logSuppressedMembers();
   void logChanges(const StateChanged &changed);
   void logChange(const PublishedObject &object, const VmId &from);
   void publishMembers(TimePoint now);
-  void noteRefreshed();
+  void notifyIfRefreshed();
   void send(const EntryVm &to, const PeerMessage &message);
   void sendAll(const std::vector<EntryVm> &to, const PeerMessage &message);
   void publishRoutes(TimePoint now);
-  void publishFigures(TimePoint now);
+  void publishMetrics(TimePoint now);
   EntryVm senderOf(const Address &from) const;
 
   const EntryVm Self;
@@ -95,8 +96,8 @@
   const std::unique_ptr<DatagramPeers> Peers;
   PublishedSource &Source;
   const Clock &Time;
-  PacketTelemetry &Watch;
-  StateListener &Listener;
+  PacketTelemetry &TelemetrySink;
+  PacketControlListener &Listener;
   const std::shared_ptr<TaskQueue> Tasks; ///< For the thread.
 
   // The thread's own.
@@ -104,21 +105,23 @@
   std::unique_ptr<Membership> Members;
   StateExchange Exchange;
   RouteBook Book;
-  bool RoutesDue = true;      ///< A snapshot is to be made once all is known.
-  TimePoint NextRoutes;       ///< Not before; see UpdatePeriod.
-  bool MembersDue = true;     ///< The live daemons have changed.
-  TimePoint NextMembers;      ///< Not before; see UpdatePeriod.
-  bool AwaitsRefresh = false; ///< A pause has ended, and no updates came since.
-  TimePoint NextFigures;
+  bool RoutesDue = true;   ///< A snapshot is to be made once all is known.
+  TimePoint NextRoutesAt;  ///< Not before; see UpdatePeriod.
+  bool MembersDue = true;  ///< The live daemons have changed.
+  TimePoint NextMembersAt; ///< Not before; see UpdatePeriod.
+  bool AwaitingRefresh =
+      false; ///< A pause has ended, and no updates came since.
+  TimePoint NextMetricsAt;
   size_t LivePeers = 0;
-  size_t LoggedMembers = 0; ///< Changes with a line since NextMembers was set.
-  std::array<uint64_t, 4> UnloggedMembers{}; ///< The others, by state.
+  size_t LoggedMemberChanges =
+      0; ///< Changes with a line since NextMembers was set.
+  std::array<uint64_t, 4> SuppressedMemberChanges{}; ///< The others, by state.
 
   std::atomic<bool> Complete{false};
   std::atomic<bool> Stopping{false};
-  std::thread Loop;
+  std::thread Thread;
 };
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_DAEMON_STATEPART_H
+#endif // BALSAMRACK_DAEMON_PACKETCONTROLPLANE_H
--- a/Balsamrack/Daemon/PacketDaemon.cpp
+++ b/Balsamrack/Daemon/PacketDaemon.cpp
@@ -15,15 +15,15 @@
 
 /// The fabric asks twice a second and takes a daemon out after two misses; half
 /// a second more for an answer under way.
-constexpr Duration LeastLinger{1'600'000};
+constexpr Duration MinLinger{1'600'000};
 /// Left of the grace time for the end itself.
-constexpr Duration EndMargin{1'000'000};
+constexpr Duration ShutdownMargin{1'000'000};
 /// No packet for so long: nobody sends here any more.
-constexpr Duration QuietSpan{400'000};
-constexpr Duration LingerStep{50'000};
+constexpr Duration QuietPeriod{400'000};
+constexpr Duration LingerPollPeriod{50'000};
 
 /// Whoever reaches the metrics' address may read there; nothing can be changed.
-constexpr const char *Everybody = "0.0.0.0/0";
+constexpr const char *AnyAddress = "0.0.0.0/0";
 
 HttpListenerSettings portAt(const Address &at) {
   HttpListenerSettings settings;
@@ -36,7 +36,7 @@
 
 /// Orders the lives of a VM that keeps nothing. A time of day that goes back is
 /// noticed by the peers (StatePart).
-Incarnation newRun() {
+Incarnation newIncarnation() {
   auto now = std::chrono::system_clock::now().time_since_epoch();
   return {static_cast<uint64_t>(
       std::chrono::duration_cast<std::chrono::microseconds>(now).count())};
@@ -45,27 +45,31 @@
 } // namespace
 
 absl::StatusOr<std::unique_ptr<PacketDaemon>>
-PacketDaemon::create(const PacketSettings &settings, const Parts &parts) {
-  std::unique_ptr<PacketDaemon> daemon(new PacketDaemon(settings, parts));
+PacketDaemon::create(const PacketSettings &settings,
+                     const Dependencies &dependencies) {
+  std::unique_ptr<PacketDaemon> daemon(
+      new PacketDaemon(settings, dependencies));
   absl::Status status = daemon->start();
   if (!status.ok())
     return status;
   return daemon;
 }
 
-PacketDaemon::PacketDaemon(const PacketSettings &settings, const Parts &parts)
-    : Settings(settings), Given(parts), Watch(parts.Time, parts.Log) {}
+PacketDaemon::PacketDaemon(const PacketSettings &settings,
+                           const Dependencies &dependencies)
+    : Settings(settings), Deps(dependencies),
+      TelemetrySink(dependencies.Time, dependencies.Log) {}
 
 PacketDaemon::~PacketDaemon() {
   if (ReadyPort)
     ReadyPort->stop();
   if (MetricsPort)
     MetricsPort->stop();
-  if (State)
-    State->stop();
-  Given.Source.cancelAll();
-  if (Lane)
-    Lane->stop();
+  if (Control)
+    Control->stop();
+  Deps.Source.cancelAll();
+  if (Forwarder)
+    Forwarder->stop();
 }
 
 absl::Status PacketDaemon::start() {
@@ -75,22 +79,23 @@
   auto peers = DatagramPeers::open(Settings.Peers);
   if (!peers.ok())
     return peers.status();
-  Incarnation run = newRun();
+  Incarnation run = newIncarnation();
   uint64_t seed = combineHash(Settings.self().Id.hash(), run.Value);
   PacketRouterSettings router;
   router.Domain = Settings.Domain;
   router.MaxFlows = Settings.MaxFlows;
-  Lane = std::make_unique<PacketLane>(router, Given.Codec, *std::move(socket),
-                                      Given.Time, seed, Watch, [this] {
-                                        if (State)
-                                          State->requestAfterPause();
-                                      });
-  auto state = StatePart::create(Settings.self(), Settings.seedPeers(), run,
-                                 seed + 1, *std::move(peers), Given.Source,
-                                 Given.Time, Watch, *this);
+  Forwarder =
+      std::make_unique<PacketForwarder>(router, Deps.Codec, *std::move(socket),
+                                        Deps.Time, seed, TelemetrySink, [this] {
+                                          if (Control)
+                                            Control->requestAfterPause();
+                                        });
+  auto state = PacketControlPlane::create(
+      Settings.self(), Settings.seedPeers(), run, seed + 1, *std::move(peers),
+      Deps.Source, Deps.Time, TelemetrySink, *this);
   if (!state.ok())
     return state.status();
-  State = *std::move(state);
+  Control = *std::move(state);
   auto ready =
       HttpListener::create(portAt(Settings.Ready),
                            [this](const std::string &, const Message &message) {
@@ -101,9 +106,10 @@
   ReadyPort = *std::move(ready);
   if (Settings.Metrics.Port == 0)
     return absl::OkStatus();
-  Operators = std::make_unique<PacketOperatorPart>(Settings, *Lane, Watch);
+  Operators = std::make_unique<PacketOperatorHandler>(Settings, *Forwarder,
+                                                      TelemetrySink);
   auto metrics =
-      OperatorPort::create(Settings.Metrics, {Everybody}, *Operators);
+      OperatorPort::create(Settings.Metrics, {AnyAddress}, *Operators);
   if (!metrics.ok())
     return metrics.status();
   MetricsPort = *std::move(metrics);
@@ -115,7 +121,7 @@
   // then cut off: its daemons can reach no server, and would refuse their
   // callers for as long as the cut lasts. Not ready, they leave them to daemons
   // of other domains, which the fabric can still reach.
-  return HasRoutes && !Leaving && Lane->provedReach();
+  return HasRoutes && !Leaving && Forwarder->isReachabilityConfirmed();
 }
 
 Answer PacketDaemon::answerReady(const Message &message) const {
@@ -124,49 +130,51 @@
   return {ready() ? HttpOk : HttpUnavailable, {}, ""};
 }
 
-void PacketDaemon::routesChanged(std::shared_ptr<const PacketRoutes> routes) {
-  Lane->setRoutes(std::move(routes));
+void PacketDaemon::onRoutesChanged(std::shared_ptr<const PacketRoutes> routes) {
+  Forwarder->setRoutes(std::move(routes));
   if (!HasRoutes.exchange(true))
-    Watch.log(LogLine(Part::Daemon, Severity::Info, "ready"));
+    TelemetrySink.log(LogLine(Part::Daemon, Severity::Info, "ready"));
 }
 
-void PacketDaemon::fleetChanged(size_t daemons, size_t self) {
-  Lane->setFleet(daemons, self);
+void PacketDaemon::onFleetChanged(size_t daemons, size_t self) {
+  Forwarder->setFleet(daemons, self);
 }
 
-void PacketDaemon::refreshed() { Lane->setFresh(); }
+void PacketDaemon::onRefreshed() { Forwarder->setFresh(); }
 
 void PacketDaemon::reload(const PacketSettings &settings) {
   bool fixed =
       settings.Packets == Settings.Packets &&
       settings.Ready == Settings.Ready && settings.Peers == Settings.Peers &&
       settings.Source == Settings.Source && settings.Domain == Settings.Domain;
-  Watch.log(LogLine(Part::Daemon, fixed ? Severity::Info : Severity::Warning,
-                    "reloaded")
-                .number("seeds", settings.Seeds.size())
-                .flag("needs_restart", !fixed));
-  State->addSeeds(settings.seedPeers());
+  TelemetrySink.log(LogLine(Part::Daemon,
+                            fixed ? Severity::Info : Severity::Warning,
+                            "reloaded")
+                        .number("seeds", settings.Seeds.size())
+                        .flag("needs_restart", !fixed));
+  Control->addSeeds(settings.seedPeers());
 }
 
 void PacketDaemon::shutDown() {
   Leaving = true;
-  Watch.log(LogLine(Part::Daemon, Severity::Info, "leaving"));
-  State->leave();
-  TimePoint began = Given.Time.now();
-  TimePoint last = began + std::max(Settings.Grace - EndMargin, Duration{0});
+  TelemetrySink.log(LogLine(Part::Daemon, Severity::Info, "leaving"));
+  Control->announceLeaving();
+  TimePoint began = Deps.Time.now();
+  TimePoint last =
+      began + std::max(Settings.Grace - ShutdownMargin, Duration{0});
   TimePoint quietSince = began;
-  uint64_t seen = Lane->received();
-  for (TimePoint now = began; now < last; now = Given.Time.now()) {
-    if (Lane->received() != seen)
+  uint64_t seen = Forwarder->received();
+  for (TimePoint now = began; now < last; now = Deps.Time.now()) {
+    if (Forwarder->received() != seen)
       quietSince = now;
-    seen = Lane->received();
-    if (now - began >= LeastLinger && now - quietSince >= QuietSpan)
+    seen = Forwarder->received();
+    if (now - began >= MinLinger && now - quietSince >= QuietPeriod)
       break;
-    std::this_thread::sleep_for(LingerStep);
+    std::this_thread::sleep_for(LingerPollPeriod);
   }
-  Watch.log(LogLine(Part::Daemon, Severity::Info, "stopped")
-                .millis("lingered_ms", Given.Time.now() - began)
-                .number("packets", seen));
+  TelemetrySink.log(LogLine(Part::Daemon, Severity::Info, "stopped")
+                        .millis("lingered_ms", Deps.Time.now() - began)
+                        .number("packets", seen));
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/PacketDaemon.h
+++ b/Balsamrack/Daemon/PacketDaemon.h
@@ -4,9 +4,9 @@
 #include <atomic>
 #include <memory>
 
-#include "Balsamrack/Daemon/PacketLane.h"
-#include "Balsamrack/Daemon/PacketOperatorPart.h"
-#include "Balsamrack/Daemon/StatePart.h"
+#include "Balsamrack/Daemon/PacketControlPlane.h"
+#include "Balsamrack/Daemon/PacketForwarder.h"
+#include "Balsamrack/Daemon/PacketOperatorHandler.h"
 #include "Balsamrack/Http/HttpListener.h"
 #include "Balsamrack/Settings/PacketSettings.h"
 
@@ -14,10 +14,10 @@
 
 /// The daemon of an entry VM on a packet carrier: takes callers' packets and
 /// passes them straight to backend servers. Public methods are thread-safe.
-class PacketDaemon final : private StateListener {
+class PacketDaemon final : private PacketControlListener {
 public:
   /// What the daemon is given by its program.
-  struct Parts {
+  struct Dependencies {
     const PacketCodec &Codec; ///< How packets look.
     PublishedSource &Source;  ///< Where operators and servers publish.
     const Clock &Time;        ///< The clock.
@@ -28,7 +28,7 @@
   /// address is taken. Preconditions: all that \p parts refers to outlives the
   /// daemon.
   static absl::StatusOr<std::unique_ptr<PacketDaemon>>
-  create(const PacketSettings &settings, const Parts &parts);
+  create(const PacketSettings &settings, const Dependencies &dependencies);
   PacketDaemon(const PacketDaemon &) = delete;
   PacketDaemon &operator=(const PacketDaemon &) = delete;
   ~PacketDaemon() override;
@@ -43,22 +43,23 @@
   void shutDown();
 
 private:
-  PacketDaemon(const PacketSettings &settings, const Parts &parts);
+  PacketDaemon(const PacketSettings &settings,
+               const Dependencies &dependencies);
   absl::Status start();
-  void routesChanged(std::shared_ptr<const PacketRoutes> routes) override;
-  void fleetChanged(size_t daemons, size_t self) override;
-  void refreshed() override;
+  void onRoutesChanged(std::shared_ptr<const PacketRoutes> routes) override;
+  void onFleetChanged(size_t daemons, size_t self) override;
+  void onRefreshed() override;
   Answer answerReady(const Message &message) const;
 
   const PacketSettings Settings;
-  const Parts Given;
-  PacketTelemetry Watch;
+  const Dependencies Deps;
+  PacketTelemetry TelemetrySink;
   std::atomic<bool> Leaving{false};
   std::atomic<bool> HasRoutes{false};
-  std::unique_ptr<PacketLane> Lane;
-  std::unique_ptr<StatePart> State;
+  std::unique_ptr<PacketForwarder> Forwarder;
+  std::unique_ptr<PacketControlPlane> Control;
   std::unique_ptr<HttpListener> ReadyPort;
-  std::unique_ptr<PacketOperatorPart> Operators;
+  std::unique_ptr<PacketOperatorHandler> Operators;
   std::unique_ptr<OperatorPort> MetricsPort;
 };
 
--- a/Balsamrack/Daemon/PacketLane.cpp
+++ b/Balsamrack/Daemon/PacketForwarder.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Daemon/PacketLane.h"
+#include "Balsamrack/Daemon/PacketForwarder.h"
 
 #include <poll.h>
 #include <sys/eventfd.h>
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr Duration FiguresPeriod{1'000'000};
+constexpr Duration MetricsPeriod{1'000'000};
 constexpr int64_t MicrosPerMilli = 1000;
 /// Batches before timers get their turn.
-constexpr int MostBatches = 8;
+constexpr int MaxBatchesPerIteration = 8;
 
 const char *modeName(const RoutedBackend &server) {
   if (server.Presence == ServerPresence::Gone)
@@ -33,67 +33,68 @@
 
 } // namespace
 
-PacketLane::PacketLane(const PacketRouterSettings &settings,
-                       const PacketCodec &codec,
-                       std::unique_ptr<PacketSocket> socket, const Clock &clock,
-                       uint64_t seed, PacketTelemetry &telemetry,
-                       OnPause onPause)
-    : Codec(codec), Socket(std::move(socket)), Time(clock), Watch(telemetry),
-      Paused(std::move(onPause)), Wake(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
-      Random(seed), Router(settings, Random), Loop([this] { run(); }) {}
-
-PacketLane::~PacketLane() {
+PacketForwarder::PacketForwarder(const PacketRouterSettings &settings,
+                                 const PacketCodec &codec,
+                                 std::unique_ptr<PacketSocket> socket,
+                                 const Clock &clock, uint64_t seed,
+                                 PacketTelemetry &telemetry, OnPause onPause)
+    : Codec(codec), Socket(std::move(socket)), Time(clock),
+      TelemetrySink(telemetry), OnPaused(std::move(onPause)),
+      WakeEvent(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)), Random(seed),
+      Router(settings, Random), Thread([this] { run(); }) {}
+
+PacketForwarder::~PacketForwarder() {
   stop();
-  close(Wake);
+  close(WakeEvent);
 }
 
-void PacketLane::stop() {
+void PacketForwarder::stop() {
   if (Stopping.exchange(true))
     return;
   wakeUp();
-  Loop.join();
+  Thread.join();
 }
 
-void PacketLane::wakeUp() {
+void PacketForwarder::wakeUp() {
   uint64_t one = 1;
   // A full counter wakes the thread as well.
-  (void)!write(Wake, &one, sizeof one);
+  (void)!write(WakeEvent, &one, sizeof one);
 }
 
-void PacketLane::setRoutes(std::shared_ptr<const PacketRoutes> routes) {
+void PacketForwarder::setRoutes(std::shared_ptr<const PacketRoutes> routes) {
   std::lock_guard<std::mutex> hold(Lock);
   Router.setRoutes(std::move(routes));
-  noteReach();
+  updateReachability();
   // Whether servers can be reached is tried at once, not when the thread looks
   // around next.
   if (!Router.provedReach())
     wakeUp();
 }
 
-void PacketLane::setFleet(size_t daemons, size_t self) {
+void PacketForwarder::setFleet(size_t daemons, size_t self) {
   std::lock_guard<std::mutex> hold(Lock);
   Router.setFleet(daemons, self);
 }
 
-void PacketLane::setFresh() {
+void PacketForwarder::setFresh() {
   std::lock_guard<std::mutex> hold(Lock);
   StaleUntil = {};
   Router.setFresh();
 }
 
-FlowExplanation PacketLane::explain(const FlowKey &key) {
+FlowExplanation PacketForwarder::explain(const FlowKey &key) {
   std::lock_guard<std::mutex> hold(Lock);
   return Router.explain(Time.now(), key);
 }
 
-LaneStatus PacketLane::status() {
+ForwarderStatus PacketForwarder::status() {
   std::lock_guard<std::mutex> hold(Lock);
   return {Router.routes() ? Router.routes()->Version : 0, Router.flows(),
           Router.daemons(), Router.silentServers()};
 }
 
-std::vector<LaneServer> PacketLane::servers() {
-  std::vector<LaneServer> all;
+std::vector<ForwarderServerStatus> PacketForwarder::servers() {
+  std::vector<ForwarderServerStatus> all;
   std::lock_guard<std::mutex> hold(Lock);
   TimePoint now = Time.now();
   const std::vector<TabledServer> &table = Router.servers().all();
@@ -109,8 +110,8 @@
   return all;
 }
 
-void PacketLane::forward(const PacketTarget &to, const uint8_t *packet,
-                         size_t n) {
+void PacketForwarder::forward(const PacketTarget &to, const uint8_t *packet,
+                              size_t n) {
   size_t prefix = Codec.prefixBytes();
   if (prefix + n > PacketSocket::MaxPacketBytes)
     return;
@@ -120,7 +121,7 @@
   Codec.writeToken(out + prefix, to.Token);
 }
 
-void PacketLane::reset(const PacketHead &head) {
+void PacketForwarder::reset(const PacketHead &head) {
   std::array<uint8_t, PacketCodec::MaxHeadBytes> packet{};
   size_t n = Codec.writeReset(head, packet.data());
   // Callers take packets at their own address and at our port.
@@ -129,11 +130,11 @@
   std::memcpy(Socket->prepare(caller, n), packet.data(), n);
 }
 
-void PacketLane::wait() {
-  std::vector<pollfd> polled{{Socket->fd(), POLLIN, 0}, {Wake, POLLIN, 0}};
+void PacketForwarder::wait() {
+  std::vector<pollfd> polled{{Socket->fd(), POLLIN, 0}, {WakeEvent, POLLIN, 0}};
   Prober.addTo(polled);
   TimePoint now = Time.now();
-  TimePoint until = std::min(now + MostWait, Prober.nextTimeout());
+  TimePoint until = std::min(now + MaxPollWait, Prober.nextTimeout());
   {
     std::lock_guard<std::mutex> hold(Lock);
     until = std::min(until, Router.nextWakeup());
@@ -144,21 +145,22 @@
   poll(polled.data(), polled.size(), millis);
   uint64_t count = 0;
   // Nothing to read: another descriptor ended the wait, or the time is over.
-  (void)!read(Wake, &count, sizeof count);
+  (void)!read(WakeEvent, &count, sizeof count);
 }
 
-void PacketLane::noteTime(TimePoint now) {
-  bool paused = LastLoop != TimePoint{} && now - LastLoop > PauseLimit;
-  LastLoop = now;
+void PacketForwarder::detectPause(TimePoint now) {
+  bool paused =
+      LastIterationAt != TimePoint{} && now - LastIterationAt > PauseThreshold;
+  LastIterationAt = now;
   if (paused) {
     // Guards against a process that wakes after seconds and sends new flows by
     // routes and servers that have changed meanwhile.
     {
       std::lock_guard<std::mutex> hold(Lock);
-      StaleUntil = now + StaleLimit;
+      StaleUntil = now + MaxStaleTime;
       Router.setStale();
     }
-    Paused();
+    OnPaused();
     return;
   }
   std::lock_guard<std::mutex> hold(Lock);
@@ -168,8 +170,8 @@
   }
 }
 
-void PacketLane::takePackets(TimePoint now) {
-  for (int batch = 0; batch < MostBatches; ++batch) {
+void PacketForwarder::receivePackets(TimePoint now) {
+  for (int batch = 0; batch < MaxBatchesPerIteration; ++batch) {
     size_t n = Socket->receive([&](uint8_t *packet, size_t bytes) {
       auto head = Codec.decode(packet, bytes);
       if (head) {
@@ -179,7 +181,7 @@
       PacketEvent event;
       event.Kind = PacketEventKind::Dropped;
       event.Why = PacketReason::Malformed;
-      Watch.report(event);
+      TelemetrySink.recordEvent(event);
     });
     Received += n;
     if (n < PacketSocket::Batch)
@@ -187,39 +189,40 @@
   }
 }
 
-void PacketLane::noteReach() {
+void PacketForwarder::updateReachability() {
   bool proved = Router.provedReach();
-  if (ProvedReach.exchange(proved) == proved)
+  if (ReachabilityConfirmed.exchange(proved) == proved)
     return;
-  Watch.log(LogLine(Part::Entry, proved ? Severity::Info : Severity::Warning,
-                    proved ? "servers-in-reach" : "servers-out-of-reach")
-                .text("reach", reachStateName(Router.reach()))
-                .number("silent", Router.silentServers()));
+  TelemetrySink.log(
+      LogLine(Part::Entry, proved ? Severity::Info : Severity::Warning,
+              proved ? "servers-in-reach" : "servers-out-of-reach")
+          .text("reach", reachStateName(Router.reach()))
+          .number("silent", Router.silentServers()));
 }
 
-void PacketLane::publishFigures(TimePoint now) {
-  if (now < NextFigures)
+void PacketForwarder::publishMetrics(TimePoint now) {
+  if (now < NextMetricsAt)
     return;
-  NextFigures = now + FiguresPeriod;
-  Watch.setPackets(Socket->counters(), Router);
+  NextMetricsAt = now + MetricsPeriod;
+  TelemetrySink.setPacketMetrics(Socket->counters(), Router);
 }
 
-void PacketLane::run() {
+void PacketForwarder::run() {
   while (!Stopping) {
     wait();
     TimePoint now = Time.now();
-    noteTime(now);
+    detectPause(now);
     std::vector<AttemptResult> ended = Prober.finished(now);
     std::vector<ConnectionAttempt> due;
     {
       std::lock_guard<std::mutex> hold(Lock);
       for (const AttemptResult &it : ended)
         Router.attemptEnded(now, it.Server, it.How, *this);
-      takePackets(now);
+      receivePackets(now);
       Router.tick(now, *this);
       due = Router.dueAttempts(now);
-      noteReach();
-      publishFigures(now);
+      updateReachability();
+      publishMetrics(now);
     }
     Socket->flush();
     for (const ConnectionAttempt &it : due)
--- a/Balsamrack/Daemon/PacketLane.h
+++ b/Balsamrack/Daemon/PacketForwarder.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_DAEMON_PACKETLANE_H
-#define BALSAMRACK_DAEMON_PACKETLANE_H
+#ifndef BALSAMRACK_DAEMON_PACKETFORWARDER_H
+#define BALSAMRACK_DAEMON_PACKETFORWARDER_H
 
 #include <atomic>
 #include <functional>
@@ -16,7 +16,7 @@
 namespace balsamrack {
 
 /// A lane's figures.
-struct LaneStatus {
+struct ForwarderStatus {
   uint64_t Configuration = 0; ///< In force; zero: none.
   size_t Flows = 0;           ///< Remembered.
   size_t Daemons = 0;         ///< Of the fleet.
@@ -24,7 +24,7 @@
 };
 
 /// One backend server as a lane sees it.
-struct LaneServer {
+struct ForwarderServerStatus {
   ServerId Id;             ///< Which.
   ServiceId Service;       ///< For which service.
   DomainId Domain;         ///< Where it stands.
@@ -39,27 +39,28 @@
 
 /// The thread that takes callers' packets in and passes them on: one socket,
 /// one router under one lock. Public methods are thread-safe.
-class PacketLane final : private PacketSink {
+class PacketForwarder final : private PacketSink {
 public:
   /// The loop looks around at least so often.
-  static constexpr Duration MostWait{250'000};
+  static constexpr Duration MaxPollWait{250'000};
   /// A loop that is later than this was paused: the process was frozen.
-  static constexpr Duration PauseLimit{1'000'000};
+  static constexpr Duration PauseThreshold{1'000'000};
   /// After a pause openings wait for updates no longer than this: callers send
   /// a copy after 200 ms, and old updates serve better than none.
-  static constexpr Duration StaleLimit{150'000};
+  static constexpr Duration MaxStaleTime{150'000};
 
   /// Called on the lane's thread when it finds that it was paused.
   using OnPause = std::function<void()>;
 
   /// Starts the thread. Preconditions: all references outlive the lane; \p
   /// socket is not null.
-  PacketLane(const PacketRouterSettings &settings, const PacketCodec &codec,
-             std::unique_ptr<PacketSocket> socket, const Clock &clock,
-             uint64_t seed, PacketTelemetry &telemetry, OnPause onPause);
-  PacketLane(const PacketLane &) = delete;
-  PacketLane &operator=(const PacketLane &) = delete;
-  ~PacketLane() override;
+  PacketForwarder(const PacketRouterSettings &settings,
+                  const PacketCodec &codec,
+                  std::unique_ptr<PacketSocket> socket, const Clock &clock,
+                  uint64_t seed, PacketTelemetry &telemetry, OnPause onPause);
+  PacketForwarder(const PacketForwarder &) = delete;
+  PacketForwarder &operator=(const PacketForwarder &) = delete;
+  ~PacketForwarder() override;
 
   /// See PacketRouter.
   void setRoutes(std::shared_ptr<const PacketRoutes> routes);
@@ -70,11 +71,11 @@
   /// See PacketRouter.
   FlowExplanation explain(const FlowKey &key);
   /// Present figures.
-  LaneStatus status();
+  ForwarderStatus status();
   /// All servers that are remembered.
-  std::vector<LaneServer> servers();
+  std::vector<ForwarderServerStatus> servers();
   /// See PacketRouter; as of the last look around.
-  bool provedReach() const { return ProvedReach.load(); }
+  bool isReachabilityConfirmed() const { return ReachabilityConfirmed.load(); }
   /// Packets taken in so far.
   uint64_t received() const { return Received.load(); }
   /// Ends the thread. Idempotent.
@@ -84,25 +85,27 @@
   void forward(const PacketTarget &to, const uint8_t *packet,
                size_t n) override;
   void reset(const PacketHead &head) override;
-  void report(const PacketEvent &event) override { Watch.report(event); }
+  void report(const PacketEvent &event) override {
+    TelemetrySink.recordEvent(event);
+  }
 
   void run();
   void wait();
-  void takePackets(TimePoint now);
-  void noteTime(TimePoint now);
-  void noteReach();
+  void receivePackets(TimePoint now);
+  void detectPause(TimePoint now);
+  void updateReachability();
   void wakeUp();
-  void publishFigures(TimePoint now);
+  void publishMetrics(TimePoint now);
 
   const PacketCodec &Codec;
   const std::unique_ptr<PacketSocket> Socket; ///< The thread's own.
   const Clock &Time;
-  PacketTelemetry &Watch;
-  const OnPause Paused;
-  const int Wake;          ///< Ends the thread's wait; see wakeUp().
-  ConnectionProber Prober; ///< The thread's own.
-  TimePoint LastLoop;      ///< The thread's own.
-  TimePoint NextFigures;   ///< The thread's own.
+  PacketTelemetry &TelemetrySink;
+  const OnPause OnPaused;
+  const int WakeEvent;       ///< Ends the thread's wait; see wakeUp().
+  ConnectionProber Prober;   ///< The thread's own.
+  TimePoint LastIterationAt; ///< The thread's own.
+  TimePoint NextMetricsAt;   ///< The thread's own.
 
   std::mutex Lock; ///< Guards what follows.
   SeededRandom Random;
@@ -110,11 +113,11 @@
   TimePoint StaleUntil; ///< Zero: not stale.
 
   std::atomic<uint64_t> Received{0};
-  std::atomic<bool> ProvedReach{true};
+  std::atomic<bool> ReachabilityConfirmed{true};
   std::atomic<bool> Stopping{false};
-  std::thread Loop; ///< Last, so that all above is there when it starts.
+  std::thread Thread; ///< Last, so that all above is there when it starts.
 };
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_DAEMON_PACKETLANE_H
+#endif // BALSAMRACK_DAEMON_PACKETFORWARDER_H
--- a/Balsamrack/Daemon/PacketOperatorPart.cpp
+++ b/Balsamrack/Daemon/PacketOperatorHandler.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Daemon/PacketOperatorPart.h"
+#include "Balsamrack/Daemon/PacketOperatorHandler.h"
 
 #include <optional>
 
@@ -32,7 +32,7 @@
 }
 
 /// Sentences about what is remembered of a flow.
-json rememberedOf(const FlowExplanation &explanation) {
+json describeFlow(const FlowExplanation &explanation) {
   json all = json::array();
   if (!explanation.Known)
     return all;
@@ -51,7 +51,7 @@
   return all;
 }
 
-json candidateOf(const ExplainedCandidate &it) {
+json describeCandidate(const ExplainedCandidate &it) {
   std::string why = absl::StrFormat(
       "%s: expected wait %.3f, %u in progress of ours, share %.2f, rank %s%s%s",
       it.Server.str(), it.Wait, it.InProgress, it.Share,
@@ -68,7 +68,7 @@
 }
 
 /// Sentences about where a new flow would go, the best servers first.
-json placingOf(const FlowExplanation &explanation) {
+json describePlacement(const FlowExplanation &explanation) {
   json all = json::array();
   if (explanation.Refused != PacketReason::None) {
     json entry = sentence(absl::StrCat(
@@ -80,20 +80,20 @@
   for (bool best : {true, false})
     for (const ExplainedCandidate &it : explanation.Candidates)
       if (it.Best == best)
-        all.push_back(candidateOf(it));
+        all.push_back(describeCandidate(it));
   return all;
 }
 
 } // namespace
 
-PacketOperatorPart::PacketOperatorPart(const PacketSettings &settings,
-                                       PacketLane &lane,
-                                       const PacketTelemetry &watch)
-    : Settings(settings), Lane(lane), Watch(watch) {}
+PacketOperatorHandler::PacketOperatorHandler(const PacketSettings &settings,
+                                             PacketForwarder &forwarder,
+                                             const PacketTelemetry &telemetry)
+    : Settings(settings), Forwarder(forwarder), TelemetrySink(telemetry) {}
 
-OperatorAnswer PacketOperatorPart::answer(const OperatorQuestion &question) {
+OperatorAnswer PacketOperatorHandler::answer(const OperatorQuestion &question) {
   if (question.Path == "metrics")
-    return {200, "text/plain; version=0.0.4", Watch.prometheus()};
+    return {200, "text/plain; version=0.0.4", TelemetrySink.prometheus()};
   if (question.Path == "status")
     return status();
   if (question.Path == "servers")
@@ -105,8 +105,8 @@
   return badAnswer(HttpNotFound, "no such question");
 }
 
-OperatorAnswer PacketOperatorPart::status() const {
-  LaneStatus now = Lane.status();
+OperatorAnswer PacketOperatorHandler::status() const {
+  ForwarderStatus now = Forwarder.status();
   return goodAnswer({{"vm", Settings.Name},
                      {"failure_domain", Settings.Domain.str()},
                      {"version", BALSAMRACK_VERSION},
@@ -116,9 +116,9 @@
                      {"silent_servers", now.SilentServers}});
 }
 
-OperatorAnswer PacketOperatorPart::servers() const {
+OperatorAnswer PacketOperatorHandler::servers() const {
   json all = json::array();
-  for (const LaneServer &it : Lane.servers())
+  for (const ForwarderServerStatus &it : Forwarder.servers())
     all.push_back({{"id", it.Id.str()},
                    {"service", it.Service.str()},
                    {"failure_domain", it.Domain.str()},
@@ -132,7 +132,7 @@
 }
 
 OperatorAnswer
-PacketOperatorPart::explain(const OperatorQuestion &question) const {
+PacketOperatorHandler::explain(const OperatorQuestion &question) const {
   if (parameterOf(question, "kind") != "flow")
     return badAnswer(HttpBadRequest, "only flows are explained here");
   std::pair<std::string, std::string> ends =
@@ -144,20 +144,20 @@
                                      "10.0.0.1:1024>198.18.0.1:443");
   return goodAnswer(
       {{"vm", Settings.Name},
-       {"decisions", rememberedOf(Lane.explain({*caller, *service}))}});
+       {"decisions", describeFlow(Forwarder.explain({*caller, *service}))}});
 }
 
 OperatorAnswer
-PacketOperatorPart::where(const OperatorQuestion &question) const {
+PacketOperatorHandler::where(const OperatorQuestion &question) const {
   auto service = endpointOf(parameterOf(question, "service"));
   auto caller = endpointOf(parameterOf(question, "flow"));
   if (!caller || !service)
     return badAnswer(HttpBadRequest,
                      "service and flow are addresses: the route's, "
                      "198.18.0.1:443, and the caller's");
-  return goodAnswer(
-      {{"vm", Settings.Name},
-       {"decisions", placingOf(Lane.explain({*caller, *service}))}});
+  return goodAnswer({{"vm", Settings.Name},
+                     {"decisions", describePlacement(Forwarder.explain(
+                                       {*caller, *service}))}});
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/PacketOperatorPart.h
+++ b/Balsamrack/Daemon/PacketOperatorHandler.h
@@ -1,7 +1,7 @@
-#ifndef BALSAMRACK_DAEMON_PACKETOPERATORPART_H
-#define BALSAMRACK_DAEMON_PACKETOPERATORPART_H
+#ifndef BALSAMRACK_DAEMON_PACKETOPERATORHANDLER_H
+#define BALSAMRACK_DAEMON_PACKETOPERATORHANDLER_H
 
-#include "Balsamrack/Daemon/PacketLane.h"
+#include "Balsamrack/Daemon/PacketForwarder.h"
 #include "Balsamrack/Http/OperatorPort.h"
 #include "Balsamrack/Settings/PacketSettings.h"
 
@@ -9,11 +9,12 @@
 
 /// Answers operators' questions about a daemon of the packet carrier, in the
 /// same form as a daemon of the HTTP carrier does; changes nothing.
-class PacketOperatorPart final : public OperatorHandler {
+class PacketOperatorHandler final : public OperatorHandler {
 public:
   /// Preconditions: the references outlive the result.
-  PacketOperatorPart(const PacketSettings &settings, PacketLane &lane,
-                     const PacketTelemetry &watch);
+  PacketOperatorHandler(const PacketSettings &settings,
+                        PacketForwarder &forwarder,
+                        const PacketTelemetry &telemetry);
 
   OperatorAnswer answer(const OperatorQuestion &question) override;
 
@@ -24,10 +25,10 @@
   OperatorAnswer where(const OperatorQuestion &question) const;
 
   const PacketSettings &Settings;
-  PacketLane &Lane;
-  const PacketTelemetry &Watch;
+  PacketForwarder &Forwarder;
+  const PacketTelemetry &TelemetrySink;
 };
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_DAEMON_PACKETOPERATORPART_H
+#endif // BALSAMRACK_DAEMON_PACKETOPERATORHANDLER_H
--- a/Balsamrack/Daemon/PacketTelemetry.cpp
+++ b/Balsamrack/Daemon/PacketTelemetry.cpp
@@ -65,7 +65,7 @@
 } // namespace
 
 PacketTelemetry::PacketTelemetry(const Clock &clock, EventLog &log)
-    : Log(log), Numbers(Metrics::create(clock)) {}
+    : Log(log), Registry(Metrics::create(clock)) {}
 
 bool PacketTelemetry::isLogged(const PacketEvent &event) {
   if (!isOrdinary(event.Kind) || event.Kind == PacketEventKind::Placed)
@@ -73,17 +73,18 @@
   uint64_t hash =
       combineHash(combineHash(event.Flow.Caller.Ip, event.Flow.Caller.Port),
                   combineHash(event.Flow.Service.Ip, event.Flow.Service.Port));
-  return hash % LoggedFlows == 0;
+  return hash % FlowLogInterval == 0;
 }
 
-void PacketTelemetry::report(const PacketEvent &event) {
+void PacketTelemetry::recordEvent(const PacketEvent &event) {
   const char *kind = packetEventName(event.Kind);
   const char *why = packetReasonName(event.Why);
-  Numbers->count(FlowEvents, {{"event", kind}, {"reason", why}});
+  Registry->count(FlowEvents, {{"event", kind}, {"reason", why}});
   if (event.Kind == PacketEventKind::Confirmed)
-    Numbers->observe(OpeningTime, {}, event.Took);
+    Registry->observe(OpeningTime, {}, event.Took);
   if (event.Kind == PacketEventKind::Ended)
-    Numbers->observe(FlowTime, {{"service", event.Service->str()}}, event.Took);
+    Registry->observe(FlowTime, {{"service", event.Service->str()}},
+                      event.Took);
   if (!isLogged(event))
     return;
   LogLine line(Part::Entry,
@@ -108,59 +109,62 @@
   Log.write(line);
 }
 
-void PacketTelemetry::failed(Part part, const char *event,
-                             const absl::Status &status) {
+void PacketTelemetry::logError(Part part, const char *event,
+                               const absl::Status &status) {
   Log.write(LogLine(part, Severity::Warning, event)
                 .text("error", std::string(status.message()))
                 .text("step", stepOf(status))
                 .text("peer", peerOf(status)));
 }
 
-void PacketTelemetry::setPackets(const PacketSocketCounters &socket,
-                                 const PacketRouter &router) {
+void PacketTelemetry::setPacketMetrics(const PacketSocketCounters &socket,
+                                       const PacketRouter &router) {
   auto set = [this](const char *what, uint64_t n) {
-    Numbers->set(Packets, {{"what", what}}, static_cast<double>(n));
+    Registry->set(Packets, {{"what", what}}, static_cast<double>(n));
   };
   set("received", socket.Received);
   set("sent", socket.Sent);
   set("too-long", socket.TooLong);
   set("send-failed", socket.SendFailed);
-  Numbers->set(Flows, {}, static_cast<double>(router.flows()));
-  Numbers->set(SilentServers, {}, static_cast<double>(router.silentServers()));
-  Numbers->set(OpeningTimeoutSeconds, {}, seconds(router.openingTimeout()));
+  Registry->set(Flows, {}, static_cast<double>(router.flows()));
+  Registry->set(SilentServers, {}, static_cast<double>(router.silentServers()));
+  Registry->set(OpeningTimeoutSeconds, {}, seconds(router.openingTimeout()));
 }
 
-void PacketTelemetry::setPeers(const DatagramCounters &peers, size_t live) {
-  Numbers->set(PeerBytes, {{"direction", "sent"}},
-               static_cast<double>(peers.BytesSent));
-  Numbers->set(PeerBytes, {{"direction", "received"}},
-               static_cast<double>(peers.BytesReceived));
-  Numbers->set(Peers, {}, static_cast<double>(live));
-  setMessages("sent", peers.SentOf);
-  setMessages("received", peers.ReceivedOf);
+void PacketTelemetry::setPeerMetrics(const DatagramCounters &peers,
+                                     size_t live) {
+  Registry->set(PeerBytes, {{"direction", "sent"}},
+                static_cast<double>(peers.BytesSent));
+  Registry->set(PeerBytes, {{"direction", "received"}},
+                static_cast<double>(peers.BytesReceived));
+  Registry->set(Peers, {}, static_cast<double>(live));
+  setMessageMetrics("sent", peers.SentOf);
+  setMessageMetrics("received", peers.ReceivedOf);
 }
 
-void PacketTelemetry::setMessages(const char *direction,
-                                  const MessageCounts &counts) {
+void PacketTelemetry::setMessageMetrics(const char *direction,
+                                        const MessageCounts &counts) {
   for (size_t i = 0; i < counts.size(); ++i) {
     if (counts[i].Messages == 0)
       continue;
     MetricLabels labels{{"direction", direction}, {"type", peerMessageName(i)}};
-    Numbers->set(PeerMessages, labels, static_cast<double>(counts[i].Messages));
-    Numbers->set(PeerMessageBytes, labels,
-                 static_cast<double>(counts[i].Bytes));
+    Registry->set(PeerMessages, labels,
+                  static_cast<double>(counts[i].Messages));
+    Registry->set(PeerMessageBytes, labels,
+                  static_cast<double>(counts[i].Bytes));
   }
 }
 
-void PacketTelemetry::setAge(PublishedSection section, Duration age) {
-  Numbers->set(PublishedAge, {{"section", sectionName(section)}}, seconds(age));
+void PacketTelemetry::setPublishedAge(PublishedSection section, Duration age) {
+  Registry->set(PublishedAge, {{"section", sectionName(section)}},
+                seconds(age));
 }
 
-void PacketTelemetry::readEnded(PublishedSection section, bool listing,
-                                const absl::Status &status) {
-  Numbers->count(Reads, {{"section", sectionName(section)},
-                         {"kind", listing ? "list" : "watch"},
-                         {"outcome", status.ok() ? "good" : "failed"}});
+void PacketTelemetry::recordRead(PublishedSection section, bool listing,
+                                 const absl::Status &status) {
+  Registry->count(Reads, {{"section", sectionName(section)},
+                          {"kind", listing ? "list" : "watch"},
+                          {"outcome", status.ok() ? "good" : "failed"}});
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/PacketTelemetry.h
+++ b/Balsamrack/Daemon/PacketTelemetry.h
@@ -20,37 +20,37 @@
   /// Each placing is logged, and what goes wrong. Of what follows in ordinary
   /// flows (confirmed, adopted, ended) one flow in so many is logged: the same
   /// ones on all daemons, so that a flow's whole way can be read.
-  static constexpr uint64_t LoggedFlows = 8;
+  static constexpr uint64_t FlowLogInterval = 8;
 
   /// Preconditions: \p clock and \p log outlive the result.
   PacketTelemetry(const Clock &clock, EventLog &log);
 
   /// Counts and logs what the router did.
-  void report(const PacketEvent &event);
+  void recordEvent(const PacketEvent &event);
   /// Writes a line.
   void log(const LogLine &line) { Log.write(line); }
   /// Writes a line about an error, with its step and peer.
-  void failed(Part part, const char *event, const absl::Status &status);
+  void logError(Part part, const char *event, const absl::Status &status);
 
   /// The packet socket's and the router's present figures.
-  void setPackets(const PacketSocketCounters &socket,
-                  const PacketRouter &router);
+  void setPacketMetrics(const PacketSocketCounters &socket,
+                        const PacketRouter &router);
   /// The peers' present figures.
-  void setPeers(const DatagramCounters &peers, size_t live);
+  void setPeerMetrics(const DatagramCounters &peers, size_t live);
   /// How old what is held of \p section may be.
-  void setAge(PublishedSection section, Duration age);
+  void setPublishedAge(PublishedSection section, Duration age);
   /// A read of the publishing service ended.
-  void readEnded(PublishedSection section, bool listing,
-                 const absl::Status &status);
+  void recordRead(PublishedSection section, bool listing,
+                  const absl::Status &status);
   /// All metrics as Prometheus text.
-  std::string prometheus() const { return Numbers->prometheus(); }
+  std::string prometheus() const { return Registry->prometheus(); }
 
 private:
-  void setMessages(const char *direction, const MessageCounts &counts);
+  void setMessageMetrics(const char *direction, const MessageCounts &counts);
   static bool isLogged(const PacketEvent &event);
 
   EventLog &Log;
-  std::unique_ptr<Metrics> Numbers;
+  std::unique_ptr<Metrics> Registry;
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/ReaderPart.cpp
+++ b/Balsamrack/Daemon/PlatformReader.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Daemon/ReaderPart.h"
+#include "Balsamrack/Daemon/PlatformReader.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,7 +12,7 @@
 
 /// A platform that answers a watch at once, against the protocol, must not be
 /// asked in a tight loop.
-constexpr Duration LeastPeriod{20'000};
+constexpr Duration MinReadPeriod{20'000};
 
 } // namespace
 
@@ -40,18 +40,18 @@
                                        (0.5 + random.unit() / 2)));
 }
 
-ReaderPart::ReaderPart(const PlatformSettings &settings, PlatformLink &link,
-                       Telemetry &telemetry, uint64_t seed, TicketSink onTicket,
-                       VmSink onVms)
-    : Settings(settings), Link(link), Watch(telemetry), Seed(seed),
+PlatformReader::PlatformReader(const PlatformSettings &settings,
+                               PlatformLink &link, Telemetry &telemetry,
+                               uint64_t seed, TicketSink onTicket, VmSink onVms)
+    : Settings(settings), Link(link), TelemetrySink(telemetry), Seed(seed),
       OnTicket(std::move(onTicket)), OnVms(std::move(onVms)) {
   TicketThread = std::thread([this] { readTickets(); });
   VmThread = std::thread([this] { readVms(); });
 }
 
-ReaderPart::~ReaderPart() { stop(); }
+PlatformReader::~PlatformReader() { stop(); }
 
-void ReaderPart::stop() {
+void PlatformReader::stop() {
   {
     std::lock_guard<std::mutex> guard(Lock);
     if (std::exchange(Stopping, true))
@@ -63,22 +63,22 @@
   VmThread.join();
 }
 
-PlatformState ReaderPart::state() const {
+PlatformState PlatformReader::state() const {
   std::lock_guard<std::mutex> guard(Lock);
   return State;
 }
 
-TicketNumber ReaderPart::highest() const {
+TicketNumber PlatformReader::highestTicket() const {
   std::lock_guard<std::mutex> guard(Lock);
   return Highest;
 }
 
-bool ReaderPart::pause(Duration wait) {
+bool PlatformReader::waitUnlessStopping(Duration wait) {
   std::unique_lock<std::mutex> guard(Lock);
   return !Stopped.wait_for(guard, wait, [&] { return Stopping; });
 }
 
-void ReaderPart::noteTickets(const absl::StatusOr<TicketPage> &page) {
+void PlatformReader::updateState(const absl::StatusOr<TicketPage> &page) {
   std::lock_guard<std::mutex> guard(Lock);
   PlatformState state = PlatformState::Good;
   if (!page.ok())
@@ -91,25 +91,25 @@
     return;
   State = state;
   if (state == PlatformState::Down)
-    Watch.failed(Part::Platform, page.status());
+    TelemetrySink.recordError(Part::Platform, page.status());
   else if (state == PlatformState::Stale)
-    Watch.log(Part::Platform, Severity::Warning,
-              absl::StrCat("The platform answers with ticket ",
-                           page->Highest.Value, " after it showed ",
-                           Highest.Value, ". Older data is ignored."));
+    TelemetrySink.log(Part::Platform, Severity::Warning,
+                      absl::StrCat("The platform answers with ticket ",
+                                   page->Highest.Value, " after it showed ",
+                                   Highest.Value, ". Older data is ignored."));
   else
-    Watch.log(Part::Platform, Severity::Info, "The platform answers.");
+    TelemetrySink.log(Part::Platform, Severity::Info, "The platform answers.");
 }
 
-void ReaderPart::readTickets() {
+void PlatformReader::readTickets() {
   SeededRandom random(Seed);
   uint32_t failures = 0;
   TicketNumber after;
   for (;;) {
     const auto page = Link.readTickets(after, Settings.Watch);
-    noteTickets(page);
+    updateState(page);
     if (!page.ok()) {
-      if (!pause(backoffAfter(++failures, Settings, random)))
+      if (!waitUnlessStopping(backoffAfter(++failures, Settings, random)))
         return;
       continue;
     }
@@ -117,19 +117,19 @@
     for (const std::string &it : page->Tickets)
       OnTicket(it);
     after = std::max(after, page->Highest);
-    if (!pause(LeastPeriod))
+    if (!waitUnlessStopping(MinReadPeriod))
       return;
   }
 }
 
-void ReaderPart::readVms() {
+void PlatformReader::readVms() {
   SeededRandom random(Seed + 1);
   uint32_t failures = 0;
   uint64_t after = 0;
   for (;;) {
     const auto page = Link.readVms(after, Settings.Watch);
     if (!page.ok()) {
-      if (!pause(backoffAfter(++failures, Settings, random)))
+      if (!waitUnlessStopping(backoffAfter(++failures, Settings, random)))
         return;
       continue;
     }
@@ -138,7 +138,7 @@
     if (page->Version != after)
       OnVms(page->Vms);
     after = page->Version;
-    if (!pause(LeastPeriod))
+    if (!waitUnlessStopping(MinReadPeriod))
       return;
   }
 }
--- a/Balsamrack/Daemon/ReaderPart.h
+++ b/Balsamrack/Daemon/PlatformReader.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_DAEMON_READERPART_H
-#define BALSAMRACK_DAEMON_READERPART_H
+#ifndef BALSAMRACK_DAEMON_PLATFORMREADER_H
+#define BALSAMRACK_DAEMON_PLATFORMREADER_H
 
 #include <condition_variable>
 #include <functional>
@@ -34,34 +34,34 @@
                       RandomSource &random);
 
 /// Reads and watches the platform on two threads, one a value.
-class ReaderPart {
+class PlatformReader {
 public:
   using TicketSink = std::function<void(const std::string &text)>;
   using VmSink = std::function<void(const std::vector<EntryVm> &)>;
 
   /// Starts to read. The sinks are called on the reader's threads.
   /// Precondition: all references outlive the result. Thread-safe.
-  ReaderPart(const PlatformSettings &settings, PlatformLink &link,
-             Telemetry &telemetry, uint64_t seed, TicketSink onTicket,
-             VmSink onVms);
-  ~ReaderPart();
+  PlatformReader(const PlatformSettings &settings, PlatformLink &link,
+                 Telemetry &telemetry, uint64_t seed, TicketSink onTicket,
+                 VmSink onVms);
+  ~PlatformReader();
 
   /// Ends both threads. Idempotent; not to be called by a sink. Thread-safe.
   void stop();
   /// How the platform looked at the last read of tickets. Thread-safe.
   PlatformState state() const;
   /// Highest ticket that the platform has shown. Thread-safe.
-  TicketNumber highest() const;
+  TicketNumber highestTicket() const;
 
 private:
   void readTickets();
   void readVms();
-  bool pause(Duration wait);
-  void noteTickets(const absl::StatusOr<TicketPage> &page);
+  bool waitUnlessStopping(Duration wait);
+  void updateState(const absl::StatusOr<TicketPage> &page);
 
   const PlatformSettings Settings;
   PlatformLink &Link;
-  Telemetry &Watch;
+  Telemetry &TelemetrySink;
   const uint64_t Seed;
   const TicketSink OnTicket;
   const VmSink OnVms;
@@ -76,4 +76,4 @@
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_DAEMON_READERPART_H
+#endif // BALSAMRACK_DAEMON_PLATFORMREADER_H
--- a/Balsamrack/Daemon/TaskQueue.cpp
+++ b/Balsamrack/Daemon/TaskQueue.cpp
@@ -8,9 +8,9 @@
 
 namespace balsamrack {
 
-TaskQueue::TaskQueue() : Wake(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {}
+TaskQueue::TaskQueue() : WakeEvent(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {}
 
-TaskQueue::~TaskQueue() { ::close(Wake); }
+TaskQueue::~TaskQueue() { ::close(WakeEvent); }
 
 void TaskQueue::post(Task task) {
   {
@@ -21,13 +21,13 @@
   }
   uint64_t one = 1;
   // A full counter wakes the thread as well.
-  (void)!write(Wake, &one, sizeof one);
+  (void)!write(WakeEvent, &one, sizeof one);
 }
 
-std::vector<TaskQueue::Task> TaskQueue::take() {
+std::vector<TaskQueue::Task> TaskQueue::dequeueAll() {
   uint64_t count = 0;
   // Nothing there is as good.
-  (void)!read(Wake, &count, sizeof count);
+  (void)!read(WakeEvent, &count, sizeof count);
   std::lock_guard<std::mutex> hold(Lock);
   return std::exchange(Tasks, {});
 }
--- a/Balsamrack/Daemon/TaskQueue.h
+++ b/Balsamrack/Daemon/TaskQueue.h
@@ -25,17 +25,17 @@
   ~TaskQueue();
 
   /// Readable while tasks wait.
-  int fd() const { return Wake; }
+  int fd() const { return WakeEvent; }
   /// Hands \p task over. Ignored once closed.
   void post(Task task);
   /// Takes all tasks that wait.
-  std::vector<Task> take();
+  std::vector<Task> dequeueAll();
   /// Drops what waits and whatever comes later.
   void close();
 
 private:
-  const int Wake;  ///< An eventfd.
-  std::mutex Lock; ///< Guards what follows.
+  const int WakeEvent; ///< An eventfd.
+  std::mutex Lock;     ///< Guards what follows.
   std::vector<Task> Tasks;
   bool Closed = false;
 };
--- a/Balsamrack/Daemon/Telemetry.h
+++ b/Balsamrack/Daemon/Telemetry.h
@@ -31,7 +31,7 @@
 struct HopSpan {
   const char *Hop = "entry"; ///< Name of the hop.
   std::string Parent;        ///< traceparent that came in; may be empty.
-  std::string Own;           ///< traceparent of this span.
+  std::string Traceparent;   ///< traceparent of this span.
   TimePoint Start;           ///< When it began.
   Duration Took{0};          ///< How long it lasted.
   ServiceId Service;         ///< The service concerned.
@@ -47,22 +47,22 @@
 public:
   virtual ~Telemetry() = default;
   /// Keeps a decision for operators' questions.
-  virtual void decided(Decision what) = 0;
+  virtual void recordDecision(Decision what) = 0;
   /// A traceparent for a new span below \p parent, or of a new trace.
   virtual std::string startSpan(const std::string &parent) = 0;
   /// Keeps a finished span.
   virtual void endSpan(HopSpan span) = 0;
   /// A packet ended at this entry.
-  virtual void packetEnded(const ServiceId &service, Ending how, Reason why,
-                           Duration took) = 0;
+  virtual void recordPacketEnd(const ServiceId &service, Ending how, Reason why,
+                               Duration took) = 0;
   /// A dispatch to a server ended.
-  virtual void dispatchEnded(const ServerId &server, DispatchEnd how,
-                             Duration took) = 0;
+  virtual void recordDispatchEnd(const ServerId &server, DispatchEnd how,
+                                 Duration took) = 0;
   /// A log line: one short sentence.
   virtual void log(Part part, Severity severity,
                    const std::string &sentence) = 0;
   /// A log line and a count of an error, with its step and peer.
-  virtual void failed(Part part, const absl::Status &status) = 0;
+  virtual void recordError(Part part, const absl::Status &status) = 0;
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Observability/SpanSink.cpp
+++ b/Balsamrack/Observability/SpanSink.cpp
@@ -95,7 +95,7 @@
 }
 
 void RingAndFile::end(const HopSpan &span) {
-  auto own = TraceContext::parse(span.Own);
+  auto own = TraceContext::parse(span.Traceparent);
   if (!own.ok())
     return;
   {
@@ -110,7 +110,8 @@
 }
 
 json RingAndFile::otlpOf(const HopSpan &span) const {
-  TraceContext own = TraceContext::parse(span.Own).value_or(TraceContext());
+  TraceContext own =
+      TraceContext::parse(span.Traceparent).value_or(TraceContext());
   auto parent = TraceContext::parse(span.Parent);
   json attributes = {attribute("balsamrack.vm", Settings.Vm),
                      attribute("balsamrack.service", span.Service.str()),
@@ -135,7 +136,7 @@
 }
 
 json RingAndFile::summaryOf(const HopSpan &span) {
-  auto own = TraceContext::parse(span.Own);
+  auto own = TraceContext::parse(span.Traceparent);
   auto parent = TraceContext::parse(span.Parent);
   return {{"span", own.ok() ? own->spanId() : ""},
           {"parent", parent.ok() ? parent->spanId() : ""},
@@ -177,7 +178,7 @@
   {
     std::lock_guard<std::mutex> hold(shard.Lock);
     for (const HopSpan &span : shard.Ring) {
-      auto own = TraceContext::parse(span.Own);
+      auto own = TraceContext::parse(span.Traceparent);
       if (own.ok() && own->traceId() == traceId)
         found.push_back(span);
     }
--- a/UnitTests/Daemon/PacketDaemonTest.cpp
+++ b/UnitTests/Daemon/PacketDaemonTest.cpp
@@ -21,29 +21,31 @@
 
 /// Answers each read late, on a thread of its own; a listing holds one server
 /// and one route.
-class LateSource final : public PublishedSource {
+class DelayedSource final : public PublishedSource {
 public:
-  ~LateSource() override {
+  ~DelayedSource() override {
     for (std::thread &it : Threads)
       it.join();
   }
   void read(const PublishedRead &read, Done done) override {
     std::lock_guard<std::mutex> hold(Lock);
-    if (Threads.size() >= MostThreads)
+    if (Threads.size() >= MaxThreads)
       return;
     Threads.emplace_back([this, read, done = std::move(done)] {
-      std::this_thread::sleep_for(read.Section == Slower ? Wait * 4 : Wait);
+      std::this_thread::sleep_for(read.Section == SlowSection ? Delay * 4
+                                                              : Delay);
       done(answerTo(read));
     });
   }
   void cancelAll() override {}
 
-  std::chrono::milliseconds Wait{1};
-  PublishedSection Slower = PublishedSection::Servers; ///< Waits four times.
+  std::chrono::milliseconds Delay{1};
+  PublishedSection SlowSection =
+      PublishedSection::Servers; ///< Waits four times.
   Address ServerAt; ///< Of a server that listings hold; port zero: none.
 
 private:
-  static constexpr size_t MostThreads = 40;
+  static constexpr size_t MaxThreads = 40;
 
   PublishedChanges answerTo(const PublishedRead &read) const {
     PublishedChanges changes{read.Section, read.After, {9}, {}};
@@ -90,7 +92,7 @@
     Log.reset();
     close(Null);
   }
-  absl::StatusOr<std::unique_ptr<PacketDaemon>> start(LateSource &source) {
+  absl::StatusOr<std::unique_ptr<PacketDaemon>> start(DelayedSource &source) {
     return PacketDaemon::create(Settings, {Codec, source, Time, *Log});
   }
   /// Sends the opening of a flow to the daemon.
@@ -110,7 +112,7 @@
               static_cast<ssize_t>(sizeof packet));
     close(fd);
   }
-  static bool until(const std::function<bool()> &condition) {
+  static bool waitUntil(const std::function<bool()> &condition) {
     for (int i = 0; i < 2000 && !condition(); ++i)
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     return condition();
@@ -124,27 +126,26 @@
   PacketSettings Settings;
 };
 
-class EachSlowerSection : public PacketDaemonTest,
-                          public testing::WithParamInterface<PublishedSection> {
-};
+class SlowSectionTest : public PacketDaemonTest,
+                        public testing::WithParamInterface<PublishedSection> {};
 
 // Story: a fleet starts before its servers do. What is published of servers is
 // known to be nothing, and that may come after the configuration. The daemon
 // must be ready, to refuse callers at once, though the last updates changed
 // nothing.
-TEST_P(EachSlowerSection, IsReadyOnceItKnowsWhatIsPublished) {
-  LateSource source;
-  source.Wait = std::chrono::milliseconds(20);
-  source.Slower = GetParam();
+TEST_P(SlowSectionTest, IsReadyOnceItKnowsWhatIsPublished) {
+  DelayedSource source;
+  source.Delay = std::chrono::milliseconds(20);
+  source.SlowSection = GetParam();
   auto daemon = start(source);
   ASSERT_TRUE(daemon.ok()) << daemon.status();
   EXPECT_FALSE((*daemon)->ready());
-  EXPECT_TRUE(until([&] { return (*daemon)->ready(); }));
+  EXPECT_TRUE(waitUntil([&] { return (*daemon)->ready(); }));
   (*daemon)->shutDown();
   EXPECT_FALSE((*daemon)->ready());
 }
 
-INSTANTIATE_TEST_SUITE_P(Sections, EachSlowerSection,
+INSTANTIATE_TEST_SUITE_P(Sections, SlowSectionTest,
                          testing::Values(PublishedSection::Operators,
                                          PublishedSection::Servers),
                          [](const auto &info) {
@@ -158,27 +159,27 @@
 // again once a server takes a connection.
 TEST_F(PacketDaemonTest, IsNotReadyWhileNoServerCanBeReached) {
   ReservedPort serverAt;
-  LateSource source;
+  DelayedSource source;
   source.ServerAt = serverAt.at();
   auto server = ListenSocket::open(serverAt.at());
   ASSERT_TRUE(server.ok()) << server.status();
   auto daemon = start(source);
   ASSERT_TRUE(daemon.ok()) << daemon.status();
-  ASSERT_TRUE(until([&] { return (*daemon)->ready(); }));
+  ASSERT_TRUE(waitUntil([&] { return (*daemon)->ready(); }));
   server = absl::UnavailableError("stopped");
   for (uint8_t caller = 1; caller <= 3; ++caller)
     sendOpening(caller);
-  EXPECT_TRUE(until([&] { return !(*daemon)->ready(); }));
+  EXPECT_TRUE(waitUntil([&] { return !(*daemon)->ready(); }));
   server = ListenSocket::open(serverAt.at());
   ASSERT_TRUE(server.ok()) << server.status();
-  EXPECT_TRUE(until([&] { return (*daemon)->ready(); }));
+  EXPECT_TRUE(waitUntil([&] { return (*daemon)->ready(); }));
 }
 
 // Guards against a daemon that restarts in a failure domain that is cut off: it
 // was ready until it found out, and drew all callers of its domain back.
 TEST_F(PacketDaemonTest, IsNotReadyBeforeAServerWasReached) {
   ReservedPort serverAt;
-  LateSource source;
+  DelayedSource source;
   source.ServerAt = serverAt.at();
   auto daemon = start(source);
   ASSERT_TRUE(daemon.ok()) << daemon.status();
@@ -188,15 +189,15 @@
   }
   auto server = ListenSocket::open(serverAt.at());
   ASSERT_TRUE(server.ok()) << server.status();
-  EXPECT_TRUE(until([&] { return (*daemon)->ready(); }));
+  EXPECT_TRUE(waitUntil([&] { return (*daemon)->ready(); }));
 }
 
 // Story: a VM is stopped while reads of the publishing service are under way.
 // Their answers come when the daemon is gone, and must touch nothing of it.
 TEST_F(PacketDaemonTest, AnswersThatComeAfterItsEndAreHarmless) {
   for (int i = 0; i < 12; ++i) {
-    LateSource source;
-    source.Wait = std::chrono::milliseconds(i * 3);
+    DelayedSource source;
+    source.Delay = std::chrono::milliseconds(i * 3);
     auto daemon = start(source);
     ASSERT_TRUE(daemon.ok()) << daemon.status();
     std::this_thread::sleep_for(std::chrono::milliseconds(i * 2));
@@ -206,7 +207,7 @@
 }
 
 TEST_F(PacketDaemonTest, ATakenPortIsAnErrorWithStepAndPeer) {
-  LateSource source;
+  DelayedSource source;
   auto first = start(source);
   ASSERT_TRUE(first.ok());
   auto second = start(source);
--- a/UnitTests/Daemon/ReaderPartTest.cpp
+++ b/UnitTests/Daemon/PlatformReaderTest.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Daemon/ReaderPart.h"
+#include "Balsamrack/Daemon/PlatformReader.h"
 
 #include <condition_variable>
 #include <deque>
@@ -46,7 +46,7 @@
     Stopped = true;
     Changed.notify_all();
   }
-  void awaitDrained() {
+  void waitUntilDrained() {
     std::unique_lock<std::mutex> guard(Lock);
     Changed.wait(guard, [&] { return Drained; });
   }
@@ -64,15 +64,15 @@
   bool Stopped = false;
 };
 
-class SilentTelemetry final : public Telemetry {
+class NullTelemetry final : public Telemetry {
 public:
-  void decided(Decision) override {}
+  void recordDecision(Decision) override {}
   std::string startSpan(const std::string &) override { return ""; }
   void endSpan(HopSpan) override {}
-  void packetEnded(const ServiceId &, Ending, Reason, Duration) override {}
-  void dispatchEnded(const ServerId &, DispatchEnd, Duration) override {}
+  void recordPacketEnd(const ServiceId &, Ending, Reason, Duration) override {}
+  void recordDispatchEnd(const ServerId &, DispatchEnd, Duration) override {}
   void log(Part, Severity, const std::string &) override {}
-  void failed(Part, const absl::Status &) override {}
+  void recordError(Part, const absl::Status &) override {}
 };
 
 PlatformSettings quick() {
@@ -97,34 +97,34 @@
 
 ScriptedPlatform::Page down() { return std::nullopt; }
 
-class ReaderPartTest : public testing::TestWithParam<ReaderCase> {};
+class PlatformReaderTest : public testing::TestWithParam<ReaderCase> {};
 
 // The platform fails over to a replica that lags, goes down, and comes back.
 // The reader must go on asking from the highest ticket that it was shown, and
 // tell operators how the platform looks.
-TEST_P(ReaderPartTest, FollowsThePlatform) {
+TEST_P(PlatformReaderTest, FollowsThePlatform) {
   const ReaderCase &it = GetParam();
   ScriptedPlatform platform(it.Pages);
-  SilentTelemetry telemetry;
+  NullTelemetry telemetry;
   std::mutex lock;
   size_t tickets = 0;
-  ReaderPart reader(
+  PlatformReader reader(
       quick(), platform, telemetry, 1,
       [&](const std::string &) {
         std::lock_guard<std::mutex> guard(lock);
         ++tickets;
       },
       [](const std::vector<EntryVm> &) {});
-  platform.awaitDrained();
+  platform.waitUntilDrained();
   EXPECT_EQ(reader.state(), it.State);
-  EXPECT_EQ(reader.highest(), TicketNumber{it.Highest});
+  EXPECT_EQ(reader.highestTicket(), TicketNumber{it.Highest});
   reader.stop();
   EXPECT_EQ(tickets, it.Tickets);
   EXPECT_EQ(platform.asked().back(), TicketNumber{it.AskedLast});
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Stories, ReaderPartTest,
+    Scenarios, PlatformReaderTest,
     testing::Values(
         ReaderCase{"Good", {page(2, {"a", "b"})}, PlatformState::Good, 2, 2, 2},
         ReaderCase{
--- a/UnitTests/Observability/LogAndSpanTest.cpp
+++ b/UnitTests/Observability/LogAndSpanTest.cpp
@@ -113,7 +113,7 @@
 HopSpan span(const std::string &parent, const std::string &own, int start) {
   HopSpan s;
   s.Parent = parent;
-  s.Own = own;
+  s.Traceparent = own;
   s.Start = TimePoint(Duration(start));
   s.Took = Duration(5);
   s.Service = ServiceId("booking");
