--- a/Balsamrack/Daemon/EntryPart.cpp
+++ b/Balsamrack/Daemon/EntryPart.cpp
@@ -21,13 +21,13 @@
 /// HTTP status by which a caller without our headers can tell the endings.
 uint32_t statusOf(const Outcome &outcome) {
   switch (outcome.How) {
-  case Ending::Answered:
+  case OutcomeKind::Answered:
     return outcome.Content.Status;
-  case Ending::NotRun:
+  case OutcomeKind::NotRun:
     return 503;
-  case Ending::GivenUp:
+  case OutcomeKind::GivenUp:
     return 410;
-  case Ending::OutcomeUnknown:
+  case OutcomeKind::OutcomeUnknown:
     break;
   }
   const bool byKey = outcome.Why == Reason::KeyInProgress ||
@@ -44,11 +44,11 @@
   auto add = [&](const char *name, std::string value) {
     answer.Headers.emplace_back(name, std::move(value));
   };
-  add("Balsamrack-Ending", endingName(outcome.How));
+  add("Balsamrack-Ending", outcomeKindName(outcome.How));
   add("Balsamrack-Request", absl::StrFormat("%016x", outcome.Request.Value));
   if (!token.empty())
     add("Balsamrack-Token", token);
-  if (outcome.How == Ending::Answered)
+  if (outcome.How == OutcomeKind::Answered)
     return answer;
   add("Balsamrack-Reason", reasonName(outcome.Why));
   add("Content-Type", "text/plain");
@@ -62,7 +62,7 @@
     add("Retry-After",
         absl::StrCat((outcome.RetryAfter + SecondOf - Duration(1)) / SecondOf));
   }
-  answer.Body = absl::StrCat(endingName(outcome.How), ": ",
+  answer.Body = absl::StrCat(outcomeKindName(outcome.How), ": ",
                              reasonName(outcome.Why), "\n");
   return answer;
 }
@@ -182,15 +182,15 @@
   Watch.endSpan(
       {"entry", parent, packet->Head.Trace, start, took, service->Id,
        result.Server, result.Request,
-       absl::StrCat(endingName(result.How), " ", reasonName(result.Why)),
-       result.How != Ending::Answered});
+       absl::StrCat(outcomeKindName(result.How), " ", reasonName(result.Why)),
+       result.How != OutcomeKind::Answered});
   return toAnswer(result, ended.Token);
 }
 
 Answer EntryPart::refuse(const std::string &peer, uint32_t status, Reason why,
                          const std::string &detail) {
   Outcome outcome;
-  outcome.How = Ending::NotRun;
+  outcome.How = OutcomeKind::NotRun;
   outcome.Why = why;
   outcome.AtStep = stepName(Step::DecodeEnvelope);
   outcome.AtPeer = peer;
--- a/Balsamrack/Daemon/OwnerPart.cpp
+++ b/Balsamrack/Daemon/OwnerPart.cpp
@@ -26,7 +26,7 @@
 /// The server's word on its health; nothing when it isn't readable.
 std::optional<HealthReported> readHealth(const ServerId &server,
                                          const DispatchResult &result) {
-  if (result.How != DispatchEnd::Answered || result.Content.Status != 200)
+  if (result.How != DispatchOutcome::Answered || result.Content.Status != 200)
     return std::nullopt;
   const nlohmann::json body =
       nlohmann::json::parse(result.Content.Body, nullptr, false);
@@ -314,8 +314,8 @@
               shard.Id,
               server,
               request,
-              dispatchEndName(result.How),
-              result.How != DispatchEnd::Answered};
+              dispatchOutcomeName(result.How),
+              result.How != DispatchOutcome::Answered};
   DispatchEnded event{request,     result.How,        result.Instance,
                       result.Took, result.RetryAfter, result.Content.Status};
   {
@@ -325,14 +325,14 @@
     auto it = shard.Requests.find(request);
     if (it != shard.Requests.end()) {
       hop.Parent = it->second.Head.Trace;
-      if (result.How == DispatchEnd::Answered)
+      if (result.How == DispatchOutcome::Answered)
         it->second.Reply = std::move(result.Content);
     }
   }
   Watch.endSpan(std::move(hop));
   // Our own fence may have stopped it. Unless the owner hears of that first, it
   // takes the server for unreachable, and for cold afterwards.
-  if (result.How == DispatchEnd::Unreachable && !mayLeave())
+  if (result.How == DispatchOutcome::Unreachable && !mayLeave())
     tellAuthority(shard, false);
   step(shard, event);
 }
@@ -358,18 +358,18 @@
     work = std::move(it->second);
     shard.Requests.erase(it);
   }
-  if (outcome.How == Ending::Answered && work->Reply)
+  if (outcome.How == OutcomeKind::Answered && work->Reply)
     outcome.Content = std::move(*work->Reply);
   // A flow that was never served doesn't live here.
-  if (work->NewFlow && outcome.How == Ending::NotRun)
+  if (work->NewFlow && outcome.How == OutcomeKind::NotRun)
     Flows.forget(work->Head.Flow);
   if (outcome.Server.empty())
     outcome.Server = work->Server;
   Watch.endSpan(
       {"owner", work->Parent, work->Head.Trace, work->Start,
        Time.now() - work->Start, shard.Id, work->Server, outcome.Request,
-       absl::StrCat(endingName(outcome.How), " ", reasonName(outcome.Why)),
-       outcome.How != Ending::Answered});
+       absl::StrCat(outcomeKindName(outcome.How), " ", reasonName(outcome.Why)),
+       outcome.How != OutcomeKind::Answered});
   report(work->From, std::move(outcome));
 }
 
--- a/Balsamrack/Daemon/PacketLane.cpp
+++ b/Balsamrack/Daemon/PacketLane.cpp
@@ -28,7 +28,8 @@
     return "domain-out";
   if (server.Presence == ServerPresence::Expired)
     return "lapsed";
-  return server.What->Server.Mode == ServerMode::Active ? "active" : "draining";
+  return server.Published->Server.Mode == ServerMode::Active ? "active"
+                                                             : "draining";
 }
 
 } // namespace
@@ -66,7 +67,7 @@
   noteReach();
   // Whether servers can be reached is tried at once, not when the thread looks
   // around next.
-  if (!Router.provedReach())
+  if (!Router.hasProvenReachability())
     wakeUp();
 }
 
@@ -96,15 +97,15 @@
   std::vector<LaneServer> all;
   std::lock_guard<std::mutex> hold(Lock);
   TimePoint now = Time.now();
-  const std::vector<TabledServer> &table = Router.servers().all();
+  const std::vector<ServerEntry> &table = Router.servers().all();
   for (ServerIndex i = 0; i < table.size(); ++i) {
-    const TabledServer &it = table[i];
-    if (!it.Used)
+    const ServerEntry &it = table[i];
+    if (!it.InUse)
       continue;
-    const BackendServer &what = it.Is.What->Server;
-    all.push_back({what.Id, what.Service, what.Domain, what.At, modeName(it.Is),
-                   it.InProgress, it.Share, Router.silent(i),
-                   now < it.Is.ColdUntil});
+    const BackendServer &what = it.Backend.Published->Server;
+    all.push_back({what.Id, what.Service, what.Domain, what.At,
+                   modeName(it.Backend), it.InProgress, it.Share,
+                   Router.isSilent(i), now < it.Backend.ColdUntil});
   }
   return all;
 }
@@ -120,8 +121,8 @@
   Codec.writeToken(out + prefix, to.Token);
 }
 
-void PacketLane::reset(const PacketHead &head) {
-  std::array<uint8_t, PacketCodec::MaxHeadBytes> packet{};
+void PacketLane::reset(const PacketHeader &head) {
+  std::array<uint8_t, PacketCodec::MaxHeaderBytes> packet{};
   size_t n = Codec.writeReset(head, packet.data());
   // Callers take packets at their own address and at our port.
   Endpoint caller = head.Flow.Caller;
@@ -131,7 +132,7 @@
 
 void PacketLane::wait() {
   std::vector<pollfd> polled{{Socket->fd(), POLLIN, 0}, {Wake, POLLIN, 0}};
-  Prober.addTo(polled);
+  Prober.addPollFds(polled);
   TimePoint now = Time.now();
   TimePoint until = std::min(now + MostWait, Prober.nextTimeout());
   {
@@ -173,27 +174,27 @@
     size_t n = Socket->receive([&](uint8_t *packet, size_t bytes) {
       auto head = Codec.decode(packet, bytes);
       if (head) {
-        Router.packet(now, *head, packet, bytes, *this);
+        Router.handlePacket(now, *head, packet, bytes, *this);
         return;
       }
       PacketEvent event;
       event.Kind = PacketEventKind::Dropped;
-      event.Why = PacketReason::Malformed;
+      event.Reason = PacketReason::Malformed;
       Watch.report(event);
     });
     Received += n;
-    if (n < PacketSocket::Batch)
+    if (n < PacketSocket::BatchSize)
       return;
   }
 }
 
 void PacketLane::noteReach() {
-  bool proved = Router.provedReach();
+  bool proved = Router.hasProvenReachability();
   if (ProvedReach.exchange(proved) == proved)
     return;
   Watch.log(LogLine(Part::Entry, proved ? Severity::Info : Severity::Warning,
                     proved ? "servers-in-reach" : "servers-out-of-reach")
-                .text("reach", reachStateName(Router.reach()))
+                .text("reach", reachStateName(Router.reachState()))
                 .number("silent", Router.silentServers()));
 }
 
@@ -209,12 +210,12 @@
     wait();
     TimePoint now = Time.now();
     noteTime(now);
-    std::vector<AttemptResult> ended = Prober.finished(now);
+    std::vector<ConnectionAttemptResult> ended = Prober.takeFinished(now);
     std::vector<ConnectionAttempt> due;
     {
       std::lock_guard<std::mutex> hold(Lock);
-      for (const AttemptResult &it : ended)
-        Router.attemptEnded(now, it.Server, it.How, *this);
+      for (const ConnectionAttemptResult &it : ended)
+        Router.handleAttemptResult(now, it.Server, it.Result, *this);
       takePackets(now);
       Router.tick(now, *this);
       due = Router.dueAttempts(now);
--- a/Balsamrack/Daemon/PacketLane.h
+++ b/Balsamrack/Daemon/PacketLane.h
@@ -83,7 +83,7 @@
 private:
   void forward(const PacketTarget &to, const uint8_t *packet,
                size_t n) override;
-  void reset(const PacketHead &head) override;
+  void reset(const PacketHeader &head) override;
   void report(const PacketEvent &event) override { Watch.report(event); }
 
   void run();
--- a/Balsamrack/Daemon/PacketOperatorPart.cpp
+++ b/Balsamrack/Daemon/PacketOperatorPart.cpp
@@ -38,14 +38,14 @@
     return all;
   json entry = sentence(absl::StrCat(
       "the flow is ", flowStageName(explanation.Stage), " at ",
-      explanation.Home.str(), "; first seen ", millis(explanation.Age).dump(),
-      " ms ago, last packet ", millis(explanation.Quiet).dump(),
-      " ms ago, its opening went to ", explanation.Tries,
-      " servers from here"));
+      explanation.HomeServer.str(), "; first seen ",
+      millis(explanation.Age).dump(), " ms ago, last packet ",
+      millis(explanation.Idle).dump(), " ms ago, its opening went to ",
+      explanation.Tries, " servers from here"));
   entry["stage"] = flowStageName(explanation.Stage);
-  entry["server"] = explanation.Home.str();
+  entry["server"] = explanation.HomeServer.str();
   entry["age_ms"] = millis(explanation.Age);
-  entry["quiet_ms"] = millis(explanation.Quiet);
+  entry["quiet_ms"] = millis(explanation.Idle);
   entry["tries"] = explanation.Tries;
   all.push_back(entry);
   return all;
--- a/Balsamrack/Daemon/PacketTelemetry.cpp
+++ b/Balsamrack/Daemon/PacketTelemetry.cpp
@@ -78,7 +78,7 @@
 
 void PacketTelemetry::report(const PacketEvent &event) {
   const char *kind = packetEventName(event.Kind);
-  const char *why = packetReasonName(event.Why);
+  const char *why = packetReasonName(event.Reason);
   Numbers->count(FlowEvents, {{"event", kind}, {"reason", why}});
   if (event.Kind == PacketEventKind::Confirmed)
     Numbers->observe(OpeningTime, {}, event.Took);
@@ -91,7 +91,7 @@
                kind);
   if (event.Flow.Service.Port != 0)
     line.text("flow", event.Flow.Caller.str() + ">" + event.Flow.Service.str());
-  if (event.Why != PacketReason::None)
+  if (event.Reason != PacketReason::None)
     line.text("reason", why);
   if (event.Server) {
     line.text("server", event.Server->str());
--- a/Balsamrack/Daemon/StatePart.cpp
+++ b/Balsamrack/Daemon/StatePart.cpp
@@ -370,9 +370,9 @@
   else
     logChanges(changed);
   if (changed.Section == PublishedSection::Servers)
-    Book.serversChanged(now, changed.Changed);
+    Book.applyServerChanges(now, changed.Changed);
   else
-    Book.setOperators(now, Exchange.store().objects(changed.Section));
+    Book.applyOperatorObjects(now, Exchange.store().objects(changed.Section));
   RoutesDue = true;
 }
 
--- a/Balsamrack/Daemon/StatePart.h
+++ b/Balsamrack/Daemon/StatePart.h
@@ -103,7 +103,7 @@
   std::vector<EntryVm> Seeds;
   std::unique_ptr<Membership> Members;
   StateExchange Exchange;
-  RouteBook Book;
+  PacketRoutesBuilder Book;
   bool RoutesDue = true;      ///< A snapshot is to be made once all is known.
   TimePoint NextRoutes;       ///< Not before; see UpdatePeriod.
   bool MembersDue = true;     ///< The live daemons have changed.
--- a/Balsamrack/Daemon/Telemetry.h
+++ b/Balsamrack/Daemon/Telemetry.h
@@ -53,10 +53,10 @@
   /// Keeps a finished span.
   virtual void endSpan(HopSpan span) = 0;
   /// A packet ended at this entry.
-  virtual void packetEnded(const ServiceId &service, Ending how, Reason why,
-                           Duration took) = 0;
+  virtual void packetEnded(const ServiceId &service, OutcomeKind how,
+                           Reason why, Duration took) = 0;
   /// A dispatch to a server ended.
-  virtual void dispatchEnded(const ServerId &server, DispatchEnd how,
+  virtual void dispatchEnded(const ServerId &server, DispatchOutcome how,
                              Duration took) = 0;
   /// A log line: one short sentence.
   virtual void log(Part part, Severity severity,
--- a/Balsamrack/Daemon/Witness.cpp
+++ b/Balsamrack/Daemon/Witness.cpp
@@ -83,20 +83,20 @@
 
 void Witness::endSpan(HopSpan span) { Self->Spans->end(span); }
 
-void Witness::packetEnded(const ServiceId &service, Ending how, Reason why,
+void Witness::packetEnded(const ServiceId &service, OutcomeKind how, Reason why,
                           Duration took) {
   Self->Numbers->count(Packets, {{"service", service.str()},
-                                 {"ending", endingName(how)},
+                                 {"ending", outcomeKindName(how)},
                                  {"reason", reasonName(why)}});
-  if (how == Ending::Answered)
+  if (how == OutcomeKind::Answered)
     Self->Numbers->observe(PacketTimes, {{"service", service.str()}}, took);
 }
 
-void Witness::dispatchEnded(const ServerId &server, DispatchEnd how,
+void Witness::dispatchEnded(const ServerId &server, DispatchOutcome how,
                             Duration took) {
-  Self->Numbers->count(
-      Dispatches, {{"server", server.str()}, {"end", dispatchEndName(how)}});
-  if (how == DispatchEnd::Answered)
+  Self->Numbers->count(Dispatches, {{"server", server.str()},
+                                    {"end", dispatchOutcomeName(how)}});
+  if (how == DispatchOutcome::Answered)
     Self->Numbers->observe(AnswerTimes, {{"server", server.str()}}, took);
 }
 
--- a/Balsamrack/Daemon/Witness.h
+++ b/Balsamrack/Daemon/Witness.h
@@ -28,9 +28,9 @@
   void decided(Decision what) override;
   std::string startSpan(const std::string &parent) override;
   void endSpan(HopSpan span) override;
-  void packetEnded(const ServiceId &service, Ending how, Reason why,
+  void packetEnded(const ServiceId &service, OutcomeKind how, Reason why,
                    Duration took) override;
-  void dispatchEnded(const ServerId &server, DispatchEnd how,
+  void dispatchEnded(const ServerId &server, DispatchOutcome how,
                      Duration took) override;
   void log(Part part, Severity severity, const std::string &sentence) override;
   void failed(Part part, const absl::Status &status) override;
--- a/Balsamrack/Decisions/DrainTracker.cpp
+++ b/Balsamrack/Decisions/DrainTracker.cpp
@@ -18,7 +18,7 @@
 
 std::optional<DrainTracker::Refusal> DrainTracker::refuses(TimePoint now,
                                                            bool newFlow) const {
-  Ending how = newFlow ? Ending::NotRun : Ending::GivenUp;
+  OutcomeKind how = newFlow ? OutcomeKind::NotRun : OutcomeKind::GivenUp;
   if (DomainOut)
     return Refusal{how, Reason::DomainOut};
   if (Since && (newFlow || now >= *limit()))
--- a/Balsamrack/Decisions/DrainTracker.h
+++ b/Balsamrack/Decisions/DrainTracker.h
@@ -25,8 +25,8 @@
 public:
   /// How a request that may not be served ends.
   struct Refusal {
-    Ending How; ///< NotRun for a new flow, GivenUp for an established one.
-    Reason Why; ///< ServerDraining or DomainOut.
+    OutcomeKind How; ///< NotRun for a new flow, GivenUp for an established one.
+    Reason Why;      ///< ServerDraining or DomainOut.
   };
 
   /// Takes over what the ticket says; true when that changed something.
--- a/Balsamrack/Decisions/OwnerEvents.h
+++ b/Balsamrack/Decisions/OwnerEvents.h
@@ -53,8 +53,8 @@
 
 /// What the link says of an earlier StartDispatch, exactly once for each.
 struct DispatchEnded {
-  RequestId Request;                     ///< As dispatched.
-  DispatchEnd How = DispatchEnd::Failed; ///< What became of it.
+  RequestId Request;                             ///< As dispatched.
+  DispatchOutcome How = DispatchOutcome::Failed; ///< What became of it.
   InstanceId Instance; ///< Run of the server process that answered, if known.
   Duration Took{0};    ///< From the send to the end.
   Duration RetryAfter{0};  ///< The server's wish, when Shed.
--- a/Balsamrack/Decisions/OwnerOutput.cpp
+++ b/Balsamrack/Decisions/OwnerOutput.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-DecisionKind kindOf(Ending how, Step at) {
-  bool refused = how == Ending::NotRun && at == Step::Admit;
+DecisionKind kindOf(OutcomeKind how, Step at) {
+  bool refused = how == OutcomeKind::NotRun && at == Step::Admit;
   return refused ? DecisionKind::Refused : DecisionKind::Ended;
 }
 
@@ -64,13 +64,13 @@
 
 void OwnerOutput::end(const QueuedRequest &request, const ServerId &server,
                       RequestEnd end, DecisionInputs inputs) {
-  bool says = end.How == Ending::NotRun || end.How == Ending::GivenUp;
+  bool says = end.How == OutcomeKind::NotRun || end.How == OutcomeKind::GivenUp;
   if (says && request.MayHaveRun)
-    end.How = Ending::OutcomeUnknown;
+    end.How = OutcomeKind::OutcomeUnknown;
   Decision what = about(request.Head, server, end.At);
   what.Kind = kindOf(end.How, end.At);
   what.Rule = end.Why == Reason::None ? "server-answered" : reasonName(end.Why);
-  what.Result = absl::StrCat("ended ", endingName(end.How));
+  what.Result = absl::StrCat("ended ", outcomeKindName(end.How));
   what.Inputs = std::move(inputs);
   Actions.emplace_back(Explain{std::move(what)});
   Outcome result;
--- a/Balsamrack/Decisions/OwnerOutput.h
+++ b/Balsamrack/Decisions/OwnerOutput.h
@@ -16,10 +16,10 @@
 
 /// How a request is to end.
 struct RequestEnd {
-  Ending How = Ending::NotRun; ///< What the caller is told.
-  Reason Why = Reason::None;   ///< The rule behind it.
-  Duration RetryAfter{0};      ///< When to come back.
-  Step At = Step::Admit;       ///< Step at which it ended.
+  OutcomeKind How = OutcomeKind::NotRun; ///< What the caller is told.
+  Reason Why = Reason::None;             ///< The rule behind it.
+  Duration RetryAfter{0};                ///< When to come back.
+  Step At = Step::Admit;                 ///< Step at which it ended.
 };
 
 /// Collects the actions of one step and writes their explanations, so that no
--- a/Balsamrack/Decisions/ServerAdmission.cpp
+++ b/Balsamrack/Decisions/ServerAdmission.cpp
@@ -65,7 +65,7 @@
 
 void ServerAdmission::depart(TimePoint now) {
   Owned = false;
-  endAll(now, Ending::NotRun, Reason::NotOwner);
+  endAll(now, OutcomeKind::NotRun, Reason::NotOwner);
 }
 
 void ServerAdmission::arrive(TimePoint now, const RequestArrived &event) {
@@ -108,7 +108,7 @@
     return how;
   }
   if (event.Head.Remaining <= Duration(0))
-    return RequestEnd{Ending::NotRun, Reason::DeadlinePassed};
+    return RequestEnd{OutcomeKind::NotRun, Reason::DeadlinePassed};
   if (Pause.gone() && now < Pause.until())
     return notRun(now, Reason::ServerUnreachable, Pause.until() - now);
   auto unsure = Context.unsureFrom();
@@ -183,7 +183,7 @@
   Slots.start(RunningRequest{std::move(what), now});
 }
 
-void ServerAdmission::endAll(TimePoint now, Ending how, Reason why) {
+void ServerAdmission::endAll(TimePoint now, OutcomeKind how, Reason why) {
   for (const QueuedRequest &what : Queue.takeAll()) {
     RequestEnd ending = notRun(now, why, Duration(0));
     ending.How = how;
@@ -201,18 +201,18 @@
   Duration queued = Waits.waitFor(Queue.size(), Ramp.limit());
   Duration after = Waits.bookReturn(now, std::max(backlog, queued),
                                     Ramp.limit(), Context.Random);
-  return RequestEnd{Ending::NotRun, why, after};
+  return RequestEnd{OutcomeKind::NotRun, why, after};
 }
 
 RequestEnd ServerAdmission::elsewhere(Reason why) const {
   // Another server or daemon may take it at once.
-  return RequestEnd{Ending::NotRun, why,
+  return RequestEnd{OutcomeKind::NotRun, why,
                     Context.Settings.Waits.LeastRetryAfter};
 }
 
 bool ServerAdmission::cancel(TimePoint now, RequestId request) {
   if (auto what = Queue.remove(request)) {
-    end(*what, RequestEnd{Ending::NotRun, Reason::CallerGone});
+    end(*what, RequestEnd{OutcomeKind::NotRun, Reason::CallerGone});
     settle(now);
     return true;
   }
@@ -258,7 +258,7 @@
     endAll(now, out->How, out->Why);
   auto unsure = Context.unsureFrom();
   if (unsure && now >= *unsure)
-    endAll(now, Ending::NotRun, Reason::OwnerUnsure);
+    endAll(now, OutcomeKind::NotRun, Reason::OwnerUnsure);
   // What can't be answered in time any more gets its ending now.
   // Nor is there hope once work that was not known as long holds all slots.
   Duration block = longBlock(now);
--- a/Balsamrack/Decisions/ServerAdmission.h
+++ b/Balsamrack/Decisions/ServerAdmission.h
@@ -58,7 +58,7 @@
   bool canStart(TimePoint now, const QueuedRequest &what) const;
   void enqueue(TimePoint now, const QueuedRequest &what);
   void dispatch(TimePoint now, QueuedRequest what);
-  void endAll(TimePoint now, Ending how, Reason why);
+  void endAll(TimePoint now, OutcomeKind how, Reason why);
   void end(const QueuedRequest &what, RequestEnd how);
   RequestEnd notRun(TimePoint now, Reason why, Duration backlog);
   RequestEnd elsewhere(Reason why) const;
--- a/Balsamrack/Decisions/ServerDispatchEnds.cpp
+++ b/Balsamrack/Decisions/ServerDispatchEnds.cpp
@@ -21,7 +21,7 @@
   Ramp.proved(now);
   noteInstance(now, event.Instance);
   noteServer(now, *run, event);
-  if (event.How == DispatchEnd::Failed)
+  if (event.How == DispatchOutcome::Failed)
     run->What.MayHaveRun = true;
   if (!retry(now, *run, event))
     end(run->What, endOf(now, *run, event));
@@ -32,11 +32,11 @@
 
 void ServerAdmission::noteServer(TimePoint now, const RunningRequest &run,
                                  const DispatchEnded &event) {
-  if (event.How == DispatchEnd::Failed) {
+  if (event.How == DispatchOutcome::Failed) {
     noteFailed(now, run, event);
     return;
   }
-  if (event.How != DispatchEnd::Answered) {
+  if (event.How != DispatchOutcome::Answered) {
     noteUndelivered(now, event);
     return;
   }
@@ -61,7 +61,7 @@
 
 void ServerAdmission::noteUndelivered(TimePoint now,
                                       const DispatchEnded &event) {
-  bool shed = event.How == DispatchEnd::Shed;
+  bool shed = event.How == DispatchOutcome::Shed;
   // Without authority it was the daemon that did not send: no fault of the
   // server.
   if (!shed && !Context.MayDispatch)
@@ -74,7 +74,7 @@
   explainEjection(Context.Ejection.noted(now, Server.Id, false, event.Took));
   explainRamp(Ramp.faltered(now, shed ? "server-shed" : "server-unreachable"));
   if (Pause.gone())
-    endAll(now, Ending::NotRun, Reason::ServerUnreachable);
+    endAll(now, OutcomeKind::NotRun, Reason::ServerUnreachable);
 }
 
 void ServerAdmission::noteFailed(TimePoint now, const RunningRequest &run,
@@ -96,7 +96,7 @@
   const QueuedRequest &what = run.What;
   // Never a second dispatch of a RunOnce request, whatever the server said.
   if (what.Head.Kind != Semantics::Idempotent || run.Cancelled ||
-      event.How == DispatchEnd::Answered ||
+      event.How == DispatchOutcome::Answered ||
       what.Attempts >= Context.Settings.Retries.MostAttempts)
     return false;
   if (!Owned || Drain.refuses(now, false) || Queue.size() >= Queue.capacity() ||
@@ -109,15 +109,16 @@
 
 RequestEnd ServerAdmission::endOf(TimePoint now, const RunningRequest &run,
                                   const DispatchEnded &event) {
-  if (event.How == DispatchEnd::Answered)
-    return {Ending::Answered, Reason::None, Duration(0), Step::AwaitAnswer};
+  if (event.How == DispatchOutcome::Answered)
+    return {OutcomeKind::Answered, Reason::None, Duration(0),
+            Step::AwaitAnswer};
   RequestEnd how = notRun(now, Reason::ServerShed, blockedFor(now));
   how.At = Step::Dispatch;
-  if (event.How == DispatchEnd::Unreachable)
+  if (event.How == DispatchOutcome::Unreachable)
     how.Why =
         Context.MayDispatch ? Reason::ServerUnreachable : Reason::OwnerUnsure;
-  if (event.How == DispatchEnd::Failed)
-    how = {Ending::OutcomeUnknown,
+  if (event.How == DispatchOutcome::Failed)
+    how = {OutcomeKind::OutcomeUnknown,
            run.Cancelled ? Reason::CallerGone : Reason::ServerFailed,
            Duration(0), Step::AwaitAnswer};
   return how;
--- a/Balsamrack/Decisions/ServersOfService.cpp
+++ b/Balsamrack/Decisions/ServersOfService.cpp
@@ -50,7 +50,7 @@
   QueuedRequest what;
   what.Head = event.Head;
   Context.Out.end(what, event.Server,
-                  RequestEnd{Ending::NotRun, Reason::NotOwner,
+                  RequestEnd{OutcomeKind::NotRun, Reason::NotOwner,
                              Context.Settings.Waits.LeastRetryAfter},
                   {});
 }
--- a/Balsamrack/Flows/EntryPlacement.cpp
+++ b/Balsamrack/Flows/EntryPlacement.cpp
@@ -77,18 +77,18 @@
           {}, {});
   // True, and better for the caller than "unknown": it may simply come back.
   if (p.Keys.provedNew(Settings))
-    return end(p, Ending::NotRun, why, {}, spread(), "key-proved-new");
+    return end(p, OutcomeKind::NotRun, why, {}, spread(), "key-proved-new");
   // Coming back helps when another attempt is under way or a guardian was out
   // of reach; a key whose guardians are all fresh stays unknown for long.
   bool comeBack = why == Reason::KeyInProgress || p.Keys.anyUnanswered();
-  end(p, Ending::OutcomeUnknown, why, {}, comeBack ? spread() : Duration(0),
-      "idempotency-key");
+  end(p, OutcomeKind::OutcomeUnknown, why, {},
+      comeBack ? spread() : Duration(0), "idempotency-key");
 }
 
 void EntryRouter::State::place(EntryPacket &p) {
   const ServiceRoute *route = View->findService(p.Head.Service);
   if (!route)
-    return end(p, Ending::NotRun, Reason::UnknownService, {}, {},
+    return end(p, OutcomeKind::NotRun, Reason::UnknownService, {}, {},
                "unknown-service");
   if (placeByToken(p, *route))
     return;
@@ -119,10 +119,11 @@
   // force here yet: then another server would break the flow, and the ticket
   // arrives within seconds. Or the server was deleted: the flow is over.
   if (token->Ticket > View->Ticket)
-    end(p, Ending::NotRun, Reason::OwnerUnsure, {}, spread(),
+    end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, {}, spread(),
         "token-of-later-ticket");
   else
-    end(p, Ending::GivenUp, Reason::NoServer, {}, {}, "token-server-deleted");
+    end(p, OutcomeKind::GivenUp, Reason::NoServer, {}, {},
+        "token-server-deleted");
   return true;
 }
 
@@ -130,14 +131,15 @@
   p.NewFlow = true;
   const RoutedServer *server = chooseForNewFlow(route, rankBy(p), p.Tried);
   if (!server)
-    return end(p, Ending::NotRun, Reason::NoServer, {}, spread(), "no-server");
+    return end(p, OutcomeKind::NotRun, Reason::NoServer, {}, spread(),
+               "no-server");
   forward(p, *server, false, false, "new-flow");
 }
 
 void EntryRouter::State::placeEstablished(EntryPacket &p,
                                           const ServiceRoute &route) {
   if (route.Servers.empty())
-    return end(p, Ending::GivenUp, Reason::NoServer, {}, {}, "no-server");
+    return end(p, OutcomeKind::GivenUp, Reason::NoServer, {}, {}, "no-server");
   // Most flows live on their first candidate: hand the packet over right away,
   // its owner says if not.
   const RoutedServer &best = route.Servers[route.Rank.first(rankBy(p))];
@@ -150,14 +152,15 @@
                                     bool byToken, const char *rule) {
   const ServerId &id = server.Server.Id;
   if (!server.DomainInService)
-    return end(p, Ending::GivenUp, Reason::DomainOut, id, {}, "domain-out");
+    return end(p, OutcomeKind::GivenUp, Reason::DomainOut, id, {},
+               "domain-out");
   // Its server may well be alive: moving the flow would break it for good,
   // while the obstacle may go away.
   if (!server.DomainReachable)
-    return end(p, Ending::NotRun, Reason::DomainUnreachable, id, spread(),
+    return end(p, OutcomeKind::NotRun, Reason::DomainUnreachable, id, spread(),
                "domain-unreachable");
   if (!server.reachable())
-    return end(p, Ending::NotRun, Reason::OwnerUnreachable, id, spread(),
+    return end(p, OutcomeKind::NotRun, Reason::OwnerUnreachable, id, spread(),
                "owner-unreachable");
   forward(p, server, !byToken, byToken, rule);
 }
@@ -168,7 +171,7 @@
   const RoutedServer *home = route ? route->find(server) : nullptr;
   // A peer with a later ticket names a server that is not in force here yet.
   if (!home)
-    return end(p, Ending::NotRun, Reason::OwnerUnsure, server, spread(),
+    return end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, server, spread(),
                "server-of-later-ticket");
   sendToHome(p, *home, false, rule);
 }
@@ -176,7 +179,7 @@
 void EntryRouter::State::search(EntryPacket &p) {
   const ServiceRoute *route = View->findService(p.Head.Service);
   if (!route || route->Servers.empty())
-    return end(p, Ending::NotRun, Reason::OwnerUnsure, {}, spread(),
+    return end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, {}, spread(),
                "service-gone");
   if (!Settings.UseQuestion) {
     const RoutedServer &best = route->Servers[route->Rank.first(rankBy(p))];
@@ -208,13 +211,13 @@
   case FlowSearch::Conclusion::Inferred:
     return sendToNamed(p, p.Search.server(), "question-inferred");
   case FlowSearch::Conclusion::Unreachable:
-    return end(p, Ending::NotRun, Reason::OwnerUnreachable, p.Search.server(),
-               spread(), "likely-home-unreachable");
+    return end(p, OutcomeKind::NotRun, Reason::OwnerUnreachable,
+               p.Search.server(), spread(), "likely-home-unreachable");
   case FlowSearch::Conclusion::DomainOut:
-    return end(p, Ending::GivenUp, Reason::DomainOut, p.Search.server(), {},
-               "likely-home-out");
+    return end(p, OutcomeKind::GivenUp, Reason::DomainOut, p.Search.server(),
+               {}, "likely-home-out");
   case FlowSearch::Conclusion::LaterTicket:
-    return end(p, Ending::NotRun, Reason::OwnerUnsure, {}, spread(),
+    return end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, {}, spread(),
                "owner-has-later-ticket");
   case FlowSearch::Conclusion::Nowhere:
     break;
@@ -224,7 +227,8 @@
   const RoutedServer *server =
       route ? chooseForNewFlow(*route, rankBy(p), {}) : nullptr;
   if (!server)
-    return end(p, Ending::NotRun, Reason::NoServer, {}, spread(), "no-server");
+    return end(p, OutcomeKind::NotRun, Reason::NoServer, {}, spread(),
+               "no-server");
   forward(p, *server, true, false, "nobody-knows");
 }
 
@@ -277,8 +281,8 @@
     p.MayHaveRun = true;
     p.Lost = gone.Server;
     if (!retry)
-      return end(p, Ending::OutcomeUnknown, Reason::OwnerLost, gone.Server, {},
-                 "owner-lost");
+      return end(p, OutcomeKind::OutcomeUnknown, Reason::OwnerLost, gone.Server,
+                 {}, "owner-lost");
     p.Unanswered.reset();
     const ServiceRoute &route = *View->findService(p.Head.Service);
     const RoutedServer &next =
--- a/Balsamrack/Flows/EntryRouter.cpp
+++ b/Balsamrack/Flows/EntryRouter.cpp
@@ -11,15 +11,16 @@
 namespace {
 
 /// Did the ending, as the owner told it, leave the server untouched?
-bool provablyNotRun(Ending how) {
-  return how == Ending::NotRun || how == Ending::GivenUp;
+bool provablyNotRun(OutcomeKind how) {
+  return how == OutcomeKind::NotRun || how == OutcomeKind::GivenUp;
 }
 
 /// "answered", or "not-run, queue-full".
 std::string endingInWords(const Outcome &outcome) {
   if (outcome.Why == Reason::None)
-    return endingName(outcome.How);
-  return absl::StrCat(endingName(outcome.How), ", ", reasonName(outcome.Why));
+    return outcomeKindName(outcome.How);
+  return absl::StrCat(outcomeKindName(outcome.How), ", ",
+                      reasonName(outcome.Why));
 }
 
 } // namespace
@@ -67,9 +68,11 @@
   p.Deadline = Now + p.Head.Remaining;
   wakeAt(p, p.Deadline);
   if (p.Head.Remaining <= Duration::zero())
-    return end(p, Ending::NotRun, Reason::DeadlinePassed, {}, {}, "deadline");
+    return end(p, OutcomeKind::NotRun, Reason::DeadlinePassed, {}, {},
+               "deadline");
   if (!View)
-    return end(p, Ending::NotRun, Reason::OwnerUnsure, {}, spread(), "no-view");
+    return end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, {}, spread(),
+               "no-view");
   Budgets.try_emplace(p.Head.Service, Settings.RetryRatio, Settings.RetryBurst)
       .first->second.earn();
   if (!p.claimsKey())
@@ -87,7 +90,7 @@
   // start a second run while the first goes on.
   if (!p || !p->Unanswered || p->Unanswered->To.Id != event.From)
     return;
-  bool elsewhere = event.Result.How == Ending::NotRun &&
+  bool elsewhere = event.Result.How == OutcomeKind::NotRun &&
                    event.Result.Why == Reason::FlowElsewhere;
   // An owner never answers "elsewhere" when it was told to take the flow in:
   // such an answer is the duplicate of an earlier one.
@@ -106,7 +109,7 @@
     return search(*p);
   if (elsewhere)
     return sendToNamed(*p, event.Result.Server, "exception");
-  if (event.Result.How == Ending::NotRun && p->NewFlow)
+  if (event.Result.How == OutcomeKind::NotRun && p->NewFlow)
     return tryNext(*p, event.Result);
   Outcome outcome = event.Result;
   if (outcome.Server.empty())
@@ -201,21 +204,21 @@
 
 void EntryRouter::State::abandon(EntryPacket &p, Reason why) {
   if (!p.Unanswered)
-    return end(p, Ending::NotRun, why, {}, {}, reasonName(why));
+    return end(p, OutcomeKind::NotRun, why, {}, {}, reasonName(why));
   Actions.emplace_back(SendCancel{p.Unanswered->To, p.Head.Request});
   ServerId server = p.Unanswered->Server;
-  end(p, Ending::OutcomeUnknown, why, server, {}, reasonName(why));
+  end(p, OutcomeKind::OutcomeUnknown, why, server, {}, reasonName(why));
 }
 
-void EntryRouter::State::settle(const EntryPacket &p, Ending how) {
+void EntryRouter::State::settle(const EntryPacket &p, OutcomeKind how) {
   if (!p.claimsKey())
     return;
-  Ending told = provablyNotRun(how) ? Ending::NotRun : how;
+  OutcomeKind told = provablyNotRun(how) ? OutcomeKind::NotRun : how;
   for (const EntryVm &vm : p.Keys.claimed())
     Actions.emplace_back(SendSettled{vm, {p.Head.Key, p.Head.Request, told}});
 }
 
-void EntryRouter::State::end(EntryPacket &p, Ending how, Reason why,
+void EntryRouter::State::end(EntryPacket &p, OutcomeKind how, Reason why,
                              const ServerId &server, Duration retryAfter,
                              const char *rule) {
   Outcome o;
@@ -232,18 +235,18 @@
                              const char *rule) {
   // An owner vanished with the request: it may have run, whatever came later.
   if (p.MayHaveRun && provablyNotRun(outcome.How)) {
-    outcome.How = Ending::OutcomeUnknown;
+    outcome.How = OutcomeKind::OutcomeUnknown;
     outcome.Why = Reason::OwnerLost;
     outcome.Server = p.Lost;
   }
   outcome.Request = p.Head.Request;
   EndPacket done;
-  if (outcome.How == Ending::Answered && !Settings.TokenKey.empty())
+  if (outcome.How == OutcomeKind::Answered && !Settings.TokenKey.empty())
     done.Token = Codec.encode({p.Head.Service.hash(), outcome.Server.hash(),
                                p.Head.Flow, View->Ticket});
   // A request that was never forwarded leaves its key free, whatever the
   // guardians said of other attempts.
-  settle(p, p.Tried.empty() ? Ending::NotRun : outcome.How);
+  settle(p, p.Tried.empty() ? OutcomeKind::NotRun : outcome.How);
   explain(p, DecisionKind::Ended, rule, endingInWords(outcome), outcome.Server,
           VmId(outcome.AtPeer));
   done.Result = std::move(outcome);
--- a/Balsamrack/Flows/EntryRouterState.h
+++ b/Balsamrack/Flows/EntryRouterState.h
@@ -69,8 +69,8 @@
   Duration spread();
   void timeUp(EntryPacket &p);
   void abandon(EntryPacket &p, Reason why);
-  void settle(const EntryPacket &p, Ending how);
-  void end(EntryPacket &p, Ending how, Reason why, const ServerId &server,
+  void settle(const EntryPacket &p, OutcomeKind how);
+  void end(EntryPacket &p, OutcomeKind how, Reason why, const ServerId &server,
            Duration retryAfter, const char *rule);
   void end(EntryPacket &p, Outcome outcome, const char *rule);
   void erase(EntryPacket &p);
--- a/Balsamrack/Flows/FlowMessages.h
+++ b/Balsamrack/Flows/FlowMessages.h
@@ -70,9 +70,9 @@
 /// Tells a guardian how the attempt that holds a key ended. NotRun frees the
 /// key.
 struct KeySettled {
-  KeyDigest Key;               ///< The key.
-  RequestId Request;           ///< The attempt that holds it.
-  Ending How = Ending::NotRun; ///< Its ending.
+  KeyDigest Key;                         ///< The key.
+  RequestId Request;                     ///< The attempt that holds it.
+  OutcomeKind How = OutcomeKind::NotRun; ///< Its ending.
 };
 
 /// Keys that a leaving guardian passes on to the daemon that guards them next.
--- a/Balsamrack/Flows/KeyGuard.cpp
+++ b/Balsamrack/Flows/KeyGuard.cpp
@@ -41,8 +41,9 @@
       }));
 }
 
-KeyVerdict verdictOf(Ending how) {
-  return how == Ending::Answered ? KeyVerdict::Answered : KeyVerdict::Unknown;
+KeyVerdict verdictOf(OutcomeKind how) {
+  return how == OutcomeKind::Answered ? KeyVerdict::Answered
+                                      : KeyVerdict::Unknown;
 }
 
 } // namespace
@@ -172,8 +173,8 @@
 }
 
 void KeyGuard::settle(TimePoint now, const KeySettled &settled) {
-  bool ran =
-      settled.How == Ending::Answered || settled.How == Ending::OutcomeUnknown;
+  bool ran = settled.How == OutcomeKind::Answered ||
+             settled.How == OutcomeKind::OutcomeUnknown;
   Shard &shard = shardOf(settled.Key);
   std::lock_guard<std::mutex> lock(shard.Lock);
   shard.expire(now, Settings.KeyMemory);
--- a/Balsamrack/Http/CallerPort.cpp
+++ b/Balsamrack/Http/CallerPort.cpp
@@ -14,7 +14,7 @@
 /// What a message gets that never reached the handler.
 HeaderList refusalHeaders() {
   return {
-      {"Balsamrack-Ending", endingName(Ending::NotRun)},
+      {"Balsamrack-Ending", outcomeKindName(OutcomeKind::NotRun)},
       {"Balsamrack-Reason", reasonName(Reason::BadRequest)},
       {"Proxy-Status",
        std::string("balsamrack; error=http_request_error; details=\"step=") +
--- a/Balsamrack/Http/ServerLink.cpp
+++ b/Balsamrack/Http/ServerLink.cpp
@@ -70,19 +70,19 @@
   DispatchResult result;
   result.Took = call.Took;
   if (call.How != HttpCallEnd::Answered) {
-    result.How = call.How == HttpCallEnd::NotSent ? DispatchEnd::Unreachable
-                                                  : DispatchEnd::Failed;
+    result.How = call.How == HttpCallEnd::NotSent ? DispatchOutcome::Unreachable
+                                                  : DispatchOutcome::Failed;
     return result;
   }
   if (const auto *name =
           findHeader(call.Content.Headers, "Balsamrack-Instance"))
     result.Instance = InstanceId(*name);
   if (isShed(call.Content)) {
-    result.How = DispatchEnd::Shed;
+    result.How = DispatchOutcome::Shed;
     result.RetryAfter = retryAfter(call.Content.Headers);
     return result;
   }
-  result.How = DispatchEnd::Answered;
+  result.How = DispatchOutcome::Answered;
   result.Content = std::move(call.Content);
   result.Content.Headers = withoutOwnFields(std::move(result.Content.Headers));
   return result;
--- a/Balsamrack/Http/ServerLink.h
+++ b/Balsamrack/Http/ServerLink.h
@@ -13,8 +13,8 @@
 
 /// Result of one dispatch.
 struct DispatchResult {
-  DispatchEnd How = DispatchEnd::Failed; ///< What became of it.
-  Answer Content;                        ///< Set when Answered.
+  DispatchOutcome How = DispatchOutcome::Failed; ///< What became of it.
+  Answer Content;                                ///< Set when Answered.
   InstanceId
       Instance;     ///< Run of the server process that answered; may be empty.
   Duration Took{0}; ///< From the send to the end.
--- a/Balsamrack/Packets/ConnectionProber.cpp
+++ b/Balsamrack/Packets/ConnectionProber.cpp
@@ -11,12 +11,12 @@
 namespace balsamrack {
 
 ConnectionProber::~ConnectionProber() {
-  for (const Open &it : Attempts)
+  for (const PendingAttempt &it : Attempts)
     close(it.Fd);
 }
 
 void ConnectionProber::start(TimePoint now, const ConnectionAttempt &attempt) {
-  int fd = Attempts.size() < MostAtOnce
+  int fd = Attempts.size() < MaxConcurrent
                ? socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)
                : -1;
   sockaddr_in to{};
@@ -32,27 +32,28 @@
   }
   if (fd >= 0)
     close(fd);
-  Results.push_back({attempt.Server, AttemptEnd::NotAttempted});
+  Results.push_back({attempt.Server, ConnectionResult::NotAttempted});
 }
 
-void ConnectionProber::addTo(std::vector<pollfd> &polled) const {
-  for (const Open &it : Attempts)
+void ConnectionProber::addPollFds(std::vector<pollfd> &polled) const {
+  for (const PendingAttempt &it : Attempts)
     polled.push_back({it.Fd, POLLOUT, 0});
 }
 
 TimePoint ConnectionProber::nextTimeout() const {
   TimePoint next(Duration::max());
-  for (const Open &it : Attempts)
-    next = std::min(next, it.Until);
+  for (const PendingAttempt &it : Attempts)
+    next = std::min(next, it.Deadline);
   return Results.empty() ? next : TimePoint{};
 }
 
-std::vector<AttemptResult> ConnectionProber::finished(TimePoint now) {
+std::vector<ConnectionAttemptResult>
+ConnectionProber::takeFinished(TimePoint now) {
   for (size_t i = 0; i < Attempts.size();) {
-    Open &attempt = Attempts[i];
+    PendingAttempt &attempt = Attempts[i];
     pollfd polled{attempt.Fd, POLLOUT, 0};
     bool ended = poll(&polled, 1, 0) > 0;
-    if (!ended && now < attempt.Until) {
+    if (!ended && now < attempt.Deadline) {
       ++i;
       continue;
     }
@@ -63,8 +64,8 @@
         getsockopt(attempt.Fd, SOL_SOCKET, SO_ERROR, &error, &length) == 0 &&
         error == 0;
     close(attempt.Fd);
-    Results.push_back({attempt.Server,
-                       connected ? AttemptEnd::Connected : AttemptEnd::Failed});
+    Results.push_back({attempt.Server, connected ? ConnectionResult::Connected
+                                                 : ConnectionResult::Failed});
     attempt = Attempts.back();
     Attempts.pop_back();
   }
--- a/Balsamrack/Packets/ConnectionProber.h
+++ b/Balsamrack/Packets/ConnectionProber.h
@@ -11,9 +11,9 @@
 namespace balsamrack {
 
 /// How a connection attempt ended.
-struct AttemptResult {
-  ServerIndex Server = NoServerIndex;        ///< Which server.
-  AttemptEnd How = AttemptEnd::NotAttempted; ///< How it ended.
+struct ConnectionAttemptResult {
+  ServerIndex Server = NoServerIndex;                       ///< Which server.
+  ConnectionResult Result = ConnectionResult::NotAttempted; ///< How it ended.
 };
 
 /// Asks silent servers whether they are there: opens a TCP connection and
@@ -22,7 +22,7 @@
 class ConnectionProber {
 public:
   /// Attempts at the same time; more wait for their next turn.
-  static constexpr size_t MostAtOnce = 32;
+  static constexpr size_t MaxConcurrent = 32;
 
   ConnectionProber() = default;
   ConnectionProber(const ConnectionProber &) = delete;
@@ -32,22 +32,22 @@
   /// Begins an attempt. One that can't be begun ends as not attempted.
   void start(TimePoint now, const ConnectionAttempt &attempt);
   /// Adds what to poll for.
-  void addTo(std::vector<pollfd> &polled) const;
+  void addPollFds(std::vector<pollfd> &polled) const;
   /// When an attempt is over time; the far future for never.
   TimePoint nextTimeout() const;
   /// The attempts that have ended since the last call.
-  std::vector<AttemptResult> finished(TimePoint now);
+  std::vector<ConnectionAttemptResult> takeFinished(TimePoint now);
 
 private:
   /// An attempt under way.
-  struct Open {
+  struct PendingAttempt {
     ServerIndex Server; ///< Whom it asks.
     int Fd;             ///< Its socket.
-    TimePoint Until;    ///< Over time then.
+    TimePoint Deadline; ///< Over time then.
   };
 
-  std::vector<Open> Attempts;         ///< Under way.
-  std::vector<AttemptResult> Results; ///< Not told yet.
+  std::vector<PendingAttempt> Attempts;         ///< Under way.
+  std::vector<ConnectionAttemptResult> Results; ///< Not told yet.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/FlowExplanation.cpp
+++ b/Balsamrack/Packets/FlowExplanation.cpp
@@ -23,13 +23,14 @@
     return explanation;
   }
   explanation.Version = Routes->Version;
-  if (const RememberedFlow *flow = Flows.find(key)) {
+  if (const TrackedFlow *flow = Flows.find(key)) {
     explanation.Known = true;
     explanation.Stage = flow->Stage;
-    explanation.Home = Servers.at(flow->Home).Is.What->Server.Id;
+    explanation.HomeServer =
+        Servers.at(flow->Server).Backend.Published->Server.Id;
     explanation.Tries = flow->Tries;
     explanation.Age = now - flow->OpenedAt;
-    explanation.Quiet = now - flow->LastSeen;
+    explanation.Idle = now - flow->LastSeen;
   }
   const ServiceId *service = serviceFor(key);
   if (!service) {
@@ -37,7 +38,7 @@
     return explanation;
   }
   explanation.Service = *service;
-  const TabledService *of = listCandidates(now, *service, RememberedFlow());
+  const ServiceEntry *of = listCandidates(now, *service, TrackedFlow());
   if (!of || Candidates.empty()) {
     explanation.Refused = PacketReason::NoServer;
     return explanation;
@@ -46,13 +47,13 @@
   std::vector<bool> best = bestForOpening(Candidates, of->Load);
   for (size_t i = 0; i < Candidates.size(); ++i) {
     const OpeningCandidate &it = Candidates[i];
-    const TabledServer &server =
-        Servers.at(static_cast<ServerIndex>(it.Server));
-    explanation.Candidates.push_back({server.Is.What->Server.Id, it.Rank,
-                                      openingCost(it, of->Load), it.InProgress,
-                                      it.Share, it.Near, it.Cold, best[i]});
+    const ServerEntry &server = Servers.at(static_cast<ServerIndex>(it.Server));
+    explanation.Candidates.push_back({server.Backend.Published->Server.Id,
+                                      it.Rank, openingCost(it, of->Load),
+                                      it.InProgress, it.Share, it.Near, it.Cold,
+                                      best[i]});
   }
-  if (allUnreachable(*service))
+  if (isServiceUnreachable(*service))
     explanation.Refused = PacketReason::Unreachable;
   return explanation;
 }
--- a/Balsamrack/Packets/FlowExplanation.h
+++ b/Balsamrack/Packets/FlowExplanation.h
@@ -4,8 +4,8 @@
 #include <vector>
 
 #include "Balsamrack/Decisions/OpeningChoice.h"
-#include "Balsamrack/Packets/FlowMemory.h"
 #include "Balsamrack/Packets/PacketEvents.h"
+#include "Balsamrack/Packets/PacketFlowTable.h"
 
 namespace balsamrack {
 
@@ -26,10 +26,10 @@
 struct FlowExplanation {
   bool Known = false;                   ///< The flow is remembered.
   FlowStage Stage = FlowStage::Opening; ///< Meaningful when known.
-  ServerId Home;                        ///< As above; where its packets go.
-  uint32_t Tries = 0;                   ///< As above; see RememberedFlow.
+  ServerId HomeServer;                  ///< As above; where its packets go.
+  uint32_t Tries = 0;                   ///< As above; see TrackedFlow.
   Duration Age{0};                      ///< As above; since it was seen first.
-  Duration Quiet{0};                    ///< As above; since its last packet.
+  Duration Idle{0};                     ///< As above; since its last packet.
 
   PacketReason Refused = PacketReason::None; ///< A new flow would be reset, or
                                              ///< dropped, for this.
--- a/Balsamrack/Packets/OpeningQueue.cpp
+++ b/Balsamrack/Packets/OpeningQueue.cpp
@@ -5,8 +5,8 @@
 
 namespace balsamrack {
 
-bool BufferedOpening::keep(const PacketHead &head, const uint8_t *bytes,
-                           size_t n) {
+bool BufferedOpening::assign(const PacketHeader &head, const uint8_t *bytes,
+                             size_t n) {
   if (n > MaxBytes)
     return false;
   Head = head;
@@ -15,17 +15,17 @@
   return true;
 }
 
-bool OpeningQueue::add(const BufferedOpening &opening, TimePoint until) {
-  if (Waiting.size() >= Most)
+bool OpeningQueue::push(const BufferedOpening &opening, TimePoint until) {
+  if (Items.size() >= MaxOpenings)
     return false;
-  Waiting.push_back({opening, until});
+  Items.push_back({opening, until});
   return true;
 }
 
-OpeningQueue::Held OpeningQueue::take() {
+OpeningQueue::Item OpeningQueue::pop() {
   assert(!Waiting.empty());
-  Held held = Waiting.front();
-  Waiting.pop_front();
+  Item held = Items.front();
+  Items.pop_front();
   return held;
 }
 
--- a/Balsamrack/Packets/OpeningQueue.h
+++ b/Balsamrack/Packets/OpeningQueue.h
@@ -17,12 +17,12 @@
   /// Openings carry no data.
   static constexpr size_t MaxBytes = 48;
 
-  PacketHead Head;                        ///< Of it.
+  PacketHeader Head;                      ///< Of it.
   size_t Bytes = 0;                       ///< Length of Packet.
   std::array<uint8_t, MaxBytes> Packet{}; ///< As it came.
 
   /// Keeps \p n bytes; false when there are too many.
-  bool keep(const PacketHead &head, const uint8_t *bytes, size_t n);
+  bool assign(const PacketHeader &head, const uint8_t *bytes, size_t n);
 };
 
 /// Openings that wait: for the first updates after a start or a pause, or for
@@ -30,27 +30,27 @@
 class OpeningQueue {
 public:
   /// Half a second of a small site's openings at a daemon.
-  static constexpr size_t Most = 512;
+  static constexpr size_t MaxOpenings = 512;
 
   /// One that waits.
-  struct Held {
+  struct Item {
     BufferedOpening Opening; ///< What waits.
-    TimePoint Until;         ///< It goes on then at the latest.
+    TimePoint Deadline;      ///< It goes on then at the latest.
   };
 
   /// Takes one in; false when there is no room.
-  bool add(const BufferedOpening &opening, TimePoint until);
+  bool push(const BufferedOpening &opening, TimePoint until);
   /// Number of those that wait.
-  size_t size() const { return Waiting.size(); }
+  size_t size() const { return Items.size(); }
   /// True when nothing waits.
-  bool empty() const { return Waiting.empty(); }
+  bool empty() const { return Items.empty(); }
   /// The next one in turn. Precondition: not empty().
-  const Held &front() const { return Waiting.front(); }
+  const Item &front() const { return Items.front(); }
   /// Takes the next one out. Precondition: not empty().
-  Held take();
+  Item pop();
 
 private:
-  std::deque<Held> Waiting; ///< In order of arrival.
+  std::deque<Item> Items; ///< In order of arrival.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/OpeningTimeout.cpp
+++ b/Balsamrack/Packets/OpeningTimeout.cpp
@@ -9,27 +9,27 @@
 
 // Weights of RFC 6298.
 constexpr double MeanWeight = 1.0 / 8;
-constexpr double SpreadWeight = 1.0 / 4;
-constexpr double Spreads = 4;
+constexpr double DeviationWeight = 1.0 / 4;
+constexpr double DeviationFactor = 4;
 
 } // namespace
 
-void OpeningTimeout::measured(Duration took) {
+void OpeningTimeout::addSample(Duration took) {
   auto sample = static_cast<double>(took.count());
   if (Mean == 0) {
     Mean = sample;
-    Spread = sample / 2;
+    Deviation = sample / 2;
     return;
   }
-  Spread += SpreadWeight * (std::abs(Mean - sample) - Spread);
+  Deviation += DeviationWeight * (std::abs(Mean - sample) - Deviation);
   Mean += MeanWeight * (sample - Mean);
 }
 
 Duration OpeningTimeout::value() const {
   if (Mean == 0)
     return Initial;
-  Duration wait(static_cast<int64_t>(Mean + Spreads * Spread));
-  return std::clamp(wait, Least, Most);
+  Duration wait(static_cast<int64_t>(Mean + DeviationFactor * Deviation));
+  return std::clamp(wait, Min, Max);
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/OpeningTimeout.h
+++ b/Balsamrack/Packets/OpeningTimeout.h
@@ -17,20 +17,20 @@
   static constexpr Duration Initial{40'000};
   /// Never shorter: a timer that fires late by some milliseconds must not make
   /// a second copy of every opening.
-  static constexpr Duration Least{20'000};
+  static constexpr Duration Min{20'000};
   /// Never longer: callers send a copy of their own after 200 ms.
-  static constexpr Duration Most{150'000};
+  static constexpr Duration Max{150'000};
 
   /// An opening was answered after \p took.
-  void measured(Duration took);
+  void addSample(Duration took);
   /// The usual time from an opening to its answer; zero: nothing measured.
-  Duration usual() const { return Duration(static_cast<int64_t>(Mean)); }
+  Duration mean() const { return Duration(static_cast<int64_t>(Mean)); }
   /// The current timeout.
   Duration value() const;
 
 private:
-  double Mean = 0;   ///< In microseconds; zero: nothing measured.
-  double Spread = 0; ///< Mean deviation, in microseconds.
+  double Mean = 0;      ///< In microseconds; zero: nothing measured.
+  double Deviation = 0; ///< Mean deviation, in microseconds.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/Packet.h
+++ b/Balsamrack/Packets/Packet.h
@@ -53,13 +53,13 @@
 };
 
 /// What the head of a caller's packet says.
-struct PacketHead {
+struct PacketHeader {
   FlowKey Flow;              ///< Whose packet it is.
   uint32_t Token = 0;        ///< What we wrote on the flow's last packet that
                              ///< the caller saw answered; zero on an opening.
   uint32_t Sequence = 0;     ///< Of its first byte.
   uint32_t Acknowledged = 0; ///< Bytes of the server that the caller has.
-  uint8_t Copy = 0;          ///< Of an opening: zero for the first one.
+  uint8_t CopyNumber = 0;    ///< Of an opening: zero for the first one.
   Duration Age{0};           ///< Of an opening: since its first copy was sent.
   uint16_t DataBytes = 0;    ///< Bytes that follow the head.
   bool Opens = false;        ///< First packet of a flow, or a copy of it.
--- a/Balsamrack/Packets/PacketCodec.h
+++ b/Balsamrack/Packets/PacketCodec.h
@@ -15,13 +15,13 @@
 class PacketCodec {
 public:
   /// Room for the largest head, a prefix included, in bytes.
-  static constexpr size_t MaxHeadBytes = 64;
+  static constexpr size_t MaxHeaderBytes = 64;
 
   virtual ~PacketCodec() = default;
   /// Reads the head of a caller's packet of \p n bytes. Nothing when it is too
   /// short, its length does not fit, or its flags contradict each other.
-  virtual std::optional<PacketHead> decode(const uint8_t *packet,
-                                           size_t n) const = 0;
+  virtual std::optional<PacketHeader> decode(const uint8_t *packet,
+                                             size_t n) const = 0;
   /// Bytes that stand before a packet on its way to a backend server.
   virtual size_t prefixBytes() const = 0;
   /// Writes that prefix: only the server with this \p tag takes the packet.
@@ -30,8 +30,8 @@
   /// Writes our token into a packet that decode() could read.
   virtual void writeToken(uint8_t *packet, uint32_t token) const = 0;
   /// Writes the reset that answers the packet with \p head; returns its length.
-  /// Precondition: \p out has room for MaxHeadBytes.
-  virtual size_t writeReset(const PacketHead &head, uint8_t *out) const = 0;
+  /// Precondition: \p out has room for MaxHeaderBytes.
+  virtual size_t writeReset(const PacketHeader &head, uint8_t *out) const = 0;
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/PacketEvents.h
+++ b/Balsamrack/Packets/PacketEvents.h
@@ -54,7 +54,7 @@
 /// One thing that the router did, with what decided it.
 struct PacketEvent {
   PacketEventKind Kind = PacketEventKind::Placed; ///< What.
-  PacketReason Why = PacketReason::None;          ///< Why.
+  PacketReason Reason = PacketReason::None;       ///< Why.
   FlowKey Flow;                       ///< Whose packet; zero for none.
   const ServerId *Server = nullptr;   ///< Concerned server; valid during the
                                       ///< call only; null for none.
--- a/Balsamrack/Packets/PacketFailures.cpp
+++ b/Balsamrack/Packets/PacketFailures.cpp
@@ -12,14 +12,14 @@
 
 /// An attempt to connect shorter than this would fail for a moment's stall of
 /// this process or the server.
-constexpr Duration LeastAttempt{50'000};
+constexpr Duration MinAttemptTimeout{50'000};
 /// Servers that need longer are asked again soon.
-constexpr Duration MostAttempt{200'000};
+constexpr Duration MaxAttemptTimeout{200'000};
 
 } // namespace
 
-bool PacketRouter::isLost(const RememberedFlow &flow,
-                          const PacketHead &head) const {
+bool PacketRouter::isRequestLost(const TrackedFlow &flow,
+                                 const PacketHeader &head) const {
   // Guards against callers that wait until their time is over for a server that
   // is dead or cut off: told at once, they open anew elsewhere and are served.
   // Only a packet that brings data is lost with its server; a request that has
@@ -27,72 +27,74 @@
   // may have run: else a cut that heals in time still serves them.
   if (head.DataBytes == 0)
     return false;
-  if (Servers.at(flow.Home).Is.Presence == ServerPresence::Replaced)
+  if (Servers.at(flow.Server).Backend.Presence == ServerPresence::Replaced)
     return true;
-  if (!Detector.lost(flow.Home))
+  if (!Detector.lost(flow.Server))
     return false;
   auto route = Routes->Routes.find(head.Flow.Service);
   return route != Routes->Routes.end() && route->second.Idempotent;
 }
 
-void PacketRouter::giveUp(RememberedFlow &flow, const PacketHead &head,
-                          PacketSink &out) {
-  release(flow);
-  flow.Stage = FlowStage::Ending;
+void PacketRouter::resetFlow(TrackedFlow &flow, const PacketHeader &head,
+                             PacketSink &out) {
+  uncountRequest(flow);
+  flow.Stage = FlowStage::Closing;
   out.reset(head);
-  PacketEvent event = eventOf(PacketEventKind::GivenUp,
-                              PacketReason::Unreachable, head.Flow, flow.Home);
+  PacketEvent event =
+      makeEvent(PacketEventKind::GivenUp, PacketReason::Unreachable, head.Flow,
+                flow.Server);
   out.report(event);
 }
 
-void PacketRouter::giveUpStuck(PacketSink &out) {
-  for (const StuckRequest &it : Stuck) {
-    RememberedFlow *flow = Flows.find(it.Head.Flow);
-    if (flow && flow->Stage == FlowStage::Open && flow->Progress.asking() &&
-        isLost(*flow, it.Head))
-      giveUp(*flow, it.Head, out);
+void PacketRouter::resetLostRequests(PacketSink &out) {
+  for (const RetransmittedRequest &it : Retransmitted) {
+    TrackedFlow *flow = Flows.find(it.Head.Flow);
+    if (flow && flow->Stage == FlowStage::Open &&
+        flow->Requests.isAwaitingAnswer() && isRequestLost(*flow, it.Head))
+      resetFlow(*flow, it.Head, out);
   }
 }
 
-void PacketRouter::noteBack(ServerIndex server, bool was, bool domainWas,
-                            PacketSink &out) {
+void PacketRouter::reportRecovery(ServerIndex server, bool was, bool domainWas,
+                                  PacketSink &out) {
   if (was)
     out.report(
-        eventOf(PacketEventKind::ServerBack, PacketReason::None, {}, server));
+        makeEvent(PacketEventKind::ServerBack, PacketReason::None, {}, server));
   if (was || domainWas)
-    reshare();
+    updateShares();
 }
 
-void PacketRouter::attemptEnded(TimePoint now, ServerIndex server,
-                                AttemptEnd how, PacketSink &out) {
-  if (server >= Servers.all().size() || !Servers.at(server).Used)
+void PacketRouter::handleAttemptResult(TimePoint now, ServerIndex server,
+                                       ConnectionResult how, PacketSink &out) {
+  if (server >= Servers.all().size() || !Servers.at(server).InUse)
     return;
   bool silent = Detector.silent(server);
-  if (how == AttemptEnd::Connected) {
-    noteReached(server);
+  if (how == ConnectionResult::Connected) {
+    recordReached(server);
     bool was = Detector.connected(now, server);
-    noteBack(server, was, silent, out);
+    reportRecovery(server, was, silent, out);
     return;
   }
   bool wasLost = Detector.lost(server);
-  bool sure = how == AttemptEnd::Failed;
+  bool sure = how == ConnectionResult::Failed;
   bool awaited = Servers.at(server).InProgress > 0;
   if (Detector.attemptFailed(now, server, sure, awaited))
-    noteSilent(server, {}, out);
+    reportSilentServer(server, {}, out);
   if (!wasLost && Detector.lost(server))
-    giveUpStuck(out);
+    resetLostRequests(out);
 }
 
-void PacketRouter::noteSilent(ServerIndex server, const FlowKey &flow,
-                              PacketSink &out) {
-  out.report(eventOf(PacketEventKind::ServerSilent, PacketReason::NoAnswer,
-                     flow, server));
-  reshare();
+void PacketRouter::reportSilentServer(ServerIndex server, const FlowKey &flow,
+                                      PacketSink &out) {
+  out.report(makeEvent(PacketEventKind::ServerSilent, PacketReason::NoAnswer,
+                       flow, server));
+  updateShares();
 }
 
 std::vector<ConnectionAttempt> PacketRouter::dueAttempts(TimePoint now) {
   // A handshake with the server alone; openings take one with the caller too.
-  Duration timeout = std::clamp(2 * Timeout.value(), LeastAttempt, MostAttempt);
+  Duration timeout =
+      std::clamp(2 * Timeout.value(), MinAttemptTimeout, MaxAttemptTimeout);
   std::vector<size_t> servers = Detector.due(now);
   if (!servers.empty())
     if (auto control = Detector.control(now, servers.front()))
@@ -102,7 +104,7 @@
   std::vector<ConnectionAttempt> attempts;
   for (size_t server : servers) {
     auto index = static_cast<ServerIndex>(server);
-    const RoutedBackend &is = Servers.at(index).Is;
+    const RoutedBackend &is = Servers.at(index).Backend;
     // Who answers there is another server.
     if (is.Presence != ServerPresence::Replaced)
       attempts.push_back({index, is.At, timeout});
--- a/Balsamrack/Packets/FlowMemory.cpp
+++ b/Balsamrack/Packets/PacketFlowTable.cpp
@@ -1,35 +1,36 @@
-#include "Balsamrack/Packets/FlowMemory.h"
+#include "Balsamrack/Packets/PacketFlowTable.h"
 
 #include <algorithm>
 
 namespace balsamrack {
 
-bool RememberedFlow::tried(ServerIndex server) const {
+bool TrackedFlow::hasTried(ServerIndex server) const {
   const auto *end = Tried.begin() + Tries;
   return std::find(Tried.begin(), end, server) != end;
 }
 
-RememberedFlow *FlowMemory::find(const FlowKey &key) {
+TrackedFlow *PacketFlowTable::find(const FlowKey &key) {
   auto it = Flows.find(key);
   return it == Flows.end() ? nullptr : &it->second;
 }
 
-RememberedFlow *FlowMemory::add(TimePoint now, const FlowKey &key) {
+TrackedFlow *PacketFlowTable::add(TimePoint now, const FlowKey &key) {
   // Turns of forgotten flows still wait for their time, so they bound it too.
-  if (Flows.size() >= Most || Turns.size() >= Most)
+  if (Flows.size() >= MaxFlows || Timers.size() >= MaxFlows)
     return nullptr;
-  RememberedFlow &flow = Flows[key];
+  TrackedFlow &flow = Flows[key];
   flow.OpenedAt = now;
   flow.LastSeen = now;
-  Turns.push({now + TurnPeriod, key});
+  Timers.push({now + MinTimerInterval, key});
   return &flow;
 }
 
-void FlowMemory::sweep(TimePoint now, const SpanOf &quiet, const SpanOf &keep,
-                       const OnQuiet &onQuiet) {
-  while (!Turns.empty() && Turns.top().At <= now) {
-    FlowKey key = Turns.top().Key;
-    Turns.pop();
+void PacketFlowTable::processTimers(TimePoint now, const DurationOf &quiet,
+                                    const DurationOf &keep,
+                                    const IdleCallback &onQuiet) {
+  while (!Timers.empty() && Timers.top().At <= now) {
+    FlowKey key = Timers.top().Key;
+    Timers.pop();
     auto it = Flows.find(key);
     if (it == Flows.end())
       continue;
@@ -43,7 +44,8 @@
       continue;
     }
     Duration next = silent >= quietSpan ? keep(it->second) : quietSpan;
-    Turns.push({std::max(it->second.LastSeen + next, now + TurnPeriod), key});
+    Timers.push(
+        {std::max(it->second.LastSeen + next, now + MinTimerInterval), key});
   }
 }
 
--- a/Balsamrack/Packets/FlowMemory.h
+++ b/Balsamrack/Packets/PacketFlowTable.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_PACKETS_FLOWMEMORY_H
-#define BALSAMRACK_PACKETS_FLOWMEMORY_H
+#ifndef BALSAMRACK_PACKETS_PACKETFLOWTABLE_H
+#define BALSAMRACK_PACKETS_PACKETFLOWTABLE_H
 
 #include <array>
 #include <cstddef>
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "Balsamrack/Core/Time.h"
-#include "Balsamrack/Packets/CallerProgress.h"
 #include "Balsamrack/Packets/Packet.h"
+#include "Balsamrack/Packets/RequestTracker.h"
 #include "absl/container/flat_hash_map.h"
 
 namespace balsamrack {
@@ -24,83 +24,86 @@
 enum class FlowStage : uint8_t {
   Opening, ///< The opening was sent on; the caller has not answered its server.
   Open,    ///< The caller has answered its server.
-  Ending,  ///< The caller has ended or reset it.
+  Closing, ///< The caller has ended or reset it.
 };
 
-/// The bit of an opening's copy \p n in RememberedFlow::CopiesSeen.
+/// The bit of an opening's copy \p n in TrackedFlow::CopiesSeen.
 constexpr uint8_t copyBit(uint8_t n) { return static_cast<uint8_t>(1U << n); }
 
 /// What is remembered of one flow.
-struct RememberedFlow {
+struct TrackedFlow {
   /// Servers that may get copies of one opening: with a tenth of all servers
   /// silent and not yet known for it, four in a row are one in 10,000.
   static constexpr size_t MaxTries = 4;
 
   std::array<ServerIndex, MaxTries> Tried{}; ///< The first Tries are valid.
   uint8_t Tries = 0;                         ///< Servers that got the opening.
-  uint8_t Copy = 0;       ///< Highest number of a copy of the opening.
-  uint8_t CopiesSeen = 0; ///< One bit for each copy that came here.
+  uint8_t HighestCopy = 0; ///< Highest number of a copy of the opening.
+  uint8_t CopiesSeen = 0;  ///< One bit for each copy that came here.
   FlowStage Stage = FlowStage::Opening; ///< See there.
-  bool Delayed = false; ///< Copies of the opening came at other times than
-                        ///< callers send them: they had waited somewhere.
-  bool Counted = false; ///< A request of it counts as in progress at Home.
-  ServerIndex Home = NoServerIndex; ///< Where its packets go.
+  bool CopiesDelayed =
+      false;              ///< Copies of the opening came at other times than
+                          ///< callers send them: they had waited somewhere.
+  bool IsCounted = false; ///< A request of it counts as in progress at Home.
+  ServerIndex Server = NoServerIndex; ///< Where its packets go.
   uint32_t FirstSequence = 0; ///< Of the opening: tells a new flow on the same
                               ///< ports from a copy.
   Duration FirstAge{0};       ///< Age of the first copy that was seen here.
   TimePoint OpenedAt;         ///< First copy of the opening, or adoption.
   TimePoint LastSeen;         ///< Last packet.
   TimePoint LastSent;         ///< Last copy of the opening sent on.
-  CallerProgress Progress;    ///< Of its requests.
+  RequestTracker Requests;    ///< Of its requests.
   TimePoint CountedAt;        ///< Since when it is Counted.
 
   /// True when \p server got the opening.
-  bool tried(ServerIndex server) const;
+  bool hasTried(ServerIndex server) const;
 };
 
 /// A bounded memory of flows. A flow that is not in it is found by its token,
 /// so forgetting one costs nothing but its count. Not thread-safe.
-class FlowMemory {
+class PacketFlowTable {
 public:
-  explicit FlowMemory(size_t most) : Most(most) {}
+  explicit PacketFlowTable(size_t most) : MaxFlows(most) {}
 
   /// The flow, or null.
-  RememberedFlow *find(const FlowKey &key);
+  TrackedFlow *find(const FlowKey &key);
   /// Takes a flow in; null when the memory is full. Precondition: not in it.
-  RememberedFlow *add(TimePoint now, const FlowKey &key);
+  TrackedFlow *add(TimePoint now, const FlowKey &key);
   /// Forgets a flow.
   void erase(const FlowKey &key) { Flows.erase(key); }
   /// Number of flows.
   size_t size() const { return Flows.size(); }
 
   /// Says how long a flow may be without a packet.
-  using SpanOf = std::function<Duration(const RememberedFlow &)>;
+  using DurationOf = std::function<Duration(const TrackedFlow &)>;
   /// Told of each flow whose quiet time is over, or that is about to be
   /// forgotten.
-  using OnQuiet = std::function<void(const FlowKey &key, RememberedFlow &flow,
-                                     bool forgotten)>;
+  using IdleCallback = std::function<void(const FlowKey &key, TrackedFlow &flow,
+                                          bool forgotten)>;
   /// Looks at the flows whose turn it is: calls \p onQuiet for each that had no
   /// packet for \p quiet of it, and forgets those that were silent for \p keep.
-  void sweep(TimePoint now, const SpanOf &quiet, const SpanOf &keep,
-             const OnQuiet &onQuiet);
+  void processTimers(TimePoint now, const DurationOf &quiet,
+                     const DurationOf &keep, const IdleCallback &onQuiet);
 
 private:
   /// When to look at a flow.
-  struct Turn {
+  struct Timer {
     TimePoint At;
     FlowKey Key;
-    friend bool operator>(const Turn &a, const Turn &b) { return a.At > b.At; }
+    friend bool operator>(const Timer &a, const Timer &b) {
+      return a.At > b.At;
+    }
   };
   /// Shortest time between two looks at a flow.
-  static constexpr Duration TurnPeriod{100'000};
+  static constexpr Duration MinTimerInterval{100'000};
 
-  const size_t Most; ///< Bound.
-  absl::flat_hash_map<FlowKey, RememberedFlow> Flows;
+  const size_t MaxFlows; ///< Bound.
+  absl::flat_hash_map<FlowKey, TrackedFlow> Flows;
   /// One for each flow, the earliest on top: they are planned for very
   /// different spans, and a long one must not hold up the others.
-  std::priority_queue<Turn, std::vector<Turn>, std::greater<Turn>> Turns;
+  std::priority_queue<Timer, std::vector<Timer>, std::greater<Timer>> Timers;
 };
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_PACKETS_FLOWMEMORY_H
+#endif // BALSAMRACK_PACKETS_PACKETFLOWTABLE_H
--- a/Balsamrack/Packets/PacketPlacement.cpp
+++ b/Balsamrack/Packets/PacketPlacement.cpp
@@ -9,16 +9,16 @@
 
 namespace balsamrack {
 
-void PacketRouter::reshare() {
-  for (auto &[id, service] : Servers.servicesForShares()) {
+void PacketRouter::updateShares() {
+  for (auto &[id, service] : Servers.mutableServices()) {
     std::vector<ServerIndex> usable;
     std::vector<uint32_t> slots;
-    for (ServerIndex index : service.TakeNew)
+    for (ServerIndex index : service.AcceptingServers)
       if (!Detector.silent(index)) {
         usable.push_back(index);
-        slots.push_back(Servers.at(index).Is.What->Server.Slots);
+        slots.push_back(Servers.at(index).Backend.Published->Server.Slots);
       }
-    Servers.setShares(service, usable, slotShares(slots, Daemons, Self));
+    Servers.setShares(service, usable, slotShares(slots, Daemons, OwnIndex));
   }
 }
 
@@ -43,7 +43,7 @@
   return nullptr;
 }
 
-void PacketRouter::place(TimePoint now, const PacketHead &head,
+void PacketRouter::place(TimePoint now, const PacketHeader &head,
                          const uint8_t *bytes, size_t n, PacketSink &out) {
   const ServiceId *service = serviceFor(head.Flow);
   if (!service) {
@@ -53,48 +53,48 @@
   // Guards against callers that wait until their time is over for servers that
   // are all out of reach: told at once, they can come back or go elsewhere. A
   // later copy is no new call: another daemon may have opened its flow.
-  if (head.Copy == 0 && allUnreachable(*service)) {
-    updateReach(now);
-    if (leavesRotation(now))
-      out.report(eventOf(PacketEventKind::Dropped, PacketReason::Unreachable,
-                         head.Flow, NoServerIndex));
+  if (head.CopyNumber == 0 && isServiceUnreachable(*service)) {
+    updateReachability(now);
+    if (isLeavingRotation(now))
+      out.report(makeEvent(PacketEventKind::Dropped, PacketReason::Unreachable,
+                           head.Flow, NoServerIndex));
     else
       refuse(head, PacketReason::Unreachable, out);
     return;
   }
-  RememberedFlow spare;
-  auto to = choose(now, *service, spare);
+  TrackedFlow spare;
+  auto to = chooseServer(now, *service, spare);
   if (!to) {
     refuse(head, PacketReason::NoServer, out);
     return;
   }
-  RememberedFlow *flow = Flows.add(now, head.Flow);
+  TrackedFlow *flow = Flows.add(now, head.Flow);
   if (!flow)
     flow = &spare;
   flow->OpenedAt = now;
   flow->FirstSequence = head.Sequence;
   flow->FirstAge = head.Age;
-  flow->CopiesSeen = copyBit(head.Copy);
+  flow->CopiesSeen = copyBit(head.CopyNumber);
   sendOpening(now, *flow, static_cast<ServerIndex>(to->Server), head, bytes, n,
               out);
   // A flow that has no room in the memory is not counted, or its count would
   // stay for ever.
   if (flow == &spare)
-    release(spare);
+    uncountRequest(spare);
 }
 
-bool PacketRouter::allUnreachable(const ServiceId &service) {
-  const TabledService *of = Servers.service(service);
-  return of && std::all_of(of->TakeNew.begin(), of->TakeNew.end(),
-                           [this](ServerIndex index) {
-                             return Detector.unreachable(index);
-                           });
+bool PacketRouter::isServiceUnreachable(const ServiceId &service) {
+  const ServiceEntry *of = Servers.service(service);
+  return of &&
+         std::all_of(
+             of->AcceptingServers.begin(), of->AcceptingServers.end(),
+             [this](ServerIndex index) { return Detector.unreachable(index); });
 }
 
-bool PacketRouter::outOfReach() const {
+bool PacketRouter::allServersUnreachable() const {
   bool any = false;
   for (const auto &[id, service] : Servers.services())
-    for (ServerIndex index : service.TakeNew) {
+    for (ServerIndex index : service.AcceptingServers) {
       if (!Detector.unreachable(index))
         return false;
       any = true;
@@ -102,51 +102,55 @@
   return any;
 }
 
-bool PacketRouter::anyTakesNew() const {
-  return std::any_of(Servers.services().begin(), Servers.services().end(),
-                     [](const auto &it) { return !it.second.TakeNew.empty(); });
+bool PacketRouter::anyServerAcceptsNewFlows() const {
+  return std::any_of(
+      Servers.services().begin(), Servers.services().end(),
+      [](const auto &it) { return !it.second.AcceptingServers.empty(); });
 }
 
-bool PacketRouter::homeTakesNew() const {
+bool PacketRouter::ownDomainAcceptsNewFlows() const {
   return std::any_of(
       Servers.services().begin(), Servers.services().end(),
       [this](const auto &service) {
         return std::any_of(
-            service.second.TakeNew.begin(), service.second.TakeNew.end(),
-            [this](ServerIndex it) {
-              return Servers.at(it).Is.What->Server.Domain == Settings.Domain;
+            service.second.AcceptingServers.begin(),
+            service.second.AcceptingServers.end(), [this](ServerIndex it) {
+              return Servers.at(it).Backend.Published->Server.Domain ==
+                     Settings.Domain;
             });
       });
 }
 
-bool PacketRouter::leavesRotation(TimePoint now) const {
+bool PacketRouter::isLeavingRotation(TimePoint now) const {
   // Guards against callers whose tries are all refused before the fabric has
   // turned to other failure domains, which can serve them: what they send next
   // reaches those. Where servers of the own domain take new flows, it is these
   // that are dead, and others can't serve either.
   return Reach.state() == ReachState::Lost &&
-         now < Reach.lostAt() + Settings.RotationSpan && !homeTakesNew();
+         now < Reach.lostAt() + Settings.FabricFailoverTime &&
+         !ownDomainAcceptsNewFlows();
 }
 
-void PacketRouter::updateReach(TimePoint now) {
-  if (Reach.state() != ReachState::Lost && outOfReach())
+void PacketRouter::updateReachability(TimePoint now) {
+  if (Reach.state() != ReachState::Lost && allServersUnreachable())
     Reach.noteLost(now);
 }
 
-void PacketRouter::noteReached(ServerIndex server) {
+void PacketRouter::recordReached(ServerIndex server) {
   // Servers of a failure domain that was taken out may still be in reach when
   // all others are not.
-  if (Servers.at(server).Is.takesNew())
+  if (Servers.at(server).Backend.acceptsNewFlows())
     Reach.noteReached();
 }
 
 std::vector<ServerIndex> PacketRouter::serversToProbe(TimePoint now) {
-  if (!Routes || !anyTakesNew() || !Reach.takeProbe(now))
+  if (!Routes || !anyServerAcceptsNewFlows() || !Reach.takeProbe(now))
     return {};
   // Two, since one may be dead.
   std::vector<ServerIndex> all;
   for (const auto &[id, service] : Servers.services())
-    all.insert(all.end(), service.TakeNew.begin(), service.TakeNew.end());
+    all.insert(all.end(), service.AcceptingServers.begin(),
+               service.AcceptingServers.end());
   size_t first = Random.below(all.size());
   if (all.size() == 1)
     return {all[first]};
@@ -154,15 +158,16 @@
   return {all[first], all[second]};
 }
 
-bool PacketRouter::sendElsewhere(TimePoint now, RememberedFlow &flow,
-                                 const PacketHead &head, const uint8_t *bytes,
-                                 size_t n, PacketSink &out) {
-  if (flow.Tries >= RememberedFlow::MaxTries)
+bool PacketRouter::sendToAnotherServer(TimePoint now, TrackedFlow &flow,
+                                       const PacketHeader &head,
+                                       const uint8_t *bytes, size_t n,
+                                       PacketSink &out) {
+  if (flow.Tries >= TrackedFlow::MaxTries)
     return false;
   const ServiceId *service = serviceFor(head.Flow);
   if (!service)
     return false;
-  auto to = choose(now, *service, flow);
+  auto to = chooseServer(now, *service, flow);
   if (!to)
     return false;
   sendOpening(now, flow, static_cast<ServerIndex>(to->Server), head, bytes, n,
@@ -170,83 +175,82 @@
   return true;
 }
 
-void PacketRouter::sendOpening(TimePoint now, RememberedFlow &flow,
-                               ServerIndex to, const PacketHead &head,
-                               const uint8_t *bytes, size_t n,
-                               PacketSink &out) {
+void PacketRouter::sendOpening(TimePoint now, TrackedFlow &flow, ServerIndex to,
+                               const PacketHeader &head, const uint8_t *bytes,
+                               size_t n, PacketSink &out) {
   bool again = flow.Tries > 0;
-  bool copy = flow.tried(to);
-  count(now, flow, to);
+  bool copy = flow.hasTried(to);
+  countRequest(now, flow, to);
   if (!copy) {
     flow.Tried[flow.Tries++] = to;
-    const ServiceId &service = Servers.at(to).Is.What->Server.Service;
-    Servers.newFlow(now, to, coldFigure(service));
+    const ServiceId &service = Servers.at(to).Backend.Published->Server.Service;
+    Servers.recordNewFlow(now, to, coldFlowsPerSecond(service));
   }
   flow.LastSent = now;
   forward(to, bytes, n, out);
   PacketEvent event =
-      eventOf(again ? PacketEventKind::PlacedAgain : PacketEventKind::Placed,
-              copy ? PacketReason::Copy : PacketReason::None, head.Flow, to);
+      makeEvent(again ? PacketEventKind::PlacedAgain : PacketEventKind::Placed,
+                copy ? PacketReason::Copy : PacketReason::None, head.Flow, to);
   event.Tries = flow.Tries;
   out.report(event);
-  WaitingOpening waiting;
+  UnansweredOpening waiting;
   waiting.Due = now + Timeout.value();
   waiting.SentAt = now;
-  if (!waiting.Opening.keep(head, bytes, n))
+  if (!waiting.Opening.assign(head, bytes, n))
     waiting.Opening.Head = head;
-  Waiting.push_back(waiting);
+  Unanswered.push_back(waiting);
 }
 
-double PacketRouter::coldFigure(const ServiceId &service) const {
+double PacketRouter::coldFlowsPerSecond(const ServiceId &service) const {
   auto it = Routes->ColdPerSecond.find(service);
   return it == Routes->ColdPerSecond.end() ? 0 : it->second;
 }
 
-bool PacketRouter::triedDomain(const RememberedFlow &flow,
-                               const DomainId &domain) const {
+bool PacketRouter::hasTriedDomain(const TrackedFlow &flow,
+                                  const DomainId &domain) const {
   for (uint8_t i = 0; i < flow.Tries; ++i)
-    if (Servers.at(flow.Tried[i]).Is.What->Server.Domain == domain)
+    if (Servers.at(flow.Tried[i]).Backend.Published->Server.Domain == domain)
       return true;
   return false;
 }
 
-std::optional<OpeningChoice> PacketRouter::choose(TimePoint now,
-                                                  const ServiceId &service,
-                                                  const RememberedFlow &flow) {
-  const TabledService *of = listCandidates(now, service, flow);
+std::optional<OpeningChoice>
+PacketRouter::chooseServer(TimePoint now, const ServiceId &service,
+                           const TrackedFlow &flow) {
+  const ServiceEntry *of = listCandidates(now, service, flow);
   if (!of)
     return std::nullopt;
   return chooseForOpening(Candidates, of->Load, Random);
 }
 
-TabledService *PacketRouter::listCandidates(TimePoint now,
-                                            const ServiceId &service,
-                                            const RememberedFlow &flow) {
-  TabledService *of = Servers.service(service);
+ServiceEntry *PacketRouter::listCandidates(TimePoint now,
+                                           const ServiceId &service,
+                                           const TrackedFlow &flow) {
+  ServiceEntry *of = Servers.service(service);
   if (!of)
     return nullptr;
-  of->smooth(now);
-  double coldFlows = coldFigure(service);
+  of->updateLoad(now);
+  double coldFlows = coldFlowsPerSecond(service);
   Candidates.clear();
-  for (ServerIndex index : of->TakeNew) {
-    if (flow.tried(index) || !Servers.bears(now, index, coldFlows))
+  for (ServerIndex index : of->AcceptingServers) {
+    if (flow.hasTried(index) || !Servers.canTakeNewFlow(now, index, coldFlows))
       continue;
-    const TabledServer &server = Servers.at(index);
-    const BackendServer &what = server.Is.What->Server;
+    const ServerEntry &server = Servers.at(index);
+    const BackendServer &what = server.Backend.Published->Server;
     OpeningCandidate candidate;
     candidate.Server = index;
     if (Detector.silent(index))
       candidate.Rank = OpeningRank::Silent;
-    else if (server.Is.Presence == ServerPresence::Expired &&
-             !server.Is.WithMany)
+    else if (server.Backend.Presence == ServerPresence::Expired &&
+             !server.Backend.ExpiredInBulk)
       candidate.Rank = OpeningRank::Expired;
-    else if (triedDomain(flow, what.Domain))
+    else if (hasTriedDomain(flow, what.Domain))
       candidate.Rank = OpeningRank::Suspected;
     candidate.InProgress = server.InProgress;
     candidate.Slots = what.Slots;
     candidate.Share = server.Share;
     candidate.Near = what.Domain == Settings.Domain;
-    candidate.Cold = now < server.Is.ColdUntil;
+    candidate.Cold = now < server.Backend.ColdUntil;
     Candidates.push_back(candidate);
   }
   return of;
--- a/Balsamrack/Packets/PacketRouter.cpp
+++ b/Balsamrack/Packets/PacketRouter.cpp
@@ -17,9 +17,9 @@
 /// process's own lateness; callers send them 200 and 400 ms apart.
 constexpr Duration CopyJitter{100'000};
 /// By then its caller has sent the same data again, with a head of its own.
-constexpr Duration StuckKeep{1'000'000};
+constexpr Duration RetransmittedRetention{1'000'000};
 /// Older ones hear of it with their next repetition.
-constexpr size_t MostStuck = 4096;
+constexpr size_t MaxRetransmitted = 4096;
 
 } // namespace
 
@@ -35,51 +35,53 @@
   for (ServerIndex index : change.Removed)
     Detector.remove(index);
   for (ServerIndex index : change.Added)
-    Detector.add(index, Servers.at(index).Is.What->Server.Domain);
-  reshare();
+    Detector.add(index, Servers.at(index).Backend.Published->Server.Domain);
+  updateShares();
 }
 
 void PacketRouter::setFleet(size_t daemons, size_t self) {
   assert(self < daemons);
-  if (Daemons == daemons && Self == self)
+  if (Daemons == daemons && OwnIndex == self)
     return;
   Daemons = daemons;
-  Self = self;
+  OwnIndex = self;
   Detector.setDaemons(daemons);
-  reshare();
+  updateShares();
 }
 
-void PacketRouter::packet(TimePoint now, const PacketHead &head,
-                          const uint8_t *bytes, size_t n, PacketSink &out) {
+void PacketRouter::handlePacket(TimePoint now, const PacketHeader &head,
+                                const uint8_t *bytes, size_t n,
+                                PacketSink &out) {
   if (!Routes && head.Opens &&
-      holdOpening(now, head, bytes, n, Settings.RefreshWait))
+      bufferOpening(now, head, bytes, n, Settings.RefreshWait))
     return;
   if (!Routes) {
-    out.report(eventOf(PacketEventKind::Dropped, PacketReason::NotReady,
-                       head.Flow, NoServerIndex));
+    out.report(makeEvent(PacketEventKind::Dropped, PacketReason::NotReady,
+                         head.Flow, NoServerIndex));
     return;
   }
   if (head.Opens)
-    opening(now, head, bytes, n, out);
+    handleOpening(now, head, bytes, n, out);
   else
-    ongoing(now, head, bytes, n, out);
+    handleFlowPacket(now, head, bytes, n, out);
 }
 
-void PacketRouter::opening(TimePoint now, const PacketHead &head,
-                           const uint8_t *bytes, size_t n, PacketSink &out) {
-  RememberedFlow *flow = Flows.find(head.Flow);
+void PacketRouter::handleOpening(TimePoint now, const PacketHeader &head,
+                                 const uint8_t *bytes, size_t n,
+                                 PacketSink &out) {
+  TrackedFlow *flow = Flows.find(head.Flow);
   if (flow && flow->FirstSequence == head.Sequence) {
-    openingCopy(now, *flow, head, bytes, n, out);
+    handleOpeningCopy(now, *flow, head, bytes, n, out);
     return;
   }
   if (flow) {
-    release(*flow);
+    uncountRequest(*flow);
     Flows.erase(head.Flow);
   }
   if (Stale) {
-    if (!holdOpening(now, head, bytes, n, Settings.RefreshWait))
-      out.report(eventOf(PacketEventKind::Dropped, PacketReason::Stale,
-                         head.Flow, NoServerIndex));
+    if (!bufferOpening(now, head, bytes, n, Settings.RefreshWait))
+      out.report(makeEvent(PacketEventKind::Dropped, PacketReason::Stale,
+                           head.Flow, NoServerIndex));
     return;
   }
   if (queueLateOpening(now, head, bytes, n))
@@ -87,30 +89,30 @@
   place(now, head, bytes, n, out);
 }
 
-bool PacketRouter::queueLateOpening(TimePoint now, const PacketHead &head,
+bool PacketRouter::queueLateOpening(TimePoint now, const PacketHeader &head,
                                     const uint8_t *bytes, size_t n) {
   auto route = Routes->Routes.find(head.Flow.Service);
   if (route == Routes->Routes.end())
     return false;
   Duration wait = lateOpeningWait(
       {head.Age, route->second.Objective, route->second.Timeout});
-  if (wait == Duration{0} || !slotsTakenFor(now, head))
+  if (wait == Duration{0} || !areSlotsTakenFor(now, head))
     return false;
   BufferedOpening opening;
-  return opening.keep(head, bytes, n) && Late.add(opening, now + wait);
+  return opening.assign(head, bytes, n) && Late.push(opening, now + wait);
 }
 
-bool PacketRouter::slotsTakenFor(TimePoint now, const PacketHead &head) {
+bool PacketRouter::areSlotsTakenFor(TimePoint now, const PacketHeader &head) {
   const ServiceId *service = serviceFor(head.Flow);
-  TabledService *of = service ? Servers.service(*service) : nullptr;
+  ServiceEntry *of = service ? Servers.service(*service) : nullptr;
   if (!of)
     return false;
-  of->smooth(now);
-  return slotsTaken({of->BriefLoad, of->RequestTime, Timeout.usual()});
+  of->updateLoad(now);
+  return slotsTaken({of->ShortTermLoad, of->RequestTime, Timeout.mean()});
 }
 
-bool PacketRouter::knownAlready(const PacketHead &head) {
-  const RememberedFlow *flow = Flows.find(head.Flow);
+bool PacketRouter::isTrackedOpening(const PacketHeader &head) {
+  const TrackedFlow *flow = Flows.find(head.Flow);
   return flow && flow->FirstSequence == head.Sequence;
 }
 
@@ -119,63 +121,65 @@
     return;
   // Each is looked at once; those that wait on keep their order.
   for (size_t n = Late.size(); n > 0; --n) {
-    OpeningQueue::Held held = Late.take();
+    OpeningQueue::Item held = Late.pop();
     const BufferedOpening &opening = held.Opening;
     // A later copy may have gone on before it.
-    if (knownAlready(opening.Head))
+    if (isTrackedOpening(opening.Head))
       continue;
-    bool waits = now < held.Until && slotsTakenFor(now, opening.Head);
-    if (!waits || !Late.add(opening, held.Until))
+    bool waits = now < held.Deadline && areSlotsTakenFor(now, opening.Head);
+    if (!waits || !Late.push(opening, held.Deadline))
       place(now, opening.Head, opening.Packet.data(), opening.Bytes, out);
   }
 }
 
-bool PacketRouter::holdOpening(TimePoint now, const PacketHead &head,
-                               const uint8_t *bytes, size_t n, Duration most) {
+bool PacketRouter::bufferOpening(TimePoint now, const PacketHeader &head,
+                                 const uint8_t *bytes, size_t n,
+                                 Duration most) {
   BufferedOpening opening;
-  return opening.keep(head, bytes, n) && Held.add(opening, now + most);
+  return opening.assign(head, bytes, n) && Buffered.push(opening, now + most);
 }
 
-void PacketRouter::placeHeldOpenings(TimePoint now, PacketSink &out) {
-  while (Routes && !Stale && !Held.empty()) {
-    OpeningQueue::Held held = Held.take();
+void PacketRouter::placeBufferedOpenings(TimePoint now, PacketSink &out) {
+  while (Routes && !Stale && !Buffered.empty()) {
+    OpeningQueue::Item held = Buffered.pop();
     const BufferedOpening &opening = held.Opening;
     // A copy of one that went on before it.
-    if (knownAlready(opening.Head))
+    if (isTrackedOpening(opening.Head))
       continue;
     place(now, opening.Head, opening.Packet.data(), opening.Bytes, out);
   }
   // What has waited too long is sent again by its caller.
-  while (!Held.empty() && now >= Held.front().Until)
-    Held.take();
+  while (!Buffered.empty() && now >= Buffered.front().Deadline)
+    Buffered.pop();
 }
 
-void PacketRouter::openingCopy(TimePoint now, RememberedFlow &flow,
-                               const PacketHead &head, const uint8_t *bytes,
-                               size_t n, PacketSink &out) {
+void PacketRouter::handleOpeningCopy(TimePoint now, TrackedFlow &flow,
+                                     const PacketHeader &head,
+                                     const uint8_t *bytes, size_t n,
+                                     PacketSink &out) {
   flow.LastSeen = now;
-  flow.Copy = std::max(flow.Copy, head.Copy);
-  flow.CopiesSeen |= copyBit(head.Copy);
+  flow.HighestCopy = std::max(flow.HighestCopy, head.CopyNumber);
+  flow.CopiesSeen |= copyBit(head.CopyNumber);
   Duration late = (now - flow.OpenedAt) - (head.Age - flow.FirstAge);
   if (late < -CopyJitter || late > CopyJitter)
-    flow.Delayed = true;
+    flow.CopiesDelayed = true;
   if (flow.Stage != FlowStage::Opening) {
-    forward(flow.Home, bytes, n, out);
+    forward(flow.Server, bytes, n, out);
     return;
   }
   bool overdue = now - flow.LastSent >= Timeout.value();
-  if (overdue && flow.Tries == RememberedFlow::MaxTries) {
+  if (overdue && flow.Tries == TrackedFlow::MaxTries) {
     // All have had their time; the round begins anew without the last one.
-    flow.Tried[0] = flow.Home;
+    flow.Tried[0] = flow.Server;
     flow.Tries = 1;
   }
-  if (overdue && sendElsewhere(now, flow, head, bytes, n, out))
+  if (overdue && sendToAnotherServer(now, flow, head, bytes, n, out))
     return;
-  sendOpening(now, flow, flow.Home, head, bytes, n, out);
+  sendOpening(now, flow, flow.Server, head, bytes, n, out);
 }
 
-PacketReason PacketRouter::resolve(const PacketHead &head,
-                                   ServerIndex &found) const {
+PacketReason PacketRouter::resolveToken(const PacketHeader &head,
+                                        ServerIndex &found) const {
   if (head.Token == 0)
     return PacketReason::NoToken;
   auto route = Routes->Routes.find(head.Flow.Service);
@@ -186,7 +190,8 @@
     return PacketReason::UnknownToken;
   const std::vector<ServiceId> &allowed = route->second.EverAllowed;
   for (ServerIndex index : *named) {
-    const ServiceId &service = Servers.at(index).Is.What->Server.Service;
+    const ServiceId &service =
+        Servers.at(index).Backend.Published->Server.Service;
     if (std::find(allowed.begin(), allowed.end(), service) == allowed.end())
       continue;
     found = index;
@@ -195,32 +200,33 @@
   return PacketReason::ForeignToken;
 }
 
-RememberedFlow *PacketRouter::adopt(TimePoint now, const PacketHead &head,
-                                    RememberedFlow &spare, PacketSink &out) {
+TrackedFlow *PacketRouter::adopt(TimePoint now, const PacketHeader &head,
+                                 TrackedFlow &spare, PacketSink &out) {
   ServerIndex home = NoServerIndex;
-  PacketReason why = resolve(head, home);
+  PacketReason why = resolveToken(head, home);
   if (why != PacketReason::None) {
     // Silence, not a reset: the flow may be open at a living server that is
     // not known here yet, and its packets will be sent again.
     out.report(
-        eventOf(PacketEventKind::Dropped, why, head.Flow, NoServerIndex));
+        makeEvent(PacketEventKind::Dropped, why, head.Flow, NoServerIndex));
     return nullptr;
   }
-  RememberedFlow *flow = Flows.add(now, head.Flow);
+  TrackedFlow *flow = Flows.add(now, head.Flow);
   if (!flow)
     flow = &spare;
   flow->Stage = FlowStage::Open;
-  flow->Home = home;
+  flow->Server = home;
   flow->OpenedAt = now;
   out.report(
-      eventOf(PacketEventKind::Adopted, PacketReason::None, head.Flow, home));
+      makeEvent(PacketEventKind::Adopted, PacketReason::None, head.Flow, home));
   return flow;
 }
 
-void PacketRouter::ongoing(TimePoint now, const PacketHead &head,
-                           const uint8_t *bytes, size_t n, PacketSink &out) {
-  RememberedFlow spare;
-  RememberedFlow *flow = Flows.find(head.Flow);
+void PacketRouter::handleFlowPacket(TimePoint now, const PacketHeader &head,
+                                    const uint8_t *bytes, size_t n,
+                                    PacketSink &out) {
+  TrackedFlow spare;
+  TrackedFlow *flow = Flows.find(head.Flow);
   if (!flow)
     flow = adopt(now, head, spare, out);
   if (!flow)
@@ -229,215 +235,219 @@
   if (flow->Stage == FlowStage::Opening && !head.Resets)
     confirm(now, *flow, head, out);
   if (flow->Stage == FlowStage::Open && flow != &spare)
-    followRequests(now, *flow, head);
-  if (isLost(*flow, head)) {
-    giveUp(*flow, head, out);
+    trackRequests(now, *flow, head);
+  if (isRequestLost(*flow, head)) {
+    resetFlow(*flow, head, out);
     return;
   }
   bool ends = head.Ends || head.Resets;
-  if (ends && flow->Stage != FlowStage::Ending) {
-    release(*flow);
-    flow->Stage = FlowStage::Ending;
-    PacketEvent event = eventOf(head.Resets ? PacketEventKind::Abandoned
-                                            : PacketEventKind::Ended,
-                                PacketReason::None, head.Flow, flow->Home);
+  if (ends && flow->Stage != FlowStage::Closing) {
+    uncountRequest(*flow);
+    flow->Stage = FlowStage::Closing;
+    PacketEvent event = makeEvent(head.Resets ? PacketEventKind::Abandoned
+                                              : PacketEventKind::Ended,
+                                  PacketReason::None, head.Flow, flow->Server);
     event.Took = now - flow->OpenedAt;
     out.report(event);
   }
-  forward(flow->Home, bytes, n, out);
+  forward(flow->Server, bytes, n, out);
 }
 
-void PacketRouter::followRequests(TimePoint now, RememberedFlow &flow,
-                                  const PacketHead &head) {
-  CallerStep step = flow.Progress.packet(now, head);
+void PacketRouter::trackRequests(TimePoint now, TrackedFlow &flow,
+                                 const PacketHeader &head) {
+  RequestProgress step = flow.Requests.handlePacket(now, head);
   if (step.Answered) {
-    if (flow.Counted)
-      Servers.serviceOf(flow.Home).requestAnswered(now - flow.CountedAt);
-    release(flow);
-    Detector.arrived(flow.Home, flow.Progress.askedAt());
+    if (flow.IsCounted)
+      Servers.serviceOf(flow.Server).recordRequestTime(now - flow.CountedAt);
+    uncountRequest(flow);
+    Detector.arrived(flow.Server, flow.Requests.requestStartedAt());
   }
-  if (step.Data != CallerData::None)
-    count(now, flow, flow.Home);
-  if (step.Data != CallerData::Repeated)
+  if (step.Data != RequestDataKind::None)
+    countRequest(now, flow, flow.Server);
+  if (step.Data != RequestDataKind::Retransmission)
     return;
-  Detector.suspect(now, flow.Home, flow.Progress.askedAt());
-  if (Stuck.size() >= MostStuck)
-    Stuck.pop_front();
-  Stuck.push_back({now, head});
+  Detector.suspect(now, flow.Server, flow.Requests.requestStartedAt());
+  if (Retransmitted.size() >= MaxRetransmitted)
+    Retransmitted.pop_front();
+  Retransmitted.push_back({now, head});
 }
 
-void PacketRouter::confirm(TimePoint now, RememberedFlow &flow,
-                           const PacketHead &head, PacketSink &out) {
+void PacketRouter::confirm(TimePoint now, TrackedFlow &flow,
+                           const PacketHeader &head, PacketSink &out) {
   // The flow opens at the server that the caller answers, and its token is on
   // this very packet. A second server's answer may change the token later, so
   // the home is remembered from here on.
   ServerIndex home = NoServerIndex;
-  if (resolve(head, home) == PacketReason::None)
-    count(now, flow, home);
+  if (resolveToken(head, home) == PacketReason::None)
+    countRequest(now, flow, home);
   flow.Stage = FlowStage::Open;
-  if (flow.Tries == 1 && flow.Copy == 0)
-    Timeout.measured(now - flow.LastSent);
-  PacketEvent event = eventOf(PacketEventKind::Confirmed, PacketReason::None,
-                              head.Flow, flow.Home);
+  if (flow.Tries == 1 && flow.HighestCopy == 0)
+    Timeout.addSample(now - flow.LastSent);
+  PacketEvent event = makeEvent(PacketEventKind::Confirmed, PacketReason::None,
+                                head.Flow, flow.Server);
   event.Took = now - flow.OpenedAt;
   event.Tries = flow.Tries;
   out.report(event);
-  noteReached(flow.Home);
-  Detector.arrived(flow.Home, flow.LastSent);
-  bool domainWas = Detector.silent(flow.Home);
-  bool was = Detector.answered(now, flow.Home);
-  noteBack(flow.Home, was, domainWas, out);
+  recordReached(flow.Server);
+  Detector.arrived(flow.Server, flow.LastSent);
+  bool domainWas = Detector.silent(flow.Server);
+  bool was = Detector.answered(now, flow.Server);
+  reportRecovery(flow.Server, was, domainWas, out);
 }
 
-void PacketRouter::tickWaiting(TimePoint now,
-                               std::deque<WaitingOpening> &waiting,
-                               PacketSink &out) {
+void PacketRouter::processDueOpenings(TimePoint now,
+                                      std::deque<UnansweredOpening> &waiting,
+                                      PacketSink &out) {
   // Most are answered long before they are due; dropping those here spares a
   // wake-up for each.
   while (!waiting.empty() &&
-         (waiting.front().Due <= now || !stillWaits(waiting.front()))) {
-    WaitingOpening first = waiting.front();
+         (waiting.front().Due <= now || !isUnanswered(waiting.front()))) {
+    UnansweredOpening first = waiting.front();
     waiting.pop_front();
-    if (stillWaits(first))
-      openingDue(now, first, out);
+    if (isUnanswered(first))
+      handleUnanswered(now, first, out);
   }
 }
 
 void PacketRouter::tick(TimePoint now, PacketSink &out) {
-  updateReach(now);
-  tickWaiting(now, Waiting, out);
-  tickWaiting(now, LastCopies, out);
-  placeHeldOpenings(now, out);
+  updateReachability(now);
+  processDueOpenings(now, Unanswered, out);
+  processDueOpenings(now, LastCopies, out);
+  placeBufferedOpenings(now, out);
   placeLateOpenings(now, out);
-  while (!Stuck.empty() && now - Stuck.front().At > StuckKeep)
-    Stuck.pop_front();
-  Duration openKeep = Settings.OpenKeep;
+  while (!Retransmitted.empty() &&
+         now - Retransmitted.front().At > RetransmittedRetention)
+    Retransmitted.pop_front();
+  Duration openKeep = Settings.OpenRetention;
   if (Routes && Routes->IdleTimeout > Duration{0})
     openKeep = std::min(openKeep, Routes->IdleTimeout);
-  Flows.sweep(
+  Flows.processTimers(
       now,
-      [this](const RememberedFlow &flow) {
-        return Servers.serviceOf(flow.Home).quietLimit();
+      [this](const TrackedFlow &flow) {
+        return Servers.serviceOf(flow.Server).requestIdleLimit();
       },
-      [&](const RememberedFlow &flow) {
+      [&](const TrackedFlow &flow) {
         switch (flow.Stage) {
         case FlowStage::Opening:
-          return Settings.OpeningKeep;
-        case FlowStage::Ending:
-          return Settings.EndingKeep;
+          return Settings.OpeningRetention;
+        case FlowStage::Closing:
+          return Settings.ClosingRetention;
         case FlowStage::Open:
           break;
         }
         return openKeep;
       },
-      [&](const FlowKey &key, RememberedFlow &flow, bool forgotten) {
-        release(flow);
+      [&](const FlowKey &key, TrackedFlow &flow, bool forgotten) {
+        uncountRequest(flow);
         if (!forgotten || flow.Stage != FlowStage::Open)
           return;
-        PacketEvent event = eventOf(PacketEventKind::Forgotten,
-                                    PacketReason::None, key, flow.Home);
+        PacketEvent event = makeEvent(PacketEventKind::Forgotten,
+                                      PacketReason::None, key, flow.Server);
         event.Took = flow.LastSeen - flow.OpenedAt;
         out.report(event);
       });
 }
 
-bool PacketRouter::stillWaits(const WaitingOpening &waiting) {
-  const RememberedFlow *flow = Flows.find(waiting.Opening.Head.Flow);
+bool PacketRouter::isUnanswered(const UnansweredOpening &waiting) {
+  const TrackedFlow *flow = Flows.find(waiting.Opening.Head.Flow);
   // Else it was answered, ended, or sent again since: a later one waits for it.
   return flow && flow->Stage == FlowStage::Opening &&
          flow->LastSent == waiting.SentAt;
 }
 
-void PacketRouter::openingDue(TimePoint now, const WaitingOpening &waiting,
-                              PacketSink &out) {
-  RememberedFlow *flow = Flows.find(waiting.Opening.Head.Flow);
-  ServerIndex server = flow->Home;
+void PacketRouter::handleUnanswered(TimePoint now,
+                                    const UnansweredOpening &waiting,
+                                    PacketSink &out) {
+  TrackedFlow *flow = Flows.find(waiting.Opening.Head.Flow);
+  ServerIndex server = flow->Server;
   uint32_t caller = waiting.Opening.Head.Flow.Caller.Ip;
   // Guards against a process that was frozen: what waited in its socket has
   // been sent to another daemon too, and is answered there. Servers are not
   // silent for that.
-  if (!flow->Delayed &&
+  if (!flow->CopiesDelayed &&
       Detector.unanswered(now, server, waiting.SentAt, caller))
-    noteSilent(server, waiting.Opening.Head.Flow, out);
+    reportSilentServer(server, waiting.Opening.Head.Flow, out);
   const BufferedOpening &opening = waiting.Opening;
   bool sent = opening.Bytes > 0 &&
-              sendElsewhere(now, *flow, opening.Head, opening.Packet.data(),
-                            opening.Bytes, out);
+              sendToAnotherServer(now, *flow, opening.Head,
+                                  opening.Packet.data(), opening.Bytes, out);
   if (sent)
     return;
   // It may have gone on through another daemon, and else nobody works on it.
-  release(*flow);
+  uncountRequest(*flow);
   // The caller sends no more copies, and whoever could answer had its time: a
   // reset lets it try anew at once. Only if all of its copies came here, each
   // at its time: else its flow may have been opened through another daemon, and
   // the reset would break it.
-  if (flow->CopiesSeen != AllCopies || flow->Delayed)
+  if (flow->CopiesSeen != AllCopies || flow->CopiesDelayed)
     return;
   // And only when its first packet to a server has had time to come again.
   if (now - flow->LastSeen < Settings.LastCopyTimeout) {
-    WaitingOpening again = waiting;
+    UnansweredOpening again = waiting;
     again.Due = flow->LastSeen + Settings.LastCopyTimeout;
     LastCopies.push_back(again);
     return;
   }
   refuse(waiting.Opening.Head, PacketReason::NoAnswer, out);
-  flow->Stage = FlowStage::Ending;
+  flow->Stage = FlowStage::Closing;
 }
 
 TimePoint PacketRouter::nextWakeup() const {
-  TimePoint next = Waiting.empty() ? Never : Waiting.front().Due;
+  TimePoint next = Unanswered.empty() ? Never : Unanswered.front().Due;
   if (!LastCopies.empty())
     next = std::min(next, LastCopies.front().Due);
   // Slots get free as packets come in, and each packet is followed by a tick.
   if (!Late.empty() && Routes)
-    next = std::min(next, Late.front().Until);
-  if (Routes && anyTakesNew())
+    next = std::min(next, Late.front().Deadline);
+  if (Routes && anyServerAcceptsNewFlows())
     next = std::min(next, Reach.nextProbe());
   return std::min(next, Detector.nextDue());
 }
 
 void PacketRouter::forward(ServerIndex to, const uint8_t *bytes, size_t n,
                            PacketSink &out) const {
-  const RoutedBackend &is = Servers.at(to).Is;
-  out.forward({is.At, is.What->Tag, is.Token}, bytes, n);
+  const RoutedBackend &is = Servers.at(to).Backend;
+  out.forward({is.At, is.Published->Tag, is.Token}, bytes, n);
 }
 
-void PacketRouter::refuse(const PacketHead &head, PacketReason why,
+void PacketRouter::refuse(const PacketHeader &head, PacketReason why,
                           PacketSink &out) {
   out.reset(head);
-  out.report(eventOf(PacketEventKind::Refused, why, head.Flow, NoServerIndex));
+  out.report(
+      makeEvent(PacketEventKind::Refused, why, head.Flow, NoServerIndex));
 }
 
-void PacketRouter::count(TimePoint now, RememberedFlow &flow, ServerIndex at) {
-  if (flow.Counted && flow.Home == at)
+void PacketRouter::countRequest(TimePoint now, TrackedFlow &flow,
+                                ServerIndex at) {
+  if (flow.IsCounted && flow.Server == at)
     return;
-  if (!flow.Counted)
+  if (!flow.IsCounted)
     flow.CountedAt = now;
-  release(flow);
-  flow.Home = at;
-  flow.Counted = true;
-  Servers.add(at);
+  uncountRequest(flow);
+  flow.Server = at;
+  flow.IsCounted = true;
+  Servers.addInProgress(at);
 }
 
-void PacketRouter::release(RememberedFlow &flow) {
-  if (!flow.Counted)
+void PacketRouter::uncountRequest(TrackedFlow &flow) {
+  if (!flow.IsCounted)
     return;
-  flow.Counted = false;
-  Servers.remove(flow.Home);
+  flow.IsCounted = false;
+  Servers.removeInProgress(flow.Server);
 }
 
-PacketEvent PacketRouter::eventOf(PacketEventKind kind, PacketReason why,
-                                  const FlowKey &key,
-                                  ServerIndex server) const {
+PacketEvent PacketRouter::makeEvent(PacketEventKind kind, PacketReason why,
+                                    const FlowKey &key,
+                                    ServerIndex server) const {
   PacketEvent event;
   event.Kind = kind;
-  event.Why = why;
+  event.Reason = why;
   event.Flow = key;
   event.Version = Routes ? Routes->Version : 0;
   if (server == NoServerIndex)
     return event;
-  const TabledServer &at = Servers.at(server);
-  const BackendServer &what = at.Is.What->Server;
+  const ServerEntry &at = Servers.at(server);
+  const BackendServer &what = at.Backend.Published->Server;
   event.Server = &what.Id;
   event.Service = &what.Service;
   event.InProgress = at.InProgress;
--- a/Balsamrack/Packets/PacketRouter.h
+++ b/Balsamrack/Packets/PacketRouter.h
@@ -12,9 +12,9 @@
 #include "Balsamrack/Decisions/OpeningChoice.h"
 #include "Balsamrack/Decisions/ReachMonitor.h"
 #include "Balsamrack/Packets/FlowExplanation.h"
-#include "Balsamrack/Packets/FlowMemory.h"
 #include "Balsamrack/Packets/OpeningQueue.h"
 #include "Balsamrack/Packets/OpeningTimeout.h"
+#include "Balsamrack/Packets/PacketFlowTable.h"
 #include "Balsamrack/Packets/PacketRoutes.h"
 #include "Balsamrack/Packets/PacketSink.h"
 #include "Balsamrack/Packets/ServerTable.h"
@@ -23,36 +23,38 @@
 
 /// Limits of the packet router.
 struct PacketRouterSettings {
-  DomainId Domain;                 ///< This daemon's failure domain.
-  Duration RefreshWait{300'000};   ///< An opening waits so long at most for the
-                                   ///< first updates after a start or a pause:
-                                   ///< callers send a copy after 200 ms.
-  size_t MaxFlows = 100'000;       ///< Flows remembered, some 100 bytes each.
-  Duration OpeningKeep{2'000'000}; ///< An opening without an answer is
-                                   ///< forgotten; callers give up after 1.4 s.
+  DomainId Domain;               ///< This daemon's failure domain.
+  Duration RefreshWait{300'000}; ///< An opening waits so long at most for the
+                                 ///< first updates after a start or a pause:
+                                 ///< callers send a copy after 200 ms.
+  size_t MaxFlows = 100'000;     ///< Flows remembered, some 100 bytes each.
+  Duration OpeningRetention{
+      2'000'000}; ///< An opening without an answer is
+                  ///< forgotten; callers give up after 1.4 s.
   Duration LastCopyTimeout{450'000}; ///< From an opening's last copy to a reset
                                      ///< for want of an answer: callers send a
                                      ///< lost packet again after 200 ms, and
                                      ///< give up 800 ms after that copy.
-  Duration EndingKeep{3'000'000};    ///< Packets may follow the end of a flow:
-                                     ///< retransmissions wait 1.6 s at most.
-  Duration OpenKeep{20'000'000}; ///< A silent open flow is forgotten; its token
-                                 ///< still names its server.
-  Duration RotationSpan{1'500'000}; ///< By then the fabric sends callers to
-                                    ///< others: it asks twice a second, and
-                                    ///< two misses count.
-  FailureDetectorSettings Detector; ///< Of the failure detector.
+  Duration ClosingRetention{
+      3'000'000};                     ///< Packets may follow the end of a flow:
+                                      ///< retransmissions wait 1.6 s at most.
+  Duration OpenRetention{20'000'000}; ///< A silent open flow is forgotten; its
+                                      ///< token still names its server.
+  Duration FabricFailoverTime{1'500'000}; ///< By then the fabric sends callers
+                                          ///< to others: it asks twice a
+                                          ///< second, and two misses count.
+  FailureDetectorSettings Detector;       ///< Of the failure detector.
 };
 
 /// A server that should be asked by a connection attempt.
 struct ConnectionAttempt {
-  ServerIndex Server = NoServerIndex; ///< For attemptEnded().
+  ServerIndex Server = NoServerIndex; ///< For handleAttemptResult().
   Endpoint At;                        ///< Where to connect to.
   Duration Timeout{0};                ///< Failed when it takes longer.
 };
 
 /// How a connection attempt ended.
-enum class AttemptEnd {
+enum class ConnectionResult {
   Connected,    ///< The server took the connection.
   Failed,       ///< It refused it, or did not answer in time.
   NotAttempted, ///< This daemon had no socket for it; nothing is known.
@@ -84,19 +86,19 @@
   void setFresh() { Stale = false; }
 
   /// Takes one packet of \p n bytes.
-  void packet(TimePoint now, const PacketHead &head, const uint8_t *bytes,
-              size_t n, PacketSink &out);
+  void handlePacket(TimePoint now, const PacketHeader &head,
+                    const uint8_t *bytes, size_t n, PacketSink &out);
   /// Does what time alone asks for. Due by nextWakeup(), harmless otherwise.
   void tick(TimePoint now, PacketSink &out);
   /// When tick() is due; the far future for never. Remembered flows are looked
   /// through by any call; one in a second will do.
   TimePoint nextWakeup() const;
 
-  /// Servers to be asked now. Each needs an attemptEnded().
+  /// Servers to be asked now. Each needs an handleAttemptResult().
   std::vector<ConnectionAttempt> dueAttempts(TimePoint now);
   /// An attempt to connect to \p server has ended.
-  void attemptEnded(TimePoint now, ServerIndex server, AttemptEnd how,
-                    PacketSink &out);
+  void handleAttemptResult(TimePoint now, ServerIndex server,
+                           ConnectionResult how, PacketSink &out);
 
   /// What is known of the flow \p key, and where a first opening of it would go
   /// now. Changes nothing, and draws no random number.
@@ -104,17 +106,17 @@
   /// Daemons of the fleet, as setFleet() said.
   size_t daemons() const { return Daemons; }
   /// True when the server at \p index, or its whole domain, is silent.
-  bool silent(ServerIndex index) const { return Detector.silent(index); }
+  bool isSilent(ServerIndex index) const { return Detector.silent(index); }
   /// True when servers take new flows, and none of them, of whatever service,
   /// can be reached from here: others may serve what this daemon can't.
-  bool outOfReach() const;
+  bool allServersUnreachable() const;
   /// True when no server takes new flows, or one that does was reached; see
   /// ReachMonitor.
-  bool provedReach() const {
-    return !anyTakesNew() || Reach.state() == ReachState::Reached;
+  bool hasProvenReachability() const {
+    return !anyServerAcceptsNewFlows() || Reach.state() == ReachState::Reached;
   }
   /// What is known of the way to servers.
-  ReachState reach() const { return Reach.state(); }
+  ReachState reachState() const { return Reach.state(); }
   /// Number of remembered flows.
   size_t flows() const { return Flows.size(); }
   /// The servers with their counts.
@@ -128,100 +130,104 @@
 
 private:
   /// An opening that waits for its answer.
-  struct WaitingOpening {
+  struct UnansweredOpening {
     TimePoint Due;           ///< When to try another server.
     TimePoint SentAt;        ///< When the last copy was sent on.
     BufferedOpening Opening; ///< What was sent; empty when it was too long.
   };
 
   /// A request whose data came again without a sign of having arrived.
-  struct StuckRequest {
-    TimePoint At;    ///< When it came again.
-    PacketHead Head; ///< Of that packet.
+  struct RetransmittedRequest {
+    TimePoint At;      ///< When it came again.
+    PacketHeader Head; ///< Of that packet.
   };
 
-  void opening(TimePoint now, const PacketHead &head, const uint8_t *bytes,
-               size_t n, PacketSink &out);
-  bool holdOpening(TimePoint now, const PacketHead &head, const uint8_t *bytes,
-                   size_t n, Duration most);
-  bool queueLateOpening(TimePoint now, const PacketHead &head,
+  void handleOpening(TimePoint now, const PacketHeader &head,
+                     const uint8_t *bytes, size_t n, PacketSink &out);
+  bool bufferOpening(TimePoint now, const PacketHeader &head,
+                     const uint8_t *bytes, size_t n, Duration most);
+  bool queueLateOpening(TimePoint now, const PacketHeader &head,
                         const uint8_t *bytes, size_t n);
-  bool slotsTakenFor(TimePoint now, const PacketHead &head);
-  bool knownAlready(const PacketHead &head);
+  bool areSlotsTakenFor(TimePoint now, const PacketHeader &head);
+  bool isTrackedOpening(const PacketHeader &head);
   void placeLateOpenings(TimePoint now, PacketSink &out);
-  void place(TimePoint now, const PacketHead &head, const uint8_t *bytes,
+  void place(TimePoint now, const PacketHeader &head, const uint8_t *bytes,
              size_t n, PacketSink &out);
-  void placeHeldOpenings(TimePoint now, PacketSink &out);
-  void openingCopy(TimePoint now, RememberedFlow &flow, const PacketHead &head,
-                   const uint8_t *bytes, size_t n, PacketSink &out);
-  void ongoing(TimePoint now, const PacketHead &head, const uint8_t *bytes,
-               size_t n, PacketSink &out);
-
-  bool isLost(const RememberedFlow &flow, const PacketHead &head) const;
-  void giveUp(RememberedFlow &flow, const PacketHead &head, PacketSink &out);
-  void giveUpStuck(PacketSink &out);
-  RememberedFlow *adopt(TimePoint now, const PacketHead &head,
-                        RememberedFlow &spare, PacketSink &out);
-  void confirm(TimePoint now, RememberedFlow &flow, const PacketHead &head,
+  void placeBufferedOpenings(TimePoint now, PacketSink &out);
+  void handleOpeningCopy(TimePoint now, TrackedFlow &flow,
+                         const PacketHeader &head, const uint8_t *bytes,
+                         size_t n, PacketSink &out);
+  void handleFlowPacket(TimePoint now, const PacketHeader &head,
+                        const uint8_t *bytes, size_t n, PacketSink &out);
+
+  bool isRequestLost(const TrackedFlow &flow, const PacketHeader &head) const;
+  void resetFlow(TrackedFlow &flow, const PacketHeader &head, PacketSink &out);
+  void resetLostRequests(PacketSink &out);
+  TrackedFlow *adopt(TimePoint now, const PacketHeader &head,
+                     TrackedFlow &spare, PacketSink &out);
+  void confirm(TimePoint now, TrackedFlow &flow, const PacketHeader &head,
                PacketSink &out);
-  void tickWaiting(TimePoint now, std::deque<WaitingOpening> &waiting,
+  void processDueOpenings(TimePoint now, std::deque<UnansweredOpening> &waiting,
+                          PacketSink &out);
+  bool isUnanswered(const UnansweredOpening &waiting);
+  void handleUnanswered(TimePoint now, const UnansweredOpening &waiting,
+                        PacketSink &out);
+  bool sendToAnotherServer(TimePoint now, TrackedFlow &flow,
+                           const PacketHeader &head, const uint8_t *bytes,
+                           size_t n, PacketSink &out);
+  void sendOpening(TimePoint now, TrackedFlow &flow, ServerIndex to,
+                   const PacketHeader &head, const uint8_t *bytes, size_t n,
                    PacketSink &out);
-  bool stillWaits(const WaitingOpening &waiting);
-  void openingDue(TimePoint now, const WaitingOpening &waiting,
-                  PacketSink &out);
-  bool sendElsewhere(TimePoint now, RememberedFlow &flow,
-                     const PacketHead &head, const uint8_t *bytes, size_t n,
-                     PacketSink &out);
-  void sendOpening(TimePoint now, RememberedFlow &flow, ServerIndex to,
-                   const PacketHead &head, const uint8_t *bytes, size_t n,
-                   PacketSink &out);
-  std::optional<OpeningChoice> choose(TimePoint now, const ServiceId &service,
-                                      const RememberedFlow &flow);
-  TabledService *listCandidates(TimePoint now, const ServiceId &service,
-                                const RememberedFlow &flow);
-  double coldFigure(const ServiceId &service) const;
-  bool triedDomain(const RememberedFlow &flow, const DomainId &domain) const;
+  std::optional<OpeningChoice> chooseServer(TimePoint now,
+                                            const ServiceId &service,
+                                            const TrackedFlow &flow);
+  ServiceEntry *listCandidates(TimePoint now, const ServiceId &service,
+                               const TrackedFlow &flow);
+  double coldFlowsPerSecond(const ServiceId &service) const;
+  bool hasTriedDomain(const TrackedFlow &flow, const DomainId &domain) const;
   const ServiceId *serviceFor(const FlowKey &key) const;
-  PacketReason resolve(const PacketHead &head, ServerIndex &found) const;
-  bool allUnreachable(const ServiceId &service);
-  bool anyTakesNew() const;
-  bool homeTakesNew() const;
-  bool leavesRotation(TimePoint now) const;
-  void updateReach(TimePoint now);
-  void noteReached(ServerIndex server);
+  PacketReason resolveToken(const PacketHeader &head, ServerIndex &found) const;
+  bool isServiceUnreachable(const ServiceId &service);
+  bool anyServerAcceptsNewFlows() const;
+  bool ownDomainAcceptsNewFlows() const;
+  bool isLeavingRotation(TimePoint now) const;
+  void updateReachability(TimePoint now);
+  void recordReached(ServerIndex server);
   std::vector<ServerIndex> serversToProbe(TimePoint now);
   void forward(ServerIndex to, const uint8_t *bytes, size_t n,
                PacketSink &out) const;
-  void refuse(const PacketHead &head, PacketReason why, PacketSink &out);
-  void followRequests(TimePoint now, RememberedFlow &flow,
-                      const PacketHead &head);
-  void count(TimePoint now, RememberedFlow &flow, ServerIndex at);
-  void release(RememberedFlow &flow);
-  void noteBack(ServerIndex server, bool was, bool domainWas, PacketSink &out);
-  void noteSilent(ServerIndex server, const FlowKey &flow, PacketSink &out);
-  void reshare();
-  PacketEvent eventOf(PacketEventKind kind, PacketReason why,
-                      const FlowKey &key, ServerIndex server) const;
+  void refuse(const PacketHeader &head, PacketReason why, PacketSink &out);
+  void trackRequests(TimePoint now, TrackedFlow &flow,
+                     const PacketHeader &head);
+  void countRequest(TimePoint now, TrackedFlow &flow, ServerIndex at);
+  void uncountRequest(TrackedFlow &flow);
+  void reportRecovery(ServerIndex server, bool was, bool domainWas,
+                      PacketSink &out);
+  void reportSilentServer(ServerIndex server, const FlowKey &flow,
+                          PacketSink &out);
+  void updateShares();
+  PacketEvent makeEvent(PacketEventKind kind, PacketReason why,
+                        const FlowKey &key, ServerIndex server) const;
 
   const PacketRouterSettings Settings;
   RandomSource &Random;
   std::shared_ptr<const PacketRoutes> Routes; ///< In force; null at first.
   ServerTable Servers;                        ///< Servers, counts and shares.
-  FlowMemory Flows;                           ///< Flows of this daemon.
+  PacketFlowTable Flows;                      ///< Flows of this daemon.
   ReachMonitor Reach;                         ///< Of any server.
   FailureDetector Detector;                   ///< Who does not answer.
   OpeningTimeout Timeout;                     ///< For openings.
-  OpeningQueue Held;                          ///< Wait for updates.
+  OpeningQueue Buffered;                      ///< Wait for updates.
   OpeningQueue Late;                          ///< Wait for a free slot.
-  std::deque<WaitingOpening> Waiting;         ///< Nearly in order of Due.
+  std::deque<UnansweredOpening> Unanswered;   ///< Nearly in order of Due.
   /// Last copies until a reset, in order of Due; apart, since they wait longer
   /// and would hold up the others.
-  std::deque<WaitingOpening> LastCopies;
-  std::deque<StuckRequest> Stuck;           ///< In order of their time.
-  std::vector<OpeningCandidate> Candidates; ///< Reused between choices.
-  size_t Daemons = 1;                       ///< Of the fleet.
-  size_t Self = 0;                          ///< Place of this one.
-  bool Stale = false;                       ///< See setStale().
+  std::deque<UnansweredOpening> LastCopies;
+  std::deque<RetransmittedRequest> Retransmitted; ///< In order of their time.
+  std::vector<OpeningCandidate> Candidates;       ///< Reused between choices.
+  size_t Daemons = 1;                             ///< Of the fleet.
+  size_t OwnIndex = 0;                            ///< Place of this one.
+  bool Stale = false;                             ///< See setStale().
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/PacketRoutes.cpp
+++ b/Balsamrack/Packets/PacketRoutes.cpp
@@ -9,11 +9,11 @@
 
 constexpr TimePoint Never = TimePoint(Duration::max());
 /// Servers of one service that disappear within this time did so together.
-constexpr Duration TogetherSpan{1'000'000};
+constexpr Duration BulkExpirySpan{1'000'000};
 /// So many at least are needed to speak of many.
-constexpr size_t LeastTogether = 2;
+constexpr size_t MinBulkExpiry = 2;
 
-void addOnce(std::vector<ServiceId> &list, const ServiceId &service) {
+void addUnique(std::vector<ServiceId> &list, const ServiceId &service) {
   if (std::find(list.begin(), list.end(), service) == list.end())
     list.push_back(service);
 }
@@ -26,8 +26,8 @@
   /// How many disappeared within TogetherSpan of \p at.
   size_t countAround(TimePoint at) const {
     auto first =
-        std::lower_bound(GoneAt.begin(), GoneAt.end(), at - TogetherSpan);
-    auto last = std::upper_bound(first, GoneAt.end(), at + TogetherSpan);
+        std::lower_bound(GoneAt.begin(), GoneAt.end(), at - BulkExpirySpan);
+    auto last = std::upper_bound(first, GoneAt.end(), at + BulkExpirySpan);
     return static_cast<size_t>(last - first);
   }
 };
@@ -39,29 +39,29 @@
   return token == 0 ? 1 : token;
 }
 
-void RouteBook::setOperators(TimePoint now,
-                             const std::vector<PublishedObject> &objects) {
-  Out.clear();
+void PacketRoutesBuilder::applyOperatorObjects(
+    TimePoint now, const std::vector<PublishedObject> &objects) {
+  DomainsOut.clear();
   for (const PublishedObject &object : objects) {
     if (const auto *out = std::get_if<DomainOut>(&object.Content))
-      Out.push_back(out->Domain);
+      DomainsOut.push_back(out->Domain);
     using Shared = std::shared_ptr<const OperatorConfiguration>;
     if (const auto *what = std::get_if<Shared>(&object.Content))
       setConfiguration(now, *what, object.At);
   }
 }
 
-void RouteBook::setConfiguration(
+void PacketRoutesBuilder::setConfiguration(
     TimePoint now, std::shared_ptr<const OperatorConfiguration> what,
     Revision at) {
-  if (at <= ConfigurationAt)
+  if (at <= ConfigurationRevision)
     return;
-  ConfigurationAt = at;
+  ConfigurationRevision = at;
   Configuration = std::move(what);
-  auto before = std::exchange(Allowed, {});
+  auto before = std::exchange(EverAllowed, {});
   for (const PublishedRoute &route : Configuration->Routes) {
     Endpoint end = Endpoint::of(route.At);
-    std::vector<ServiceId> &allowed = Allowed[end];
+    std::vector<ServiceId> &allowed = EverAllowed[end];
     auto it = before.find(end);
     if (it != before.end())
       allowed = std::move(it->second);
@@ -71,20 +71,20 @@
       DroppedRoutes.erase(dropped);
     }
     for (const RouteTarget &target : route.Targets)
-      addOnce(allowed, target.Service);
+      addUnique(allowed, target.Service);
     before.erase(end);
   }
   for (auto &[end, allowed] : before)
     DroppedRoutes[end] = {std::move(allowed), now};
 }
 
-void RouteBook::serversChanged(TimePoint now,
-                               const std::vector<PublishedObject> &changed) {
+void PacketRoutesBuilder::applyServerChanges(
+    TimePoint now, const std::vector<PublishedObject> &changed) {
   using Shared = std::shared_ptr<const PublishedServer>;
   for (const PublishedObject &object : changed) {
     const auto *what = std::get_if<Shared>(&object.Content);
     if (!what) {
-      serverGone(now, object.Name);
+      markServerGone(now, object.Name);
       continue;
     }
     const BackendServer &server = (*what)->Server;
@@ -95,10 +95,11 @@
     ServerByName[object.Name] = key;
     Servers[key] = {*what, true, false, {}, now + (*what)->ColdLeft};
   }
-  markMassExpiry();
+  markBulkExpiry();
 }
 
-void RouteBook::serverGone(TimePoint now, const std::string &name) {
+void PacketRoutesBuilder::markServerGone(TimePoint now,
+                                         const std::string &name) {
   auto named = ServerByName.find(name);
   if (named == ServerByName.end())
     return;
@@ -109,13 +110,13 @@
   it->second.GoneAt = now;
 }
 
-void RouteBook::markMassExpiry() {
+void PacketRoutesBuilder::markBulkExpiry() {
   // Guards against a publishing service that was away: all entries expire at
   // once though the servers live, and the first ones back would get the load
   // of all. Servers die one by one, or are half of their service at most.
   std::map<ServiceId, ExpiryTimes> byService;
   for (const auto &[key, known] : Servers) {
-    ExpiryTimes &times = byService[known.What->Server.Service];
+    ExpiryTimes &times = byService[known.Published->Server.Service];
     if (known.Present)
       ++times.Present;
     else
@@ -124,57 +125,62 @@
   for (auto &[service, times] : byService)
     std::sort(times.GoneAt.begin(), times.GoneAt.end());
   for (auto &[key, known] : Servers) {
-    if (known.Present || known.WithMany)
+    if (known.Present || known.ExpiredInBulk)
       continue;
-    const ExpiryTimes &times = byService[known.What->Server.Service];
+    const ExpiryTimes &times = byService[known.Published->Server.Service];
     size_t together = times.countAround(known.GoneAt);
-    known.WithMany = together >= LeastTogether && together >= times.Present;
+    known.ExpiredInBulk =
+        together >= MinBulkExpiry && together >= times.Present;
   }
 }
 
-bool RouteBook::domainOut(const DomainId &domain) const {
-  return std::find(Out.begin(), Out.end(), domain) != Out.end();
+bool PacketRoutesBuilder::isDomainOut(const DomainId &domain) const {
+  return std::find(DomainsOut.begin(), DomainsOut.end(), domain) !=
+         DomainsOut.end();
 }
 
-ServerPresence RouteBook::presenceOf(TimePoint now, const Known &known) {
+ServerPresence PacketRoutesBuilder::presenceOf(TimePoint now,
+                                               const KnownServer &known) {
   if (known.Present)
     return ServerPresence::Listed;
-  if (known.What->Server.Mode != ServerMode::Active ||
-      now >= known.GoneAt + ExpiryKeep)
+  if (known.Published->Server.Mode != ServerMode::Active ||
+      now >= known.GoneAt + ExpiredRetention)
     return ServerPresence::Gone;
-  NextChange = std::min(NextChange, known.GoneAt + ExpiryKeep);
+  NextChange = std::min(NextChange, known.GoneAt + ExpiredRetention);
   return ServerPresence::Expired;
 }
 
-std::map<Endpoint, uint64_t> RouteBook::newestByAddress() const {
+std::map<Endpoint, uint64_t>
+PacketRoutesBuilder::newestInstanceByAddress() const {
   std::map<Endpoint, uint64_t> newest;
   for (const auto &[key, known] : Servers) {
     if (!known.Present)
       continue;
-    uint64_t &born = newest[Endpoint::of(known.What->Server.At)];
-    born = std::max(born, known.What->Born);
+    uint64_t &born = newest[Endpoint::of(known.Published->Server.At)];
+    born = std::max(born, known.Published->Born);
   }
   return newest;
 }
 
-void RouteBook::forget(TimePoint now) {
+void PacketRoutesBuilder::removeOutdated(TimePoint now) {
   for (auto it = Servers.begin(); it != Servers.end();)
-    it = !it->second.Present && now >= it->second.GoneAt + GoneKeep
+    it = !it->second.Present && now >= it->second.GoneAt + GoneRetention
              ? Servers.erase(it)
              : std::next(it);
   for (auto it = ServerByName.begin(); it != ServerByName.end();)
     it =
         Servers.count(it->second) == 0 ? ServerByName.erase(it) : std::next(it);
   for (auto it = DroppedRoutes.begin(); it != DroppedRoutes.end();)
-    it = now >= it->second.At + GoneKeep ? DroppedRoutes.erase(it)
-                                         : std::next(it);
+    it = now >= it->second.DroppedAt + GoneRetention ? DroppedRoutes.erase(it)
+                                                     : std::next(it);
 }
 
-std::shared_ptr<const PacketRoutes> RouteBook::snapshot(TimePoint now) {
-  forget(now);
+std::shared_ptr<const PacketRoutes>
+PacketRoutesBuilder::snapshot(TimePoint now) {
+  removeOutdated(now);
   NextChange = Never;
   auto made = std::make_shared<PacketRoutes>();
-  made->As = ConfigurationAt;
+  made->ConfigurationRevision = ConfigurationRevision;
   if (Configuration) {
     made->Version = Configuration->Version;
     made->IdleTimeout = Configuration->IdleTimeout;
@@ -183,25 +189,25 @@
         made->ColdPerSecond[service.Id] = service.ColdPerSecond;
     for (const PublishedRoute &route : Configuration->Routes) {
       Endpoint end = Endpoint::of(route.At);
-      made->Routes[end] = {route.Targets, Allowed[end], route.Objective,
+      made->Routes[end] = {route.Targets, EverAllowed[end], route.Objective,
                            route.Timeout, route.Idempotent};
     }
   }
   for (const auto &[end, dropped] : DroppedRoutes)
     made->Routes[end] = {{}, dropped.EverAllowed, {}, {}, false};
   made->Servers.reserve(Servers.size());
-  const std::map<Endpoint, uint64_t> newest = newestByAddress();
+  const std::map<Endpoint, uint64_t> newest = newestInstanceByAddress();
   for (const auto &[key, known] : Servers) {
-    const BackendServer &server = known.What->Server;
-    RoutedBackend to{known.What,         Endpoint::of(server.At),
-                     tokenOf(server.Id), presenceOf(now, known),
-                     known.WithMany,     domainOut(server.Domain),
+    const BackendServer &server = known.Published->Server;
+    RoutedBackend to{known.Published,     Endpoint::of(server.At),
+                     tokenOf(server.Id),  presenceOf(now, known),
+                     known.ExpiredInBulk, isDomainOut(server.Domain),
                      known.ColdUntil};
     // Guards against a dead server whose entry still stands, or whose open
     // flows still find it, while another server answers attempts to connect to
     // its address: it would look well, and callers would wait for it in vain.
     auto later = newest.find(to.At);
-    if (later != newest.end() && later->second > known.What->Born)
+    if (later != newest.end() && later->second > known.Published->Born)
       to.Presence = ServerPresence::Replaced;
     made->Servers.push_back(std::move(to));
   }
--- a/Balsamrack/Packets/PacketRoutes.h
+++ b/Balsamrack/Packets/PacketRoutes.h
@@ -24,24 +24,25 @@
 
 /// A backend server as the router needs it.
 struct RoutedBackend {
-  std::shared_ptr<const PublishedServer> What; ///< As it was last published.
-  Endpoint At;                                 ///< Where datagrams go.
+  std::shared_ptr<const PublishedServer>
+      Published;      ///< As it was last published.
+  Endpoint At;        ///< Where datagrams go.
   uint32_t Token = 0; ///< Stands for it on the packets of its flows.
   ServerPresence Presence = ServerPresence::Listed; ///< See there.
-  bool WithMany = false;  ///< Expired together with half of its service.
-  bool DomainOut = false; ///< Its failure domain was taken out.
-  TimePoint ColdUntil;    ///< Slow until then.
+  bool ExpiredInBulk = false; ///< Expired together with half of its service.
+  bool DomainOut = false;     ///< Its failure domain was taken out.
+  TimePoint ColdUntil;        ///< Slow until then.
 
   /// True when it may get new flows in ordinary times. Thread-safe.
-  bool takesNew() const {
+  bool acceptsNewFlows() const {
     bool there = Presence == ServerPresence::Listed ||
                  Presence == ServerPresence::Expired;
-    return there && !DomainOut && What->Server.Mode == ServerMode::Active;
+    return there && !DomainOut && Published->Server.Mode == ServerMode::Active;
   }
 };
 
 /// A route, and what it ever allowed.
-struct RoutedRoute {
+struct RouteEntry {
   std::vector<RouteTarget> Targets;   ///< For new flows; empty once dropped.
   std::vector<ServiceId> EverAllowed; ///< A token may name their servers.
   Duration Objective{0};              ///< As published.
@@ -51,13 +52,13 @@
 
 /// An immutable snapshot of where packets may go. Thread-safe.
 struct PacketRoutes {
-  absl::flat_hash_map<Endpoint, RoutedRoute> Routes; ///< By callers' address.
-  std::vector<RoutedBackend> Servers;                ///< Ordered by domain, id.
+  absl::flat_hash_map<Endpoint, RouteEntry> Routes; ///< By callers' address.
+  std::vector<RoutedBackend> Servers;               ///< Ordered by domain, id.
   absl::flat_hash_map<ServiceId, double>
-      ColdPerSecond;       ///< Figures that were given.
-  uint64_t Version = 0;    ///< The operators' number of the configuration.
-  Revision As;             ///< Of the configuration.
-  Duration IdleTimeout{0}; ///< Zero: not given.
+      ColdPerSecond;    ///< Figures that were given.
+  uint64_t Version = 0; ///< The operators' number of the configuration.
+  Revision ConfigurationRevision; ///< Of the configuration.
+  Duration IdleTimeout{0};        ///< Zero: not given.
 };
 
 /// The token that stands for the server with \p id: never zero. 32 bits are
@@ -68,21 +69,22 @@
 
 /// Makes the snapshots: remembers for a while what is published no longer, for
 /// the flows that are still open. Deterministic. Not thread-safe.
-class RouteBook {
+class PacketRoutesBuilder {
 public:
   /// A server that disappears without having drained is kept for new flows so
   /// long, behind all others: entries that only expired come back within two
   /// seconds, and one that stays away for longer is gone.
-  static constexpr Duration ExpiryKeep{2'000'000};
+  static constexpr Duration ExpiredRetention{2'000'000};
   /// A server that is gone is kept for its open flows so long: flows older
   /// than a minute may be given up on the platforms that we know.
-  static constexpr Duration GoneKeep{120'000'000};
+  static constexpr Duration GoneRetention{120'000'000};
 
   /// Takes the newest objects of the operators' section.
-  void setOperators(TimePoint now, const std::vector<PublishedObject> &objects);
+  void applyOperatorObjects(TimePoint now,
+                            const std::vector<PublishedObject> &objects);
   /// Takes one change of the servers' section.
-  void serversChanged(TimePoint now,
-                      const std::vector<PublishedObject> &changed);
+  void applyServerChanges(TimePoint now,
+                          const std::vector<PublishedObject> &changed);
   /// The snapshot as of \p now.
   std::shared_ptr<const PacketRoutes> snapshot(TimePoint now);
   /// When time alone will change the snapshot; the far future for never.
@@ -90,38 +92,38 @@
 
 private:
   /// What is remembered of a server.
-  struct Known {
-    std::shared_ptr<const PublishedServer> What; ///< As last published.
-    bool Present = true;                         ///< Still published.
-    bool WithMany = false; ///< Disappeared with half of its service.
-    TimePoint GoneAt;      ///< When it disappeared here.
-    TimePoint ColdUntil;   ///< Slow until then.
+  struct KnownServer {
+    std::shared_ptr<const PublishedServer> Published; ///< As last published.
+    bool Present = true;                              ///< Still published.
+    bool ExpiredInBulk = false; ///< Disappeared with half of its service.
+    TimePoint GoneAt;           ///< When it disappeared here.
+    TimePoint ColdUntil;        ///< Slow until then.
   };
   /// What is remembered of a dropped route.
-  struct Dropped {
+  struct DroppedRoute {
     std::vector<ServiceId> EverAllowed; ///< While it was there.
-    TimePoint At;                       ///< When it was dropped.
+    TimePoint DroppedAt;                ///< When it was dropped.
   };
   using ServerKey = std::pair<DomainId, ServerId>;
 
   void setConfiguration(TimePoint now,
                         std::shared_ptr<const OperatorConfiguration> what,
                         Revision at);
-  void serverGone(TimePoint now, const std::string &name);
-  void markMassExpiry();
-  void forget(TimePoint now);
-  ServerPresence presenceOf(TimePoint now, const Known &known);
-  std::map<Endpoint, uint64_t> newestByAddress() const;
-  bool domainOut(const DomainId &domain) const;
+  void markServerGone(TimePoint now, const std::string &name);
+  void markBulkExpiry();
+  void removeOutdated(TimePoint now);
+  ServerPresence presenceOf(TimePoint now, const KnownServer &known);
+  std::map<Endpoint, uint64_t> newestInstanceByAddress() const;
+  bool isDomainOut(const DomainId &domain) const;
 
   std::shared_ptr<const OperatorConfiguration> Configuration; ///< Newest.
-  Revision ConfigurationAt;                                   ///< Its revision.
-  std::vector<DomainId> Out;                          ///< Domains taken out.
-  std::map<Endpoint, std::vector<ServiceId>> Allowed; ///< By present route.
-  std::map<Endpoint, Dropped> DroppedRoutes;          ///< Not yet forgotten.
-  std::map<ServerKey, Known> Servers;                 ///< Gone ones included.
-  std::map<std::string, ServerKey> ServerByName;      ///< Names of objects.
-  TimePoint NextChange{Duration::max()};              ///< See nextChange().
+  Revision ConfigurationRevision;                             ///< Its revision.
+  std::vector<DomainId> DomainsOut; ///< Domains taken out.
+  std::map<Endpoint, std::vector<ServiceId>> EverAllowed; ///< By present route.
+  std::map<Endpoint, DroppedRoute> DroppedRoutes; ///< Not yet forgotten.
+  std::map<ServerKey, KnownServer> Servers;       ///< Gone ones included.
+  std::map<std::string, ServerKey> ServerByName;  ///< Names of objects.
+  TimePoint NextChange{Duration::max()};          ///< See nextChange().
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/PacketSink.h
+++ b/Balsamrack/Packets/PacketSink.h
@@ -24,7 +24,7 @@
   virtual void forward(const PacketTarget &to, const uint8_t *packet,
                        size_t n) = 0;
   /// Answer the packet with \p head by a reset.
-  virtual void reset(const PacketHead &head) = 0;
+  virtual void reset(const PacketHeader &head) = 0;
   /// Tell what happened.
   virtual void report(const PacketEvent &event) = 0;
 };
--- a/Balsamrack/Packets/PacketSocket.cpp
+++ b/Balsamrack/Packets/PacketSocket.cpp
@@ -18,80 +18,80 @@
 constexpr int BufferBytes = 1024 * 1024;
 
 /// The packets of one system call.
-struct Packets {
-  Packets() {
-    for (size_t i = 0; i < PacketSocket::Batch; ++i) {
-      Parts[i] = {Bytes[i].data(), Bytes[i].size()};
-      Heads[i].msg_hdr.msg_iov = &Parts[i];
-      Heads[i].msg_hdr.msg_iovlen = 1;
+struct PacketBatch {
+  PacketBatch() {
+    for (size_t i = 0; i < PacketSocket::BatchSize; ++i) {
+      Buffers[i] = {Bytes[i].data(), Bytes[i].size()};
+      Messages[i].msg_hdr.msg_iov = &Buffers[i];
+      Messages[i].msg_hdr.msg_iovlen = 1;
     }
   }
   std::array<std::array<uint8_t, PacketSocket::MaxPacketBytes>,
-             PacketSocket::Batch>
+             PacketSocket::BatchSize>
       Bytes{};
-  std::array<iovec, PacketSocket::Batch> Parts{};
-  std::array<mmsghdr, PacketSocket::Batch> Heads{};
-  std::array<sockaddr_in, PacketSocket::Batch> Ends{};
+  std::array<iovec, PacketSocket::BatchSize> Buffers{};
+  std::array<mmsghdr, PacketSocket::BatchSize> Messages{};
+  std::array<sockaddr_in, PacketSocket::BatchSize> Addresses{};
 };
 
 class BatchSocket final : public PacketSocket {
 public:
-  BatchSocket(int fd, Address at) : Fd(fd), Where(std::move(at)) {}
+  BatchSocket(int fd, Address at) : Fd(fd), LocalAddress(std::move(at)) {}
   BatchSocket(const BatchSocket &) = delete;
   BatchSocket &operator=(const BatchSocket &) = delete;
   ~BatchSocket() override { close(Fd); }
 
-  const Address &at() const override { return Where; }
+  const Address &at() const override { return LocalAddress; }
   int fd() const override { return Fd; }
-  size_t receive(const Got &got) override;
+  size_t receive(const PacketCallback &got) override;
   uint8_t *prepare(const Endpoint &to, size_t n) override;
   void flush() override;
   const PacketSocketCounters &counters() const override { return Counters; }
 
 private:
   const int Fd;
-  const Address Where;
-  Packets In;
-  Packets Out;
+  const Address LocalAddress;
+  PacketBatch In;
+  PacketBatch Out;
   size_t Prepared = 0;
   PacketSocketCounters Counters;
 };
 
-size_t BatchSocket::receive(const Got &got) {
-  for (size_t i = 0; i < Batch; ++i)
-    In.Parts[i].iov_len = MaxPacketBytes;
-  int n = recvmmsg(Fd, In.Heads.data(), Batch, MSG_DONTWAIT, nullptr);
+size_t BatchSocket::receive(const PacketCallback &got) {
+  for (size_t i = 0; i < BatchSize; ++i)
+    In.Buffers[i].iov_len = MaxPacketBytes;
+  int n = recvmmsg(Fd, In.Messages.data(), BatchSize, MSG_DONTWAIT, nullptr);
   if (n <= 0)
     return 0;
   auto count = static_cast<size_t>(n);
   Counters.Received += count;
   for (size_t i = 0; i < count; ++i) {
-    if ((In.Heads[i].msg_hdr.msg_flags & MSG_TRUNC) != 0)
+    if ((In.Messages[i].msg_hdr.msg_flags & MSG_TRUNC) != 0)
       ++Counters.TooLong;
     else
-      got(In.Bytes[i].data(), In.Heads[i].msg_len);
+      got(In.Bytes[i].data(), In.Messages[i].msg_len);
   }
   return count;
 }
 
 uint8_t *BatchSocket::prepare(const Endpoint &to, size_t n) {
   assert(n <= MaxPacketBytes);
-  if (Prepared == Batch)
+  if (Prepared == BatchSize)
     flush();
-  sockaddr_in &end = Out.Ends[Prepared];
+  sockaddr_in &end = Out.Addresses[Prepared];
   end.sin_family = AF_INET;
   end.sin_port = htons(to.Port);
   end.sin_addr.s_addr = htonl(to.Ip);
-  Out.Parts[Prepared].iov_len = n;
-  Out.Heads[Prepared].msg_hdr.msg_name = &end;
-  Out.Heads[Prepared].msg_hdr.msg_namelen = sizeof end;
+  Out.Buffers[Prepared].iov_len = n;
+  Out.Messages[Prepared].msg_hdr.msg_name = &end;
+  Out.Messages[Prepared].msg_hdr.msg_namelen = sizeof end;
   return Out.Bytes[Prepared++].data();
 }
 
 void BatchSocket::flush() {
   size_t done = 0;
   while (done < Prepared) {
-    int n = sendmmsg(Fd, Out.Heads.data() + done,
+    int n = sendmmsg(Fd, Out.Messages.data() + done,
                      static_cast<unsigned>(Prepared - done), MSG_DONTWAIT);
     if (n <= 0) {
       // The first one was refused (no route to it, or the buffer is full); it
--- a/Balsamrack/Packets/PacketSocket.h
+++ b/Balsamrack/Packets/PacketSocket.h
@@ -26,12 +26,12 @@
 class PacketSocket {
 public:
   /// Packets a system call.
-  static constexpr size_t Batch = 32;
+  static constexpr size_t BatchSize = 32;
   /// Largest packet, its prefix included, in bytes.
   static constexpr size_t MaxPacketBytes = 1'400;
 
   /// Called for each packet that came in; the bytes hold during the call.
-  using Got = std::function<void(uint8_t *packet, size_t n)>;
+  using PacketCallback = std::function<void(uint8_t *packet, size_t n)>;
 
   /// Opens the socket at \p at. Error (step listen, peer ip:port) when the
   /// address is taken or not ours. Thread-safe.
@@ -43,7 +43,7 @@
   /// Readable when receive() has something.
   virtual int fd() const = 0;
   /// Takes in one batch; returns how many packets came.
-  virtual size_t receive(const Got &got) = 0;
+  virtual size_t receive(const PacketCallback &got) = 0;
   /// Room for a packet of \p n bytes to \p to, sent by the next flush() at the
   /// latest. Precondition: n <= MaxPacketBytes.
   virtual uint8_t *prepare(const Endpoint &to, size_t n) = 0;
--- a/Balsamrack/Packets/ServerTable.cpp
+++ b/Balsamrack/Packets/ServerTable.cpp
@@ -10,62 +10,64 @@
 
 /// The load of a site moves within seconds; single flows last some tens of
 /// milliseconds.
-constexpr double SmoothingMicros = 1'000'000;
+constexpr double LoadSmoothingMicros = 1'000'000;
 /// About the work of one request: a herd after a loss of all daemons comes and
 /// goes within a second. With 100 ms half of the gain of late openings that
 /// wait is lost, in callers in time.
-constexpr double BriefSmoothingMicros = 30'000;
+constexpr double ShortTermSmoothingMicros = 30'000;
 /// Servers hold some eight requests more than they have slots, so that others
 /// are hardly fuller than this; a small share makes the own ratio jump.
-constexpr double MostLoad = 3;
+constexpr double MaxLoadSample = 3;
 /// A request's time moves the mean by this part.
-constexpr int RequestTimeWeight = 32;
+constexpr int RequestTimeSmoothing = 32;
 /// The longest work is some six times the mean, and waits in a full queue.
-constexpr int QuietRequestTimes = 8;
+constexpr int IdleRequestTimes = 8;
 /// A request that was lost is sent again after 200 ms.
-constexpr Duration ShortestQuiet{300'000};
-constexpr Duration LongestQuiet{2'000'000};
+constexpr Duration MinRequestIdle{300'000};
+constexpr Duration MaxRequestIdle{2'000'000};
 
 } // namespace
 
-Duration TabledService::quietLimit() const {
+Duration ServiceEntry::requestIdleLimit() const {
   if (RequestTime == Duration{0})
-    return LongestQuiet;
-  return std::clamp(RequestTime * QuietRequestTimes, ShortestQuiet,
-                    LongestQuiet);
+    return MaxRequestIdle;
+  return std::clamp(RequestTime * IdleRequestTimes, MinRequestIdle,
+                    MaxRequestIdle);
 }
 
-void TabledService::requestAnswered(Duration took) {
+void ServiceEntry::recordRequestTime(Duration took) {
   if (RequestTime == Duration{0})
     RequestTime = took;
   else
-    RequestTime += (took - RequestTime) / RequestTimeWeight;
+    RequestTime += (took - RequestTime) / RequestTimeSmoothing;
 }
 
-void TabledService::smooth(TimePoint now) {
-  double sample = Share > 0 ? std::min(InProgress / Share, MostLoad) : 0;
-  auto since = static_cast<double>((now - LoadAt).count());
-  double weight =
-      LoadAt == TimePoint{} ? 1 : 1 - std::exp(-since / SmoothingMicros);
+void ServiceEntry::updateLoad(TimePoint now) {
+  double sample = Share > 0 ? std::min(InProgress / Share, MaxLoadSample) : 0;
+  auto since = static_cast<double>((now - LoadUpdatedAt).count());
+  double weight = LoadUpdatedAt == TimePoint{}
+                      ? 1
+                      : 1 - std::exp(-since / LoadSmoothingMicros);
   Load += weight * (sample - Load);
-  double brief =
-      LoadAt == TimePoint{} ? 1 : 1 - std::exp(-since / BriefSmoothingMicros);
-  BriefLoad += brief * (sample - BriefLoad);
-  LoadAt = now;
+  double brief = LoadUpdatedAt == TimePoint{}
+                     ? 1
+                     : 1 - std::exp(-since / ShortTermSmoothingMicros);
+  ShortTermLoad += brief * (sample - ShortTermLoad);
+  LoadUpdatedAt = now;
 }
 
-ServerIndex ServerTable::placeFor(const ServerId &id, Change &change) {
+ServerIndex ServerTable::indexFor(const ServerId &id, Change &change) {
   auto it = ById.find(id);
   if (it != ById.end())
     return it->second;
   ServerIndex index;
-  if (Free.empty()) {
+  if (FreeIndexes.empty()) {
     index = static_cast<ServerIndex>(Servers.size());
     Servers.emplace_back();
   } else {
-    index = Free.back();
-    Free.pop_back();
-    Servers[index] = TabledServer();
+    index = FreeIndexes.back();
+    FreeIndexes.pop_back();
+    Servers[index] = ServerEntry();
   }
   ById[id] = index;
   change.Added.push_back(index);
@@ -77,32 +79,34 @@
   std::vector<bool> kept(Servers.size(), false);
   ByToken.clear();
   for (auto &[id, service] : Services)
-    service.TakeNew.clear();
+    service.AcceptingServers.clear();
   for (const RoutedBackend &server : routes.Servers) {
-    ServerIndex index = placeFor(server.What->Server.Id, change);
+    ServerIndex index = indexFor(server.Published->Server.Id, change);
     if (index < kept.size())
       kept[index] = true;
-    Servers[index].Used = true;
-    Servers[index].Is = server;
+    Servers[index].InUse = true;
+    Servers[index].Backend = server;
     ByToken[server.Token].push_back(index);
-    if (server.takesNew())
-      Services[server.What->Server.Service].TakeNew.push_back(index);
+    if (server.acceptsNewFlows())
+      Services[server.Published->Server.Service].AcceptingServers.push_back(
+          index);
   }
   for (ServerIndex index = 0; index < kept.size(); ++index) {
-    if (kept[index] || !Servers[index].Used)
+    if (kept[index] || !Servers[index].InUse)
       continue;
-    ById.erase(Servers[index].Is.What->Server.Id);
-    Servers[index].Used = false;
-    Free.push_back(index);
+    ById.erase(Servers[index].Backend.Published->Server.Id);
+    Servers[index].InUse = false;
+    FreeIndexes.push_back(index);
     change.Removed.push_back(index);
   }
   return change;
 }
 
-TabledService *ServerTable::service(const ServiceId &id) {
+ServiceEntry *ServerTable::service(const ServiceId &id) {
   auto it = Services.find(id);
-  return it == Services.end() || it->second.TakeNew.empty() ? nullptr
-                                                            : &it->second;
+  return it == Services.end() || it->second.AcceptingServers.empty()
+             ? nullptr
+             : &it->second;
 }
 
 const std::vector<ServerIndex> *ServerTable::byToken(uint32_t token) const {
@@ -110,15 +114,15 @@
   return it == ByToken.end() ? nullptr : &it->second;
 }
 
-void ServerTable::add(ServerIndex index) {
-  TabledServer &server = Servers[index];
+void ServerTable::addInProgress(ServerIndex index) {
+  ServerEntry &server = Servers[index];
   ++server.InProgress;
-  ++Services[server.Is.What->Server.Service].InProgress;
+  ++Services[server.Backend.Published->Server.Service].InProgress;
 }
 
-void ServerTable::remove(ServerIndex index) {
-  TabledServer &server = Servers[index];
-  TabledService &service = Services[server.Is.What->Server.Service];
+void ServerTable::removeInProgress(ServerIndex index) {
+  ServerEntry &server = Servers[index];
+  ServiceEntry &service = Services[server.Backend.Published->Server.Service];
   // A place that was freed and taken anew begins at zero.
   if (server.InProgress > 0)
     --server.InProgress;
@@ -126,24 +130,26 @@
     --service.InProgress;
 }
 
-bool ServerTable::bears(TimePoint now, ServerIndex index, double perSecond) {
-  TabledServer &server = Servers[index];
-  if (perSecond <= 0 || now >= server.Is.ColdUntil)
+bool ServerTable::canTakeNewFlow(TimePoint now, ServerIndex index,
+                                 double perSecond) {
+  ServerEntry &server = Servers[index];
+  if (perSecond <= 0 || now >= server.Backend.ColdUntil)
     return true;
-  double part = server.Share / server.Is.What->Server.Slots;
-  return server.Cold.allows(now, perSecond, part);
+  double part = server.Share / server.Backend.Published->Server.Slots;
+  return server.ColdStart.allows(now, perSecond, part);
 }
 
-void ServerTable::newFlow(TimePoint now, ServerIndex index, double perSecond) {
-  TabledServer &server = Servers[index];
-  if (perSecond > 0 && now < server.Is.ColdUntil)
-    server.Cold.used();
+void ServerTable::recordNewFlow(TimePoint now, ServerIndex index,
+                                double perSecond) {
+  ServerEntry &server = Servers[index];
+  if (perSecond > 0 && now < server.Backend.ColdUntil)
+    server.ColdStart.used();
 }
 
-void ServerTable::setShares(TabledService &service,
+void ServerTable::setShares(ServiceEntry &service,
                             const std::vector<ServerIndex> &of,
                             const std::vector<double> &shares) {
-  for (ServerIndex index : service.TakeNew)
+  for (ServerIndex index : service.AcceptingServers)
     Servers[index].Share = 0;
   service.Share = 0;
   for (size_t i = 0; i < of.size(); ++i) {
--- a/Balsamrack/Peers/PeerFields.h
+++ b/Balsamrack/Peers/PeerFields.h
@@ -148,7 +148,7 @@
 
 template <class Ar> void fields(Ar &ar, typename Ar::template Ref<Outcome> m) {
   ar("r", m.Request);
-  ar.oneOf("h", m.How, Ending::GivenUp);
+  ar.oneOf("h", m.How, OutcomeKind::GivenUp);
   ar.oneOf("w", m.Why, Reason::UnknownService);
   ar("a", m.RetryAfter);
   ar("s", m.Server);
@@ -278,7 +278,7 @@
 void fields(Ar &ar, typename Ar::template Ref<KeySettled> m) {
   ar("k", m.Key);
   ar("r", m.Request);
-  ar.oneOf("h", m.How, Ending::GivenUp);
+  ar.oneOf("h", m.How, OutcomeKind::GivenUp);
 }
 
 template <class Ar>
--- a/Balsamrack/Replay/TraceFields.h
+++ b/Balsamrack/Replay/TraceFields.h
@@ -73,7 +73,7 @@
 template <class Ar>
 void traceFields(Ar &ar, typename Ar::template Ref<Outcome> m) {
   ar("request", m.Request);
-  ar.oneOf("ending", m.How, Ending::GivenUp);
+  ar.oneOf("ending", m.How, OutcomeKind::GivenUp);
   ar.oneOf("reason", m.Why, Reason::UnknownService);
   ar("retry_after_us", m.RetryAfter);
   ar("server", m.Server);
@@ -248,7 +248,7 @@
 template <class Ar>
 void traceFields(Ar &ar, typename Ar::template Ref<DispatchEnded> m) {
   ar("request", m.Request);
-  ar.oneOf("how", m.How, DispatchEnd::Failed);
+  ar.oneOf("how", m.How, DispatchOutcome::Failed);
   ar("instance", m.Instance);
   ar("took_us", m.Took);
   ar("retry_after_us", m.RetryAfter);
@@ -325,7 +325,7 @@
   ar("to", m.To.Id);
   ar("key", m.Settled.Key);
   ar("request", m.Settled.Request);
-  ar.oneOf("ending", m.Settled.How, Ending::GivenUp);
+  ar.oneOf("ending", m.Settled.How, OutcomeKind::GivenUp);
 }
 
 inline void traceFields(TraceWriter &ar, const SendCancel &m) {
--- a/Balsamrack/World/Request.cpp
+++ b/Balsamrack/World/Request.cpp
@@ -2,15 +2,15 @@
 
 namespace balsamrack {
 
-const char *endingName(Ending ending) {
+const char *outcomeKindName(OutcomeKind ending) {
   switch (ending) {
-  case Ending::Answered:
+  case OutcomeKind::Answered:
     return "answered";
-  case Ending::NotRun:
+  case OutcomeKind::NotRun:
     return "not-run";
-  case Ending::OutcomeUnknown:
+  case OutcomeKind::OutcomeUnknown:
     return "unknown";
-  case Ending::GivenUp:
+  case OutcomeKind::GivenUp:
     return "given-up";
   }
   return "unknown";
@@ -78,15 +78,15 @@
   return "unknown";
 }
 
-const char *dispatchEndName(DispatchEnd end) {
+const char *dispatchOutcomeName(DispatchOutcome end) {
   switch (end) {
-  case DispatchEnd::Answered:
+  case DispatchOutcome::Answered:
     return "answered";
-  case DispatchEnd::Shed:
+  case DispatchOutcome::Shed:
     return "shed";
-  case DispatchEnd::Unreachable:
+  case DispatchOutcome::Unreachable:
     return "unreachable";
-  case DispatchEnd::Failed:
+  case DispatchOutcome::Failed:
     return "failed";
   }
   return "unknown";
--- a/Balsamrack/World/Request.h
+++ b/Balsamrack/World/Request.h
@@ -21,7 +21,7 @@
 
 /// How one attempt ended for its caller. Exactly one of them is told, and it is
 /// always true.
-enum class Ending {
+enum class OutcomeKind {
   Answered,       ///< The backend server's whole answer is passed on.
   NotRun,         ///< Provably no backend server ran it.
   OutcomeUnknown, ///< It left towards a backend server, and no answer came; or
@@ -64,7 +64,7 @@
 };
 
 /// What became of one dispatch, as far as the link can prove it.
-enum class DispatchEnd {
+enum class DispatchOutcome {
   Answered,    ///< The server's whole answer came.
   Shed,        ///< The server said that it did not run the request (503 with
                ///< "Balsamrack-Run: no", see PROTOCOLS).
@@ -75,13 +75,13 @@
 
 /// Name of an ending in lower case with hyphens: "answered", "not-run",
 /// "unknown", "given-up". Thread-safe.
-const char *endingName(Ending ending);
+const char *outcomeKindName(OutcomeKind ending);
 
 /// Name of a reason in lower case with hyphens. Thread-safe.
 const char *reasonName(Reason reason);
 
 /// Name of a dispatch end in lower case. Thread-safe.
-const char *dispatchEndName(DispatchEnd end);
+const char *dispatchOutcomeName(DispatchOutcome end);
 
 /// Header fields in the order in which they came.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
@@ -119,9 +119,9 @@
 /// How an attempt ended, with all that the next hop needs to tell and to
 /// explain it.
 struct Outcome {
-  RequestId Request;           ///< The attempt.
-  Ending How = Ending::NotRun; ///< What the caller is told.
-  Reason Why = Reason::None;   ///< The rule behind it.
+  RequestId Request;                     ///< The attempt.
+  OutcomeKind How = OutcomeKind::NotRun; ///< What the caller is told.
+  Reason Why = Reason::None;             ///< The rule behind it.
   Duration RetryAfter{
       0};             ///< When to come back; zero when it makes no sense to.
   ServerId Server;    ///< The server concerned; may be empty.
--- a/FailureTests/StandInsTest.cpp
+++ b/FailureTests/StandInsTest.cpp
@@ -101,10 +101,12 @@
   for (const char *attempt : {"op1.1", "op1.2", "op2.1"})
     Servers[0]->serve({"POST", "/work", {{"X-Caller-Request", attempt}}, ""});
   LoadReport report;
-  report.Operations = {
-      {"op1", "booking", true, {Ending::OutcomeUnknown, Ending::Answered}},
-      {"op2", "booking", true, {Ending::NotRun}},
-      {"op3", "booking", true, {Ending::NotRun}}};
+  report.Operations = {{"op1",
+                        "booking",
+                        true,
+                        {OutcomeKind::OutcomeUnknown, OutcomeKind::Answered}},
+                       {"op2", "booking", true, {OutcomeKind::NotRun}},
+                       {"op3", "booking", true, {OutcomeKind::NotRun}}};
   ASSERT_TRUE(report.addServer({"127.0.2.1", ServerPort}, "booking").ok());
   report.judgeRuns();
   EXPECT_EQ(report.RunTwice, 1U);
--- a/PerformanceTest/FlowFleet.cpp
+++ b/PerformanceTest/FlowFleet.cpp
@@ -237,7 +237,7 @@
     o.Why = draining ? Reason::ServerDraining : Reason::ServerFull;
     return o;
   }
-  o.How = Ending::Answered;
+  o.How = OutcomeKind::Answered;
   return o;
 }
 
--- a/PerformanceTest/LoadModel.cpp
+++ b/PerformanceTest/LoadModel.cpp
@@ -165,14 +165,14 @@
   later(Now + OneWay, [this, id, n, sent] { serve(id, n, sent); });
   // The link's own timeout.
   later(Now + dispatch.Timeout + LinkSlack,
-        [this, id, n, sent] { answer(id, DispatchEnd::Failed, n, sent); });
+        [this, id, n, sent] { answer(id, DispatchOutcome::Failed, n, sent); });
 }
 
 void LoadModel::serve(uint64_t id, size_t n, TimePoint sent) {
   ModelServer &server = Servers[n];
   Call &call = Calls.at(id);
   if (Now < server.DownUntil) {
-    answer(id, DispatchEnd::Unreachable, n, sent);
+    answer(id, DispatchOutcome::Unreachable, n, sent);
     return;
   }
   server.LastPacket = Now;
@@ -180,7 +180,7 @@
   ++server.Running;
   if (server.Broken) {
     --server.Running;
-    answer(id, DispatchEnd::Failed, n, sent);
+    answer(id, DispatchOutcome::Failed, n, sent);
     return;
   }
   double factor = server.Slowness;
@@ -206,8 +206,9 @@
   if (server.ColdLeft > 0)
     --server.ColdLeft;
   ++Calls.at(id).Result.Runs;
-  later(Now + OneWay,
-        [this, id, n, sent] { answer(id, DispatchEnd::Answered, n, sent); });
+  later(Now + OneWay, [this, id, n, sent] {
+    answer(id, DispatchOutcome::Answered, n, sent);
+  });
 }
 
 void LoadModel::fallOver(size_t n) {
@@ -226,10 +227,11 @@
     if (where.first == n && where.second + OneWay <= Now)
       lost.emplace_back(id, where.second);
   for (const auto &[id, sent] : lost)
-    answer(id, DispatchEnd::Failed, n, sent);
+    answer(id, DispatchOutcome::Failed, n, sent);
 }
 
-void LoadModel::answer(uint64_t id, DispatchEnd how, size_t n, TimePoint sent) {
+void LoadModel::answer(uint64_t id, DispatchOutcome how, size_t n,
+                       TimePoint sent) {
   // The link ends each dispatch once; a late answer goes to nobody.
   auto open = Open.find(id);
   if (open == Open.end() || open->second != std::make_pair(n, sent))
@@ -238,7 +240,7 @@
   DispatchEnded event;
   event.Request.Value = id;
   event.How = how;
-  if (how == DispatchEnd::Answered) {
+  if (how == DispatchOutcome::Answered) {
     event.Instance = InstanceId(std::to_string(Servers[n].Run));
     event.HttpStatus = 200;
   }
@@ -249,13 +251,13 @@
 void LoadModel::ended(const Outcome &outcome) {
   uint64_t id = outcome.Request.Value;
   Call &call = Calls.at(id);
-  bool another = call.Traffic.Opens && outcome.How == Ending::NotRun &&
+  bool another = call.Traffic.Opens && outcome.How == OutcomeKind::NotRun &&
                  ++call.Tries < MostTries && Now + OneWay < call.Deadline;
   if (another) {
     later(Now + OneWay, [this, id] { sendTo(id); });
     return;
   }
-  if (call.Traffic.Returns && outcome.How == Ending::NotRun &&
+  if (call.Traffic.Returns && outcome.How == OutcomeKind::NotRun &&
       outcome.RetryAfter > Duration(0) &&
       Now + outcome.RetryAfter < TimePoint(Start) + call.Traffic.To) {
     call.Tries = 0;
@@ -284,7 +286,7 @@
   double done = 0;
   TimePoint end = TimePoint(LoadModel::Start) + time;
   for (const ModelResult &r : results)
-    if (r.How == Ending::Answered && r.Ended <= end)
+    if (r.How == OutcomeKind::Answered && r.Ended <= end)
       done += static_cast<double>((r.Work + OneWay * 2).count());
   return done / (static_cast<double>(time.count()) * slots);
 }
@@ -294,7 +296,8 @@
   std::vector<Duration> took;
   for (const ModelResult &r : results)
     if (r.Label == label)
-      took.push_back(r.How == Ending::Answered ? r.Ended - r.Arrived : refused);
+      took.push_back(r.How == OutcomeKind::Answered ? r.Ended - r.Arrived
+                                                    : refused);
   if (took.empty())
     return Duration(0);
   std::sort(took.begin(), took.end());
@@ -309,7 +312,7 @@
     if (r.Label != label)
       continue;
     ++all;
-    good += r.How == Ending::Answered ? 1 : 0;
+    good += r.How == OutcomeKind::Answered ? 1 : 0;
   }
   return all > 0 ? good / all : 0;
 }
@@ -317,10 +320,10 @@
 uint32_t falseEndings(const std::vector<ModelResult> &results) {
   uint32_t bad = 0;
   for (const ModelResult &r : results) {
-    bool notRun = r.How == Ending::NotRun || r.How == Ending::GivenUp;
+    bool notRun = r.How == OutcomeKind::NotRun || r.How == OutcomeKind::GivenUp;
     bool lied = notRun && r.Dispatches > 0;
     bool twice = r.Kind == Semantics::RunOnce && r.Dispatches > 1;
-    bool unanswered = r.How == Ending::Answered && r.Runs == 0;
+    bool unanswered = r.How == OutcomeKind::Answered && r.Runs == 0;
     bad += r.Endings != 1 || lied || twice || unanswered ? 1 : 0;
   }
   return bad;
@@ -332,7 +335,7 @@
   for (const ModelResult &r : results) {
     auto work = static_cast<double>(r.Work.count());
     callers[r.Caller].first += work;
-    if (r.How != Ending::Answered)
+    if (r.How != OutcomeKind::Answered)
       continue;
     callers[r.Caller].second += work;
     total += work;
--- a/PerformanceTest/LoadModel.h
+++ b/PerformanceTest/LoadModel.h
@@ -57,7 +57,7 @@
   TimePoint Arrived;                      ///< First arrival.
   TimePoint Ended;                        ///< Its ending.
   Duration Work{0};                       ///< Work it asked for.
-  Ending How = Ending::NotRun;            ///< What was told.
+  OutcomeKind How = OutcomeKind::NotRun;  ///< What was told.
   Reason Why = Reason::None;              ///< And why.
   Duration RetryAfter{0};                 ///< When to come back.
   uint32_t Endings = 0;                   ///< Must be one.
@@ -127,7 +127,7 @@
   void serve(uint64_t request, size_t n, TimePoint sent);
   void finish(uint64_t request, size_t n, TimePoint sent, uint32_t run);
   void fallOver(size_t n);
-  void answer(uint64_t request, DispatchEnd how, size_t n, TimePoint sent);
+  void answer(uint64_t request, DispatchOutcome how, size_t n, TimePoint sent);
   void ended(const Outcome &outcome);
   void wake();
   size_t indexOf(const ServerId &server) const;
--- a/PerformanceTest/LoadScenarios.cpp
+++ b/PerformanceTest/LoadScenarios.cpp
@@ -248,8 +248,8 @@
     model.offer(traffic(capacity(Few) * 0.4, Duration(20'000'000)));
     model.run();
     for (const ModelResult &r : model.results()) {
-      bool good =
-          r.How == Ending::Answered && r.Ended - r.Arrived <= Duration(300'000);
+      bool good = r.How == OutcomeKind::Answered &&
+                  r.Ended - r.Arrived <= Duration(300'000);
       ++all;
       soon += good ? 1 : 0;
     }
--- a/PerformanceTest/packet-pathMain.cpp
+++ b/PerformanceTest/packet-pathMain.cpp
@@ -56,7 +56,7 @@
     std::memcpy(out + Codec.prefixBytes(), packet, n);
     Codec.writeToken(out + Codec.prefixBytes(), to.Token);
   }
-  void reset(const PacketHead & /*head*/) override {}
+  void reset(const PacketHeader & /*head*/) override {}
   void report(const PacketEvent & /*event*/) override {}
 
 private:
@@ -74,7 +74,7 @@
     what->Server.Service = ServiceId("booking");
     what->Server.Domain = DomainId("bern-a");
     RoutedBackend server;
-    server.What = what;
+    server.Published = what;
     server.At = Endpoint::of(ServerAt);
     server.Token = tokenOf(what->Server.Id);
     made->Servers.push_back(server);
@@ -90,7 +90,7 @@
   uint64_t done = 0;
   uint32_t token = tokenOf(ServerId("s0"));
   for (size_t batch = 0; batch < Batches; ++batch) {
-    for (size_t i = 0; i < PacketSocket::Batch; ++i) {
+    for (size_t i = 0; i < PacketSocket::BatchSize; ++i) {
       std::vector<uint8_t> packet = packetOf(n++, token);
       std::memcpy(callers.prepare(Endpoint::of(DaemonAt), packet.size()),
                   packet.data(), packet.size());
@@ -126,7 +126,7 @@
   double routed = measure(**callers, out, [&](uint8_t *packet, size_t n) {
     TimePoint now = clock.now();
     if (auto head = codec.decode(packet, n))
-      router.packet(now, *head, packet, n, sink);
+      router.handlePacket(now, *head, packet, n, sink);
     router.tick(now, sink);
   });
   std::printf("packets_bare %.0f per_second\n", bare);
--- a/StandIns/Caller.cpp
+++ b/StandIns/Caller.cpp
@@ -32,20 +32,21 @@
 constexpr uint32_t FirstCallerPort = 1024;
 constexpr uint32_t CallerPorts = 60'000;
 
-Ending endingOf(const Answer &answer) {
+OutcomeKind endingOf(const Answer &answer) {
   std::string name = headerOf(answer.Headers, "Balsamrack-Ending");
-  for (Ending how : {Ending::Answered, Ending::NotRun, Ending::GivenUp})
-    if (name == endingName(how))
+  for (OutcomeKind how :
+       {OutcomeKind::Answered, OutcomeKind::NotRun, OutcomeKind::GivenUp})
+    if (name == outcomeKindName(how))
       return how;
   // The fabric's own answer: a daemon was gone before it could be told.
   if (headerOf(answer.Headers, "X-Fabric") == "not-sent")
-    return Ending::NotRun;
+    return OutcomeKind::NotRun;
   // A stand-in server that is called without a daemon between.
   if (name.empty() && headerOf(answer.Headers, "Balsamrack-Run") == "no")
-    return Ending::NotRun;
+    return OutcomeKind::NotRun;
   if (name.empty() && answer.Status < 500)
-    return Ending::Answered;
-  return Ending::OutcomeUnknown;
+    return OutcomeKind::Answered;
+  return OutcomeKind::OutcomeUnknown;
 }
 
 } // namespace
@@ -119,7 +120,7 @@
   auto answer = sendHttp(Open.To->At, message, Settings.Timeout + Grace);
   if (!answer.ok()) {
     bool never = absl::IsUnavailable(answer.status());
-    got.How = never ? Ending::NotRun : Ending::OutcomeUnknown;
+    got.How = never ? OutcomeKind::NotRun : OutcomeKind::OutcomeUnknown;
     got.Why = never ? "no-connection" : "connection-broke";
     return got;
   }
@@ -184,28 +185,28 @@
   LoadReport &report = Board.Report;
   report.countEnding(got.How, got.Why,
                      headerOf(got.Content.Headers, RequestHeader));
-  if (got.How == Ending::Answered) {
+  if (got.How == OutcomeKind::Answered) {
     Open.Token = headerOf(got.Content.Headers, "Balsamrack-Token");
     report.Millis.push_back(static_cast<uint32_t>(took.count() / 1000));
     checkAnswer(op, sent, got);
   }
-  if (got.How == Ending::GivenUp) {
+  if (got.How == OutcomeKind::GivenUp) {
     Open.Over = true;
     ++report.LostFlows[Open.Domain];
   }
   // A flow that was never answered is not established: open another.
-  if (got.How == Ending::OutcomeUnknown && Open.Server.empty())
+  if (got.How == OutcomeKind::OutcomeUnknown && Open.Server.empty())
     Open.Over = true;
 }
 
 bool Caller::again(const Operation &op, const Attempt &got) {
   if (Board.Stop || op.Endings.size() >= MaxAttempts)
     return false;
-  if (got.How == Ending::NotRun || got.How == Ending::GivenUp)
+  if (got.How == OutcomeKind::NotRun || got.How == OutcomeKind::GivenUp)
     return true;
   // Half of the unknown operations with a key are asked again: they must not
   // run a second time. Without a key that would be the caller's own fault.
-  return got.How == Ending::OutcomeUnknown && op.Endings.size() < 3 &&
+  return got.How == OutcomeKind::OutcomeUnknown && op.Endings.size() < 3 &&
          Random.below(2) == 0;
 }
 
@@ -224,8 +225,8 @@
     Attempt got = send(m);
     op.Endings.push_back(got.How);
     note(op, m, got, clock.now() - from);
-    answered |= got.How == Ending::Answered;
-    if (!again(op, got) || (got.How == Ending::OutcomeUnknown && !keyed))
+    answered |= got.How == OutcomeKind::Answered;
+    if (!again(op, got) || (got.How == OutcomeKind::OutcomeUnknown && !keyed))
       break;
     // A new flow carries on with the same operation.
     if (Open.Over)
--- a/StandIns/Caller.h
+++ b/StandIns/Caller.h
@@ -60,10 +60,10 @@
   };
   /// What one attempt brought.
   struct Attempt {
-    Ending How = Ending::NotRun; ///< How it ended.
-    std::string Why;             ///< Name of the reason.
-    Duration Pause{0};           ///< When to come back.
-    Answer Content;              ///< The answer.
+    OutcomeKind How = OutcomeKind::NotRun; ///< How it ended.
+    std::string Why;                       ///< Name of the reason.
+    Duration Pause{0};                     ///< When to come back.
+    Answer Content;                        ///< The answer.
   };
 
   void openFlow(const CallTarget &to);
--- a/StandIns/LoadReport.cpp
+++ b/StandIns/LoadReport.cpp
@@ -16,8 +16,8 @@
 constexpr size_t MaxFaults = 20;
 constexpr auto ReadLimit = std::chrono::seconds(5);
 
-bool mayNotHaveRun(Ending how) {
-  return how == Ending::NotRun || how == Ending::GivenUp;
+bool mayNotHaveRun(OutcomeKind how) {
+  return how == OutcomeKind::NotRun || how == OutcomeKind::GivenUp;
 }
 
 } // namespace
@@ -27,19 +27,19 @@
     Faults.push_back(text);
 }
 
-void LoadReport::countEnding(Ending how, const std::string &reason,
+void LoadReport::countEnding(OutcomeKind how, const std::string &reason,
                              const std::string &request) {
   ++Requests;
-  Answered += how == Ending::Answered ? 1 : 0;
-  Refused += how == Ending::NotRun ? 1 : 0;
-  Unknown += how == Ending::OutcomeUnknown ? 1 : 0;
-  GivenUp += how == Ending::GivenUp ? 1 : 0;
+  Answered += how == OutcomeKind::Answered ? 1 : 0;
+  Refused += how == OutcomeKind::NotRun ? 1 : 0;
+  Unknown += how == OutcomeKind::OutcomeUnknown ? 1 : 0;
+  GivenUp += how == OutcomeKind::GivenUp ? 1 : 0;
   if (!request.empty())
     LastRequest = request;
-  if (how != Ending::Answered || SampleRequest.empty())
+  if (how != OutcomeKind::Answered || SampleRequest.empty())
     SampleRequest = LastRequest;
-  if (how != Ending::Answered)
-    ++Reasons[absl::StrCat(endingName(how), " ", reason)];
+  if (how != OutcomeKind::Answered)
+    ++Reasons[absl::StrCat(outcomeKindName(how), " ", reason)];
 }
 
 void LoadReport::judgeLostFlows(const std::set<std::string> &outDomains) {
@@ -80,8 +80,8 @@
       if (runs == 0 || !mayNotHaveRun(op.Endings[i]))
         continue;
       ++UntrueRefusals;
-      addFault(absl::StrCat(attempt, " ", endingName(op.Endings[i]), ", but ",
-                            runs, " runs"));
+      addFault(absl::StrCat(attempt, " ", outcomeKindName(op.Endings[i]),
+                            ", but ", runs, " runs"));
     }
     if (!op.RunOnce || total <= 1)
       continue;
--- a/StandIns/LoadReport.h
+++ b/StandIns/LoadReport.h
@@ -15,10 +15,10 @@
 
 /// One operation of a caller, and how its attempts ended.
 struct Operation {
-  std::string Id;              ///< Attempt n is named ID.n, from 1.
-  std::string Service;         ///< Where it was sent.
-  bool RunOnce = false;        ///< May run at most once.
-  std::vector<Ending> Endings; ///< Of attempt 1, 2, ...
+  std::string Id;                   ///< Attempt n is named ID.n, from 1.
+  std::string Service;              ///< Where it was sent.
+  bool RunOnce = false;             ///< May run at most once.
+  std::vector<OutcomeKind> Endings; ///< Of attempt 1, 2, ...
 };
 
 /// What callers saw, and what the servers' counts say about it. Not
@@ -51,7 +51,7 @@
   void addFault(const std::string &text);
   /// Counts one ending with the name of its \p reason, and keeps the system's
   /// id of the attempt as the sample.
-  void countEnding(Ending how, const std::string &reason,
+  void countEnding(OutcomeKind how, const std::string &reason,
                    const std::string &request);
   /// Counts as broken each flow that was given up though its failure domain is
   /// not in \p outDomains. A flow that never got an answer has no domain yet.
--- a/UnitTests/Daemon/ReaderPartTest.cpp
+++ b/UnitTests/Daemon/ReaderPartTest.cpp
@@ -69,8 +69,8 @@
   void decided(Decision) override {}
   std::string startSpan(const std::string &) override { return ""; }
   void endSpan(HopSpan) override {}
-  void packetEnded(const ServiceId &, Ending, Reason, Duration) override {}
-  void dispatchEnded(const ServerId &, DispatchEnd, Duration) override {}
+  void packetEnded(const ServiceId &, OutcomeKind, Reason, Duration) override {}
+  void dispatchEnded(const ServerId &, DispatchOutcome, Duration) override {}
   void log(Part, Severity, const std::string &) override {}
   void failed(Part, const absl::Status &) override {}
 };
--- a/UnitTests/Decisions/OwnerFixture.h
+++ b/UnitTests/Decisions/OwnerFixture.h
@@ -61,14 +61,14 @@
     return event;
   }
   /// The link's word on a dispatch.
-  void end(uint64_t id, DispatchEnd how, Duration took = Duration(50'000),
+  void end(uint64_t id, DispatchOutcome how, Duration took = Duration(50'000),
            const std::string &instance = "a") {
     DispatchEnded event;
     event.Request.Value = id;
     event.How = how;
     event.Took = took;
     event.HttpStatus = 200;
-    if (how == DispatchEnd::Answered)
+    if (how == DispatchOutcome::Answered)
       event.Instance = InstanceId(instance);
     give(event);
   }
@@ -83,7 +83,7 @@
     for (uint64_t last = 0; last == 0 || id < last; ++id) {
       give(request(id));
       Now += Duration(200'000);
-      end(id, DispatchEnd::Answered);
+      end(id, DispatchOutcome::Answered);
       if (last == 0 && Owner->report(Now)[0].Warm)
         last = id + WarmAnswers;
     }
--- a/UnitTests/Decisions/ServiceOwnerTest.cpp
+++ b/UnitTests/Decisions/ServiceOwnerTest.cpp
@@ -17,7 +17,7 @@
 struct EndingCase {
   const char *Name;
   std::function<void(OwnerFixture &)> Story;
-  Ending How;
+  OutcomeKind How;
   Reason Why;
   size_t Dispatches;
 };
@@ -36,7 +36,7 @@
 
 std::vector<EndingCase> endingCases() {
   using F = OwnerFixture;
-  auto run = [](DispatchEnd how) {
+  auto run = [](DispatchOutcome how) {
     return [how](F &f) {
       f.give(F::request(1));
       f.end(1, how);
@@ -51,60 +51,60 @@
     };
   };
   return {
-      {"Answered", run(DispatchEnd::Answered), Ending::Answered, Reason::None,
-       1},
-      {"ShedDidNotRun", run(DispatchEnd::Shed), Ending::NotRun,
+      {"Answered", run(DispatchOutcome::Answered), OutcomeKind::Answered,
+       Reason::None, 1},
+      {"ShedDidNotRun", run(DispatchOutcome::Shed), OutcomeKind::NotRun,
        Reason::ServerShed, 1},
-      {"UnreachableDidNotRun", run(DispatchEnd::Unreachable), Ending::NotRun,
-       Reason::ServerUnreachable, 1},
-      {"FailedIsUnknown", run(DispatchEnd::Failed), Ending::OutcomeUnknown,
-       Reason::ServerFailed, 1},
+      {"UnreachableDidNotRun", run(DispatchOutcome::Unreachable),
+       OutcomeKind::NotRun, Reason::ServerUnreachable, 1},
+      {"FailedIsUnknown", run(DispatchOutcome::Failed),
+       OutcomeKind::OutcomeUnknown, Reason::ServerFailed, 1},
       {"IdempotentTwiceFailedIsUnknown",
        [](F &f) {
          RequestArrived r = again(1);
          r.Head.Remaining = Second * 10;
          f.give(r);
-         f.end(1, DispatchEnd::Failed);
+         f.end(1, DispatchOutcome::Failed);
          f.pass(Second * 5);
-         f.end(1, DispatchEnd::Failed);
+         f.end(1, DispatchOutcome::Failed);
        },
-       Ending::OutcomeUnknown, Reason::ServerFailed, 2},
+       OutcomeKind::OutcomeUnknown, Reason::ServerFailed, 2},
       // An earlier dispatch left, so the expiry of the retry in the queue must
       // not become "not run".
       {"ExpiredRetryIsUnknown",
        [](F &f) {
          f.give(again(1));
-         f.end(1, DispatchEnd::Failed);
+         f.end(1, DispatchOutcome::Failed);
          f.pass(Second);
        },
-       Ending::OutcomeUnknown, Reason::DeadlinePassed, 1},
+       OutcomeKind::OutcomeUnknown, Reason::DeadlinePassed, 1},
       {"UnknownServer",
        [](F &f) {
          RequestArrived r = F::request(1);
          r.Server = ServerId("booking-77");
          f.give(r);
        },
-       Ending::NotRun, Reason::NotOwner, 0},
+       OutcomeKind::NotRun, Reason::NotOwner, 0},
       {"NoTimeLeft",
        [](F &f) {
          RequestArrived r = F::request(1);
          r.Head.Remaining = Duration(0);
          f.give(r);
        },
-       Ending::NotRun, Reason::DeadlinePassed, 0},
+       OutcomeKind::NotRun, Reason::DeadlinePassed, 0},
       {"FullOfFlows",
        [](F &f) {
          RequestArrived r = newFlow(1);
          r.FlowsOnServer = 2000;
          f.give(r);
        },
-       Ending::NotRun, Reason::ServerFull, 0},
+       OutcomeKind::NotRun, Reason::ServerFull, 0},
       {"DrainingNewFlow", reconfigured(ServerMode::Draining, true, true),
-       Ending::NotRun, Reason::ServerDraining, 0},
+       OutcomeKind::NotRun, Reason::ServerDraining, 0},
       {"DomainOutNewFlow", reconfigured(ServerMode::Active, false, true),
-       Ending::NotRun, Reason::DomainOut, 0},
+       OutcomeKind::NotRun, Reason::DomainOut, 0},
       {"DomainOutEstablishedFlow",
-       reconfigured(ServerMode::Active, false, false), Ending::GivenUp,
+       reconfigured(ServerMode::Active, false, false), OutcomeKind::GivenUp,
        Reason::DomainOut, 0},
       {"DomainOutWhileQueued",
        [](F &f) {
@@ -113,15 +113,15 @@
          f.Config.Servers[0].DomainInService = false;
          f.give(f.Config);
        },
-       Ending::GivenUp, Reason::DomainOut, 0},
+       OutcomeKind::GivenUp, Reason::DomainOut, 0},
       {"DomainOutWhileRunning",
        [](F &f) {
          f.give(F::request(1));
          f.Config.Servers[0].DomainInService = false;
          f.give(f.Config);
-         f.end(1, DispatchEnd::Answered);
+         f.end(1, DispatchOutcome::Answered);
        },
-       Ending::Answered, Reason::None, 1},
+       OutcomeKind::Answered, Reason::None, 1},
       {"DrainLimitPassed",
        [](F &f) {
          f.Config.Servers[0].Server.Mode = ServerMode::Draining;
@@ -131,7 +131,7 @@
          f.give(f.Config);
          f.give(F::request(1));
        },
-       Ending::GivenUp, Reason::ServerDraining, 0},
+       OutcomeKind::GivenUp, Reason::ServerDraining, 0},
       {"OwnedNoMoreWhileQueued",
        [](F &f) {
          f.give(F::request(2));
@@ -139,67 +139,67 @@
          f.Config.Servers.clear();
          f.give(f.Config);
        },
-       Ending::NotRun, Reason::NotOwner, 0},
+       OutcomeKind::NotRun, Reason::NotOwner, 0},
       {"OwnedNoMoreWhileRunning",
        [](F &f) {
          f.give(F::request(1));
          f.Config.Servers.clear();
          f.give(f.Config);
-         f.end(1, DispatchEnd::Answered);
+         f.end(1, DispatchOutcome::Answered);
        },
-       Ending::Answered, Reason::None, 1},
+       OutcomeKind::Answered, Reason::None, 1},
       {"AuthorityExpiredForLong",
        [](F &f) {
          f.give(AuthorityChanged{false});
          f.give(F::request(1));
          f.pass(Duration(500'000));
        },
-       Ending::NotRun, Reason::OwnerUnsure, 0},
+       OutcomeKind::NotRun, Reason::OwnerUnsure, 0},
       {"AuthorityBackInTime",
        [](F &f) {
          f.give(AuthorityChanged{false});
          f.give(F::request(1));
          f.pass(Duration(400'000));
          f.give(AuthorityChanged{true});
-         f.end(1, DispatchEnd::Answered);
+         f.end(1, DispatchOutcome::Answered);
        },
-       Ending::Answered, Reason::None, 1},
+       OutcomeKind::Answered, Reason::None, 1},
       {"WaitsForEarlierOwner",
        [](F &f) {
          f.Config.Servers[0].DispatchAllowedFrom = f.Now + Second * 2;
          f.give(f.Config);
          f.give(F::request(1));
        },
-       Ending::NotRun, Reason::OwnerUnsure, 0},
+       OutcomeKind::NotRun, Reason::OwnerUnsure, 0},
       {"CancelledWhileQueued",
        [](F &f) {
          f.give(F::request(2));
          f.give(F::request(1));
          f.give(RequestCancelled{RequestId{1}});
        },
-       Ending::NotRun, Reason::CallerGone, 0},
+       OutcomeKind::NotRun, Reason::CallerGone, 0},
       {"CancelledWhileRunning",
        [](F &f) {
          f.give(F::request(1));
          f.give(RequestCancelled{RequestId{1}});
-         f.end(1, DispatchEnd::Failed);
+         f.end(1, DispatchOutcome::Failed);
        },
-       Ending::OutcomeUnknown, Reason::CallerGone, 1},
+       OutcomeKind::OutcomeUnknown, Reason::CallerGone, 1},
       {"ShuttingDown",
        [](F &f) {
          f.give(ShutdownBegan());
          f.give(F::request(1));
        },
-       Ending::NotRun, Reason::ShuttingDown, 0},
+       OutcomeKind::NotRun, Reason::ShuttingDown, 0},
       {"QueuedBeforeShutdown",
        [](F &f) {
          f.give(F::request(2));
          f.give(F::request(1));
          f.give(ShutdownBegan());
-         f.end(2, DispatchEnd::Answered);
-         f.end(1, DispatchEnd::Answered);
+         f.end(2, DispatchOutcome::Answered);
+         f.end(1, DispatchOutcome::Answered);
        },
-       Ending::Answered, Reason::None, 1},
+       OutcomeKind::Answered, Reason::None, 1},
       {"DeadlineBeforeItsTurn",
        [](F &f) {
          f.give(F::request(2));
@@ -207,18 +207,18 @@
          r.Head.Remaining = Duration(60'000);
          f.give(r);
        },
-       Ending::NotRun, Reason::ServerCold, 0},
+       OutcomeKind::NotRun, Reason::ServerCold, 0},
       {"EjectedAfterFailures",
        [](F &f) {
          for (uint64_t id = 10; id < 15; ++id) {
            f.give(F::request(id));
-           f.end(id, DispatchEnd::Failed);
+           f.end(id, DispatchOutcome::Failed);
            f.pass(Second * 6);
          }
          f.give(newFlow(2));
          f.give(newFlow(1));
        },
-       Ending::NotRun, Reason::ServerEjected, 0},
+       OutcomeKind::NotRun, Reason::ServerEjected, 0},
   };
 }
 
@@ -232,7 +232,8 @@
   OwnerFixture fixture;
   test.Story(fixture);
   EXPECT_EQ(fixture.Endings[1], 1U);
-  EXPECT_STREQ(endingName(fixture.ending(1).How), endingName(test.How));
+  EXPECT_STREQ(outcomeKindName(fixture.ending(1).How),
+               outcomeKindName(test.How));
   EXPECT_STREQ(reasonName(fixture.ending(1).Why), reasonName(test.Why));
   auto &all = fixture.Dispatched;
   EXPECT_EQ(std::count(all.begin(), all.end(), 1U),
@@ -252,7 +253,7 @@
   f.give(OwnerFixture::request(2));
   EXPECT_EQ(f.Cancelled, std::vector<uint64_t>{1});
   EXPECT_EQ(f.Dispatched, std::vector<uint64_t>{1});
-  f.end(1, DispatchEnd::Answered);
+  f.end(1, DispatchOutcome::Answered);
   EXPECT_EQ(f.Dispatched, (std::vector<uint64_t>{1, 2}));
 }
 
@@ -263,7 +264,7 @@
   OwnerFixture f;
   f.give(OwnerFixture::request(1));
   f.Now += Second;
-  f.end(1, DispatchEnd::Failed, Second);
+  f.end(1, DispatchOutcome::Failed, Second);
   EXPECT_EQ(f.Owner->report(f.Now)[0].Abandoned, 1U);
   RequestArrived next = OwnerFixture::request(2);
   next.Head.Remaining = Second * 8;
@@ -281,7 +282,7 @@
   OwnerFixture f;
   f.give(OwnerFixture::request(1));
   f.Now += Second;
-  f.end(1, DispatchEnd::Failed, Second);
+  f.end(1, DispatchOutcome::Failed, Second);
   f.Now += Second;
   f.give(HealthReported{ServerId("booking-1"), true, 0, InstanceId("a")});
   EXPECT_EQ(f.Owner->report(f.Now)[0].Abandoned, 1U);
@@ -298,7 +299,7 @@
   for (uint64_t id = 1; id <= 60; ++id) {
     f.give(OwnerFixture::request(id));
     f.Now += Duration(100'000);
-    f.end(id, DispatchEnd::Answered);
+    f.end(id, DispatchOutcome::Answered);
     f.give(stuck);
   }
   EXPECT_EQ(f.Owner->report(f.Now)[0].Limit, 2U);
@@ -332,7 +333,7 @@
   f.give(OwnerFixture::request(1));
   f.give(ShutdownBegan());
   EXPECT_FALSE(f.Owner->idle());
-  f.end(1, DispatchEnd::Answered);
+  f.end(1, DispatchOutcome::Answered);
   EXPECT_TRUE(f.Owner->idle());
 }
 
@@ -424,11 +425,12 @@
       uint64_t id = it->first;
       running.erase(it);
       uint64_t way = random.below(10);
-      auto how = way < 6   ? DispatchEnd::Answered
-                 : way < 7 ? DispatchEnd::Shed
-                 : way < 8 ? DispatchEnd::Unreachable
-                           : DispatchEnd::Failed;
-      left[id] |= how == DispatchEnd::Failed || how == DispatchEnd::Answered;
+      auto how = way < 6   ? DispatchOutcome::Answered
+                 : way < 7 ? DispatchOutcome::Shed
+                 : way < 8 ? DispatchOutcome::Unreachable
+                           : DispatchOutcome::Failed;
+      left[id] |=
+          how == DispatchOutcome::Failed || how == DispatchOutcome::Answered;
       f.end(id, how, Duration(random.below(200'000)),
             random.below(20) == 0 ? std::to_string(n) : "a");
     } else if (choice < 90) {
@@ -450,7 +452,7 @@
     open.swap(running);
     for (const auto &[id, server] : open) {
       left[id] = true;
-      f.end(id, DispatchEnd::Answered);
+      f.end(id, DispatchOutcome::Answered);
     }
     absorb();
     f.pass(Duration(100'000));
@@ -458,8 +460,8 @@
   RC_ASSERT(f.Owner->idle());
   for (uint64_t id = 1; id < next; ++id) {
     RC_ASSERT(f.Endings[id] == 1U);
-    bool notRun = f.ending(id).How == Ending::NotRun ||
-                  f.ending(id).How == Ending::GivenUp;
+    bool notRun = f.ending(id).How == OutcomeKind::NotRun ||
+                  f.ending(id).How == OutcomeKind::GivenUp;
     RC_ASSERT(!(notRun && left[id]));
   }
 }
--- a/UnitTests/Flows/EntryRouterPropertyTest.cpp
+++ b/UnitTests/Flows/EntryRouterPropertyTest.cpp
@@ -155,21 +155,21 @@
       return;
     Outcome o;
     o.Request = w->Head.Request;
-    o.How = static_cast<Ending>(*rc::gen::inRange(0, 3));
-    o.Why = o.How == Ending::NotRun && *rc::gen::arbitrary<bool>()
+    o.How = static_cast<OutcomeKind>(*rc::gen::inRange(0, 3));
+    o.Why = o.How == OutcomeKind::NotRun && *rc::gen::arbitrary<bool>()
                 ? Reason::QueueFull
                 : Reason::ServerFailed;
     o.Server = w->Outstanding->Server;
     VmId from = w->Outstanding->To.Id;
     if (wrong)
       return feed(OwnerReplied{VmId("stranger"), o});
-    bool elsewhere = o.How == Ending::NotRun && !w->Outstanding->Accept &&
+    bool elsewhere = o.How == OutcomeKind::NotRun && !w->Outstanding->Accept &&
                      !w->Head.FirstOfFlow && *rc::gen::arbitrary<bool>();
     if (elsewhere) {
       o.Why = Reason::FlowElsewhere;
       o.Server = *rc::gen::arbitrary<bool>() ? ServerId() : serverId(1);
     }
-    w->MayHaveRun = w->MayHaveRun || o.How != Ending::NotRun;
+    w->MayHaveRun = w->MayHaveRun || o.How != OutcomeKind::NotRun;
     w->Outstanding.reset();
     feed(OwnerReplied{from, o});
   }
@@ -211,8 +211,8 @@
     } else if (const auto *e = std::get_if<EndPacket>(&action)) {
       Watched &w = Packets[e->Result.Request.Value];
       RC_ASSERT(++w.Endings == 1);
-      bool notRun =
-          e->Result.How == Ending::NotRun || e->Result.How == Ending::GivenUp;
+      bool notRun = e->Result.How == OutcomeKind::NotRun ||
+                    e->Result.How == OutcomeKind::GivenUp;
       RC_ASSERT(!notRun || (!w.MayHaveRun && !w.Outstanding));
     } else if (const auto *q = std::get_if<SendQuestion>(&action)) {
       Packets[q->Question.Request.Value].Asked.push_back(q->To.Id);
--- a/UnitTests/Flows/EntryRouterTest.cpp
+++ b/UnitTests/Flows/EntryRouterTest.cpp
@@ -49,7 +49,7 @@
   if (std::string(GetParam().Established) != "sent") {
     EXPECT_EQ(bench.ending(), GetParam().Established);
     EXPECT_EQ(bench.End.Result.RetryAfter > Duration(0),
-              bench.End.Result.How == Ending::NotRun);
+              bench.End.Result.How == OutcomeKind::NotRun);
     return;
   }
   EXPECT_EQ(bench.forward().Server, first);
@@ -82,7 +82,7 @@
 
 /// What an owner says to a new flow, and what becomes of it.
 struct RefusalCase {
-  Ending How;
+  OutcomeKind How;
   Reason Why;
   bool TriesNext;
 };
@@ -101,28 +101,28 @@
 INSTANTIATE_TEST_SUITE_P(
     All, RefusalTest,
     testing::Values(
-        RefusalCase{Ending::NotRun, Reason::QueueFull, true},
-        RefusalCase{Ending::NotRun, Reason::ServerCold, true},
-        RefusalCase{Ending::NotRun, Reason::ServerFull, true},
-        RefusalCase{Ending::NotRun, Reason::ServerEjected, true},
-        RefusalCase{Ending::NotRun, Reason::ServerDraining, true},
-        RefusalCase{Ending::NotRun, Reason::CallerShare, true},
-        RefusalCase{Ending::NotRun, Reason::DeadlineTooShort, true},
-        RefusalCase{Ending::NotRun, Reason::OwnerUnsure, true},
-        RefusalCase{Ending::NotRun, Reason::ServerShed, true},
-        RefusalCase{Ending::NotRun, Reason::ServerUnreachable, true},
-        RefusalCase{Ending::NotRun, Reason::DeadlinePassed, false},
-        RefusalCase{Ending::NotRun, Reason::CallerGone, false},
-        RefusalCase{Ending::OutcomeUnknown, Reason::ServerFailed, false},
-        RefusalCase{Ending::GivenUp, Reason::DomainOut, false},
-        RefusalCase{Ending::Answered, Reason::None, false}));
+        RefusalCase{OutcomeKind::NotRun, Reason::QueueFull, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::ServerCold, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::ServerFull, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::ServerEjected, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::ServerDraining, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::CallerShare, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::DeadlineTooShort, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::OwnerUnsure, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::ServerShed, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::ServerUnreachable, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::DeadlinePassed, false},
+        RefusalCase{OutcomeKind::NotRun, Reason::CallerGone, false},
+        RefusalCase{OutcomeKind::OutcomeUnknown, Reason::ServerFailed, false},
+        RefusalCase{OutcomeKind::GivenUp, Reason::DomainOut, false},
+        RefusalCase{OutcomeKind::Answered, Reason::None, false}));
 
 TEST(EntryRouterTest, TriesAreBounded) {
   RouterBench bench(parts(14));
   bench.arrive(true);
   for (uint32_t i = 1; i < bench.Settings.MaxTries; ++i)
-    bench.reply(Ending::NotRun, Reason::QueueFull, bench.forward().Server);
-  bench.reply(Ending::NotRun, Reason::QueueFull, bench.forward().Server);
+    bench.reply(OutcomeKind::NotRun, Reason::QueueFull, bench.forward().Server);
+  bench.reply(OutcomeKind::NotRun, Reason::QueueFull, bench.forward().Server);
   EXPECT_EQ(bench.ending(), "not-run/queue-full");
   EXPECT_GT(bench.End.Result.RetryAfter, Duration(0));
 }
@@ -139,7 +139,8 @@
     bench.arrive(true);
     while (!bench.all<SendForward>().empty()) {
       ++forwards;
-      bench.reply(Ending::NotRun, Reason::QueueFull, bench.forward().Server);
+      bench.reply(OutcomeKind::NotRun, Reason::QueueFull,
+                  bench.forward().Server);
     }
   }
   EXPECT_EQ(bench.ending(), "not-run/retry-budget");
@@ -207,7 +208,7 @@
   RouterBench bench(parts(5), withTokens());
   bench.arrive(true);
   ServerId home = bench.forward().Server;
-  bench.reply(Ending::Answered, Reason::None, home);
+  bench.reply(OutcomeKind::Answered, Reason::None, home);
   EXPECT_EQ(bench.ending(), "answered/none");
   bench.arrive(false, Semantics::RunOnce, bench.End.Token);
   EXPECT_EQ(bench.forward().Server, home);
@@ -234,7 +235,7 @@
   bench.arrive(false);
   EXPECT_EQ(bench.forward().Server, order[0]);
   EXPECT_FALSE(bench.LastForward.Accept);
-  bench.reply(Ending::NotRun, Reason::FlowElsewhere, ServerId());
+  bench.reply(OutcomeKind::NotRun, Reason::FlowElsewhere, ServerId());
   // Two are asked at first, the others when those don't know.
   EXPECT_EQ(bench.all<SendQuestion>().size(), 2U);
   std::map<VmId, std::string> says;
@@ -291,10 +292,10 @@
   std::vector<ServerId> order = bench.candidates();
   bench.arrive(false);
   bench.forward();
-  bench.reply(Ending::NotRun, Reason::FlowElsewhere, order[3]);
+  bench.reply(OutcomeKind::NotRun, Reason::FlowElsewhere, order[3]);
   EXPECT_EQ(bench.forward().Server, order[3]);
   EXPECT_TRUE(bench.LastForward.Accept);
-  bench.reply(Ending::NotRun, Reason::QueueFull, order[3]);
+  bench.reply(OutcomeKind::NotRun, Reason::QueueFull, order[3]);
   EXPECT_EQ(bench.ending(), "not-run/queue-full");
 }
 
@@ -317,7 +318,8 @@
   ServerId first = bench.forward().Server;
   bench.step(PeerLost{bench.LastForward.To.Id});
   EXPECT_NE(bench.forward().Server, first);
-  bench.reply(Ending::NotRun, Reason::DeadlinePassed, bench.LastForward.Server);
+  bench.reply(OutcomeKind::NotRun, Reason::DeadlinePassed,
+              bench.LastForward.Server);
   EXPECT_EQ(bench.ending(), "unknown/owner-lost");
   EXPECT_EQ(bench.End.Result.Server, first);
 }
@@ -329,7 +331,7 @@
   RouterBench bench(parts(5));
   bench.arrive(true);
   SendForward first = bench.forward();
-  bench.reply(Ending::NotRun, Reason::QueueFull, first.Server);
+  bench.reply(OutcomeKind::NotRun, Reason::QueueFull, first.Server);
   bench.forward();
   Outcome again;
   again.Request = RequestId{1};
@@ -348,9 +350,9 @@
   RouterBench bench(view);
   bench.arrive(true);
   ServerId first = bench.forward().Server;
-  bench.reply(Ending::NotRun, Reason::QueueFull, first);
+  bench.reply(OutcomeKind::NotRun, Reason::QueueFull, first);
   bench.forward();
-  bench.reply(Ending::NotRun, Reason::QueueFull, first);
+  bench.reply(OutcomeKind::NotRun, Reason::QueueFull, first);
   EXPECT_TRUE(bench.Last.empty());
 }
 
@@ -364,9 +366,9 @@
   ServerId home = bench.candidates()[3];
   bench.arrive(false);
   bench.forward();
-  bench.reply(Ending::NotRun, Reason::FlowElsewhere, home);
+  bench.reply(OutcomeKind::NotRun, Reason::FlowElsewhere, home);
   EXPECT_EQ(bench.forward().Server, home);
-  bench.reply(Ending::NotRun, Reason::FlowElsewhere, home);
+  bench.reply(OutcomeKind::NotRun, Reason::FlowElsewhere, home);
   EXPECT_TRUE(bench.Last.empty());
 }
 
