--- a/UnitTests/Flows/KeyGuardFleetTest.cpp
+++ b/UnitTests/Flows/KeyGuardFleetTest.cpp
@@ -64,9 +64,9 @@
                                  .Verdict);
     const bool runs = claims.judge(settings) == KeyClaims::Result::Run;
     // What runs ends answered, unknown, or is never settled as its entry dies.
-    const Ending how = !runs                 ? Ending::NotRun
-                       : Random.below(2) > 0 ? Ending::Answered
-                                             : Ending::OutcomeUnknown;
+    const OutcomeKind how = !runs                 ? OutcomeKind::NotRun
+                            : Random.below(2) > 0 ? OutcomeKind::Answered
+                                                  : OutcomeKind::OutcomeUnknown;
     if (!runs || Random.below(4) > 0)
       for (const EntryVm &to : claims.claimed())
         if (up(indexOf(to.Id)))
--- a/UnitTests/Flows/KeyStoriesTest.cpp
+++ b/UnitTests/Flows/KeyStoriesTest.cpp
@@ -65,7 +65,7 @@
     return resultOf(request);
   }
   /// The owner that has the request answers.
-  std::string answer(size_t at, uint64_t request, Ending how, Reason why) {
+  std::string answer(size_t at, uint64_t request, OutcomeKind how, Reason why) {
     Outcome o;
     o.Request = RequestId{request};
     o.How = how;
@@ -109,7 +109,7 @@
       Running[forward->Request.Value] = *forward;
     } else if (const auto *end = std::get_if<EndPacket>(&action)) {
       Ended[end->Result.Request.Value] = absl::StrCat(
-          endingName(end->Result.How), "/", reasonName(end->Result.Why));
+          outcomeKindName(end->Result.How), "/", reasonName(end->Result.Why));
     }
   }
   static size_t indexOf(const VmId &vm) {
@@ -131,7 +131,7 @@
 /// How the first attempt ended, and what its repeat at another daemon gets.
 struct RepeatCase {
   const char *Name;
-  Ending How;
+  OutcomeKind How;
   Reason Why;
   const char *Repeat;
 };
@@ -151,13 +151,14 @@
 
 INSTANTIATE_TEST_SUITE_P(
     All, RepeatTest,
-    testing::Values(
-        RepeatCase{"Answered", Ending::Answered, Reason::None,
-                   "unknown/key-answered"},
-        RepeatCase{"Unknown", Ending::OutcomeUnknown, Reason::ServerFailed,
-                   "unknown/key-unknown"},
-        RepeatCase{"NotRun", Ending::NotRun, Reason::DeadlinePassed, "running"},
-        RepeatCase{"GivenUp", Ending::GivenUp, Reason::DomainOut, "running"}),
+    testing::Values(RepeatCase{"Answered", OutcomeKind::Answered, Reason::None,
+                               "unknown/key-answered"},
+                    RepeatCase{"Unknown", OutcomeKind::OutcomeUnknown,
+                               Reason::ServerFailed, "unknown/key-unknown"},
+                    RepeatCase{"NotRun", OutcomeKind::NotRun,
+                               Reason::DeadlinePassed, "running"},
+                    RepeatCase{"GivenUp", OutcomeKind::GivenUp,
+                               Reason::DomainOut, "running"}),
     [](const auto &info) { return info.param.Name; });
 
 // The owner dies with the deposit. Its repeat must not run, whichever daemon
@@ -183,7 +184,7 @@
 TEST(KeyStoriesTest, OneGuardianDied) {
   KeyBench bench(6);
   bench.deposit(0, 1);
-  bench.answer(0, 1, Ending::Answered, Reason::None);
+  bench.answer(0, 1, OutcomeKind::Answered, Reason::None);
   bench.kill(bench.guardian(0));
   EXPECT_EQ(bench.deposit(1, 2), "unknown/key-answered");
 }
@@ -194,7 +195,7 @@
   for (bool oneByOne : {false, true}) {
     KeyBench bench(6);
     bench.deposit(0, 1);
-    bench.answer(0, 1, Ending::Answered, Reason::None);
+    bench.answer(0, 1, OutcomeKind::Answered, Reason::None);
     VmId first = bench.guardian(0);
     VmId second = bench.guardian(1);
     bench.kill(first);
@@ -283,7 +284,7 @@
   bench.run(0, EntryTicked{});
   EXPECT_EQ(bench.resultOf(1), "unknown/deadline-passed");
   EXPECT_EQ(bench.deposit(1, 2), "unknown/key-unknown");
-  bench.answer(0, 1, Ending::NotRun, Reason::DeadlinePassed);
+  bench.answer(0, 1, OutcomeKind::NotRun, Reason::DeadlinePassed);
   EXPECT_EQ(bench.deposit(1, 3), "running");
 }
 
@@ -291,7 +292,7 @@
 TEST(KeyStoriesTest, HandedOverKeysOutliveTheOtherGuardian) {
   KeyBench bench(6);
   bench.deposit(0, 1);
-  bench.answer(0, 1, Ending::Answered, Reason::None);
+  bench.answer(0, 1, OutcomeKind::Answered, Reason::None);
   VmId leaver = bench.guardian(0);
   VmId other = bench.guardian(1);
   GuardianView rest = bench.View->Guardians;
@@ -387,10 +388,10 @@
   auto guard = std::move(*KeyGuard::create({}, TimePoint()));
   TimePoint now{std::chrono::hours(1)};
   guard->claim(now, {Key, RequestId{1}}, {}, vmId(0));
-  guard->settle(now, {Key, RequestId{2}, Ending::NotRun});
+  guard->settle(now, {Key, RequestId{2}, OutcomeKind::NotRun});
   EXPECT_EQ(guard->claim(now, {Key, RequestId{2}}, {}, vmId(0)).Verdict,
             KeyVerdict::InProgress);
-  guard->settle(now, {Key, RequestId{1}, Ending::NotRun});
+  guard->settle(now, {Key, RequestId{1}, OutcomeKind::NotRun});
   EXPECT_EQ(guard->claim(now, {Key, RequestId{2}}, {}, vmId(0)).Verdict,
             KeyVerdict::Granted);
 }
--- a/UnitTests/Flows/RouterHelp.h
+++ b/UnitTests/Flows/RouterHelp.h
@@ -76,7 +76,7 @@
     step(PacketArrived{head, token});
   }
   /// The owner of the last Forward tells an ending.
-  void reply(Ending how, Reason why, const ServerId &server) {
+  void reply(OutcomeKind how, Reason why, const ServerId &server) {
     Outcome o;
     o.Request = RequestId{1};
     o.How = how;
@@ -112,7 +112,7 @@
       return "-";
     EXPECT_EQ(found.size(), 1U);
     End = found[0];
-    return absl::StrCat(endingName(End.Result.How), "/",
+    return absl::StrCat(outcomeKindName(End.Result.How), "/",
                         reasonName(End.Result.Why));
   }
   /// The flow's candidates under the view.
--- a/UnitTests/Http/ServerLinkTest.cpp
+++ b/UnitTests/Http/ServerLinkTest.cpp
@@ -64,7 +64,7 @@
                {"traceparent", "old"},   {"Connection", "X-Hop"},
                {"X-Hop", "1"},           {"Content-Type", "a/b"}};
   DispatchResult r = begin(server.at(), Semantics::RunOnce, m).get();
-  EXPECT_EQ(r.How, DispatchEnd::Answered);
+  EXPECT_EQ(r.How, DispatchOutcome::Answered);
   EXPECT_EQ(r.Content.Status, 201U);
   EXPECT_EQ(r.Content.Body, std::string("a\0b", 3));
   EXPECT_EQ(r.Instance.str(), "run-4");
@@ -85,7 +85,7 @@
 struct ServerAnswer {
   const char *Name;
   std::string Sends; ///< What the server sends before it closes.
-  DispatchEnd How;
+  DispatchOutcome How;
 };
 
 class EachAnswer : public ServerLinkTest,
@@ -107,42 +107,44 @@
 INSTANTIATE_TEST_SUITE_P(
     Answers, EachAnswer,
     testing::Values(
-        ServerAnswer{"Whole", httpAnswer("200 OK", "x"), DispatchEnd::Answered},
+        ServerAnswer{"Whole", httpAnswer("200 OK", "x"),
+                     DispatchOutcome::Answered},
         ServerAnswer{"NotFound", httpAnswer("404 No", ""),
-                     DispatchEnd::Answered},
+                     DispatchOutcome::Answered},
         ServerAnswer{"Chunked",
                      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                      "1\r\nx\r\n0\r\n\r\n",
-                     DispatchEnd::Answered},
+                     DispatchOutcome::Answered},
         ServerAnswer{"NoContent", "HTTP/1.1 204 No\r\n\r\n",
-                     DispatchEnd::Answered},
+                     DispatchOutcome::Answered},
         ServerAnswer{"Shed", httpAnswer("503 Busy\r\nBalsamrack-Run: no", ""),
-                     DispatchEnd::Shed},
+                     DispatchOutcome::Shed},
         ServerAnswer{"Plain503", httpAnswer("503 Busy", ""),
-                     DispatchEnd::Answered},
+                     DispatchOutcome::Answered},
         ServerAnswer{"RunNoBut500",
                      httpAnswer("500 E\r\nBalsamrack-Run: no", ""),
-                     DispatchEnd::Answered},
-        ServerAnswer{"Nothing", "", DispatchEnd::Failed},
+                     DispatchOutcome::Answered},
+        ServerAnswer{"Nothing", "", DispatchOutcome::Failed},
         ServerAnswer{"HalfHeader", "HTTP/1.1 200 OK\r\nContent-Le",
-                     DispatchEnd::Failed},
+                     DispatchOutcome::Failed},
         ServerAnswer{"HalfBody",
                      "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
-                     DispatchEnd::Failed},
+                     DispatchOutcome::Failed},
         ServerAnswer{
             "HalfChunk",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nx",
-            DispatchEnd::Failed},
+            DispatchOutcome::Failed},
         ServerAnswer{"EndByClose", "HTTP/1.1 200 OK\r\n\r\nmaybe half",
-                     DispatchEnd::Failed},
-        ServerAnswer{"NotHttp", "220 smtp.example\r\n", DispatchEnd::Failed},
+                     DispatchOutcome::Failed},
+        ServerAnswer{"NotHttp", "220 smtp.example\r\n",
+                     DispatchOutcome::Failed},
         ServerAnswer{"HugeHeader",
                      "HTTP/1.1 200 OK\r\nX: " + std::string(70000, 'x') +
                          "\r\nContent-Length: 0\r\n\r\n",
-                     DispatchEnd::Failed},
+                     DispatchOutcome::Failed},
         ServerAnswer{"HugeBody",
                      httpAnswer("200 OK", std::string((4 << 20) + 1, 'x')),
-                     DispatchEnd::Failed}),
+                     DispatchOutcome::Failed}),
     [](const auto &info) { return std::string(info.param.Name); });
 
 TEST_F(ServerLinkTest, ShedCarriesTheWishToRetry) {
@@ -158,24 +160,24 @@
 TEST_F(ServerLinkTest, RefusedConnectionIsUnreachable) {
   ReservedPort gone;
   EXPECT_EQ(begin(gone.at(), Semantics::RunOnce).get().How,
-            DispatchEnd::Unreachable);
+            DispatchOutcome::Unreachable);
 }
 
 TEST_F(ServerLinkTest, LineBreakInAFieldNeverLeaves) {
   ScriptedServer server([](const RawConnection &, int) {});
   Message m{"GET", "/", {{"X", "1\r\nPOST /evil"}}, ""};
   EXPECT_EQ(begin(server.at(), Semantics::Idempotent, m).get().How,
-            DispatchEnd::Unreachable);
+            DispatchOutcome::Unreachable);
   m = {"GET", "/ HTTP/1.1\r\nX: y", {}, ""};
   EXPECT_EQ(begin(server.at(), Semantics::Idempotent, m).get().How,
-            DispatchEnd::Unreachable);
+            DispatchOutcome::Unreachable);
   EXPECT_EQ(server.connections(), 0);
 }
 
 TEST_F(ServerLinkTest, NoTimeLeftIsUnreachable) {
   ScriptedServer server([](const RawConnection &, int) {});
   EXPECT_EQ(begin(server.at(), Semantics::RunOnce, {}, Duration(0)).get().How,
-            DispatchEnd::Unreachable);
+            DispatchOutcome::Unreachable);
 }
 
 // Story: an owner's process is paused while a connection is being made. When it
@@ -192,12 +194,12 @@
   });
   for (bool allowed : {true, false}) {
     may = allowed;
-    std::promise<DispatchEnd> end;
+    std::promise<DispatchOutcome> end;
     (*link)->dispatch(serverAt(server.at()), envelope(7, Semantics::Idempotent),
                       {}, Long,
                       [&](const DispatchResult &r) { end.set_value(r.How); });
-    EXPECT_EQ(end.get_future().get(),
-              allowed ? DispatchEnd::Answered : DispatchEnd::Unreachable);
+    EXPECT_EQ(end.get_future().get(), allowed ? DispatchOutcome::Answered
+                                              : DispatchOutcome::Unreachable);
   }
 }
 
@@ -207,13 +209,13 @@
   auto link = createHttpServerLink(settings);
   ASSERT_TRUE(link.ok());
   ScriptedServer server([](RawConnection c, int) { c.readToEnd(); });
-  std::promise<DispatchEnd> first;
-  std::promise<DispatchEnd> second;
+  std::promise<DispatchOutcome> first;
+  std::promise<DispatchOutcome> second;
   for (auto *end : {&first, &second})
     (*link)->dispatch(serverAt(server.at()), envelope(7, Semantics::RunOnce),
                       {}, Long,
                       [=](const DispatchResult &r) { end->set_value(r.How); });
-  EXPECT_EQ(second.get_future().get(), DispatchEnd::Unreachable);
+  EXPECT_EQ(second.get_future().get(), DispatchOutcome::Unreachable);
   ASSERT_TRUE(waitUntil([&] { return server.connections() == 1; }));
   (*link)->cancel({7});
   (*link)->stop();
@@ -223,7 +225,7 @@
   ScriptedServer server([](RawConnection c, int) { c.readToEnd(); });
   DispatchResult r =
       begin(server.at(), Semantics::RunOnce, {}, Duration(50'000)).get();
-  EXPECT_EQ(r.How, DispatchEnd::Failed);
+  EXPECT_EQ(r.How, DispatchOutcome::Failed);
   EXPECT_GE(r.Took, Duration(40'000));
 }
 
@@ -256,9 +258,9 @@
   Message get{"GET", "/", {}, ""};
   Message post{"POST", "/", {}, "deposit"};
   EXPECT_EQ(begin(server.at(), Semantics::Idempotent, get).get().How,
-            DispatchEnd::Answered);
+            DispatchOutcome::Answered);
   EXPECT_EQ(begin(server.at(), Semantics::RunOnce, post).get().How,
-            DispatchEnd::Answered);
+            DispatchOutcome::Answered);
   EXPECT_EQ(server.requests(), 2);
   EXPECT_EQ(server.connections(), 2);
 }
@@ -269,9 +271,9 @@
   ForgetfulServer server;
   Message get{"GET", "/", {}, ""};
   EXPECT_EQ(begin(server.at(), Semantics::Idempotent, get).get().How,
-            DispatchEnd::Answered);
+            DispatchOutcome::Answered);
   EXPECT_EQ(begin(server.at(), Semantics::Idempotent, get).get().How,
-            DispatchEnd::Answered);
+            DispatchOutcome::Answered);
   EXPECT_EQ(server.requests(), 3);
   EXPECT_EQ(server.connections(), 2);
 }
@@ -283,7 +285,7 @@
   });
   for (int i = 0; i < 5; ++i)
     EXPECT_EQ(begin(server.at(), Semantics::Idempotent).get().How,
-              DispatchEnd::Answered);
+              DispatchOutcome::Answered);
   EXPECT_EQ(server.connections(), 1);
 }
 
@@ -311,7 +313,7 @@
   ASSERT_TRUE(waitUntil([&] { return count() == 1; }));
   Link->cancel({8}); // another request's
   Link->cancel({7});
-  EXPECT_EQ(result.get().How, DispatchEnd::Failed);
+  EXPECT_EQ(result.get().How, DispatchOutcome::Failed);
   ASSERT_TRUE(waitUntil([&] { return count() == 2; }));
   std::lock_guard<std::mutex> hold(lock);
   EXPECT_EQ(seen[1].rfind("POST /balsamrack/cancel HTTP/1.1\r\n", 0), 0U);
@@ -332,10 +334,10 @@
   ASSERT_TRUE(waitUntil([&] { return entered == 1; }));
   std::thread stopper([&] { Link->stop(); });
   go.set_value();
-  EXPECT_EQ(result.get().How, DispatchEnd::Answered);
+  EXPECT_EQ(result.get().How, DispatchOutcome::Answered);
   stopper.join();
   EXPECT_EQ(begin(server.at(), Semantics::RunOnce).get().How,
-            DispatchEnd::Unreachable);
+            DispatchOutcome::Unreachable);
   EXPECT_EQ(server.connections(), 1);
 }
 
@@ -354,7 +356,7 @@
   for (int i = 0; i < Many; ++i)
     (*link)->dispatch(serverAt(server.at()), envelope(i, Semantics::Idempotent),
                       {}, Long, [&](const DispatchResult &r) {
-                        answered += r.How == DispatchEnd::Answered;
+                        answered += r.How == DispatchOutcome::Answered;
                         ++ended;
                       });
   (*link)->stop();
--- a/UnitTests/Packets/LongFlowsTest.cpp
+++ b/UnitTests/Packets/LongFlowsTest.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "UnitTests/Packets/PacketBench.h"
+#include "UnitTests/Packets/PacketRouterHarness.h"
 
 // Flows that stay open for many requests: what counts as work, and what becomes
 // of them when their server can't be reached any more.
@@ -15,18 +15,18 @@
 constexpr Duration Millisecond{1'000};
 
 /// Opens a flow and has its first request answered.
-uint32_t longFlow(PacketBench &bench, uint16_t port) {
-  bench.opens(port);
+uint32_t openLongFlow(PacketRouterHarness &bench, uint16_t port) {
+  bench.sendOpening(port);
   uint32_t token = bench.lastToken();
-  bench.asks(port, token, 0);
-  bench.pass(Millisecond * 30);
-  bench.hears(port, token, 0);
+  bench.sendRequest(port, token, 0);
+  bench.advance(Millisecond * 30);
+  bench.acknowledgeAnswer(port, token, 0);
   return token;
 }
 
-uint32_t inProgress(const PacketBench &bench) {
+uint32_t inProgress(const PacketRouterHarness &bench) {
   uint32_t sum = 0;
-  for (const TabledServer &it : bench.Router.servers().all())
+  for (const ServerEntry &it : bench.Router.servers().all())
     sum += it.InProgress;
   return sum;
 }
@@ -35,14 +35,14 @@
 // then. A daemon that took each open flow for a request at work saw all slots
 // taken, and let late openings wait for half a second beside idle servers.
 TEST(LongFlowsTest, IdleFlowsAreNoWork) {
-  PacketBench bench;
+  PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}}, 0, Duration(150'000));
-  bench.servers({{"b1", "bern-a"}, {"b2", "bern-a"}});
+  bench.publishServers({{"b1", "bern-a"}, {"b2", "bern-a"}});
   for (uint16_t port = 1; port <= 40; ++port)
-    longFlow(bench, port);
+    openLongFlow(bench, port);
   EXPECT_EQ(inProgress(bench), 0U);
   size_t before = bench.Out.Sent.size();
-  bench.opens(99, 1);
+  bench.sendOpening(99, 1);
   EXPECT_EQ(bench.Out.Sent.size(), before + 1) << "slots are free";
 }
 
@@ -50,22 +50,22 @@
 // answer, also on a flow that was silent for longer than the idle timeout and
 // is no longer remembered.
 TEST(LongFlowsTest, ARequestCountsUntilItsAnswer) {
-  PacketBench bench;
-  bench.usual();
+  PacketRouterHarness bench;
+  bench.publishDefaults();
   std::vector<uint32_t> tokens{0};
   for (uint16_t port = 1; port <= 20; ++port)
-    tokens.push_back(longFlow(bench, port));
+    tokens.push_back(openLongFlow(bench, port));
   for (uint16_t port = 1; port <= 3; ++port)
-    bench.asks(port, tokens[port], 1);
+    bench.sendRequest(port, tokens[port], 1);
   EXPECT_EQ(inProgress(bench), 3U);
-  bench.hears(2, tokens[2], 1);
+  bench.acknowledgeAnswer(2, tokens[2], 1);
   EXPECT_EQ(inProgress(bench), 2U);
-  bench.pass(Duration(30'000'000));
+  bench.advance(Duration(30'000'000));
   EXPECT_EQ(bench.Router.flows(), 0U);
   EXPECT_EQ(inProgress(bench), 0U);
-  bench.asks(7, tokens[7], 1);
+  bench.sendRequest(7, tokens[7], 1);
   EXPECT_EQ(inProgress(bench), 1U);
-  bench.hears(7, tokens[7], 1);
+  bench.acknowledgeAnswer(7, tokens[7], 1);
   EXPECT_EQ(inProgress(bench), 0U);
 }
 
@@ -74,33 +74,33 @@
 // ms, and give up after a second, though 13 other servers live. One of them
 // must be enough to find out, and it must be told as soon as that is sure.
 TEST(LongFlowsTest, ARequestToADeadServerIsGivenUp) {
-  PacketBench bench;
-  bench.usual();
-  uint32_t token = longFlow(bench, 1);
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  uint32_t token = openLongFlow(bench, 1);
   uint64_t dead = bench.lastTag();
   std::vector<uint16_t> others;
   for (uint16_t port = 2; port <= 9; ++port) {
-    longFlow(bench, port);
+    openLongFlow(bench, port);
     if (bench.lastTag() == dead)
       others.push_back(port);
   }
   ASSERT_FALSE(others.empty());
   auto connects = [&](ServerIndex it) { return bench.tagAt(it) != dead; };
-  bench.asks(1, token, 1);
-  bench.pass(Millisecond * 200);
-  bench.attempt(connects);
+  bench.sendRequest(1, token, 1);
+  bench.advance(Millisecond * 200);
+  bench.finishAttempts(connects);
   EXPECT_TRUE(bench.Out.Resets.empty()) << "it may be at work";
-  bench.asks(1, token, 1);
+  bench.sendRequest(1, token, 1);
   for (int i = 0; i < 20 && bench.Out.Resets.empty(); ++i) {
-    bench.attempt(connects);
-    bench.pass(Millisecond * 25);
+    bench.finishAttempts(connects);
+    bench.advance(Millisecond * 25);
   }
   ASSERT_EQ(bench.Out.Resets.size(), 1U) << "within half a second";
-  EXPECT_EQ(bench.Out.Resets[0].Flow, PacketBench::key(1));
+  EXPECT_EQ(bench.Out.Resets[0].Flow, PacketRouterHarness::key(1));
   EXPECT_EQ(bench.Out.Resets[0].Acknowledged, 1000U);
   EXPECT_TRUE(
       bench.Out.reported(PacketEventKind::GivenUp, PacketReason::Unreachable));
-  bench.asks(others[0], token, 1);
+  bench.sendRequest(others[0], token, 1);
   EXPECT_EQ(bench.Out.Resets.size(), 2U) << "known by now";
 }
 
@@ -113,20 +113,21 @@
 // dead one over, and callers with an open flow there wait until their time is
 // over. Nothing can come of these, whatever the requests are.
 TEST_P(EachReplaced, ServersRequestsAreGivenUp) {
-  PacketBench bench;
+  PacketRouterHarness bench;
   bench.Idempotent = GetParam();
   bench.configure(1, {{443, "booking"}, {444, "plans"}});
-  bench.servers({{"b1", "bern-a", "booking", ServerMode::Active, {}, 100},
-                 {"b2", "bern-a", "booking", ServerMode::Active, {}, 100}});
-  uint32_t token = longFlow(bench, 1);
+  bench.publishServers(
+      {{"b1", "bern-a", "booking", ServerMode::Active, {}, 100},
+       {"b2", "bern-a", "booking", ServerMode::Active, {}, 100}});
+  uint32_t token = openLongFlow(bench, 1);
   uint64_t dead = bench.lastTag();
   std::string address = "10.0.0." + std::to_string(dead);
-  bench.servers(
+  bench.publishServers(
       {{"b9", "bern-a", "plans", ServerMode::Active, {}, 200, address}});
-  bench.asks(1, token, 1);
+  bench.sendRequest(1, token, 1);
   EXPECT_EQ(bench.Out.Resets.size(), 1U);
   for (uint16_t port = 2; port <= 6; ++port) {
-    bench.opens(port);
+    bench.sendOpening(port);
     EXPECT_NE(bench.lastTag(), dead) << "gets no new flows either";
   }
   EXPECT_TRUE(bench.Router.dueAttempts(bench.Now).empty());
@@ -148,19 +149,19 @@
 // breaks the first for nothing, and keeps the second from being sent again by
 // its caller, though the cut heals in time.
 TEST_P(EachNotGivenUp, StaysOpen) {
-  PacketBench bench;
+  PacketRouterHarness bench;
   bench.Idempotent = GetParam().Idempotent;
-  bench.usual();
-  uint32_t token = longFlow(bench, 1);
+  bench.publishDefaults();
+  uint32_t token = openLongFlow(bench, 1);
   uint64_t home = bench.lastTag();
-  bench.asks(1, token, 1);
+  bench.sendRequest(1, token, 1);
   for (int i = 0; i < 2; ++i) {
-    bench.pass(Millisecond * 200);
-    bench.asks(1, token, 1);
+    bench.advance(Millisecond * 200);
+    bench.sendRequest(1, token, 1);
     EXPECT_EQ(bench.lastTag(), home);
     for (int attempts = 0; attempts < 10; ++attempts) {
-      bench.attempt([](ServerIndex) { return GetParam().Connects; });
-      bench.pass(Millisecond * 100);
+      bench.finishAttempts([](ServerIndex) { return GetParam().Connects; });
+      bench.advance(Millisecond * 100);
     }
   }
   EXPECT_TRUE(bench.Out.Resets.empty());
@@ -176,54 +177,55 @@
 // daemons can reach takes no new flows, and what takes new flows can't be
 // reached. Each caller was refused for as long as the cut lasted, 5 s.
 TEST(LongFlowsTest, ADaemonKnowsThatItReachesNoServer) {
-  PacketBench bench;
-  bench.usual();
-  bench.domainOut("bern-a");
-  EXPECT_FALSE(bench.Router.outOfReach());
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  bench.takeDomainOut("bern-a");
+  EXPECT_FALSE(bench.Router.allServersUnreachable());
   for (uint16_t port = 1; port <= 4; ++port) {
-    bench.opens(port);
-    bench.pass(Millisecond * 60);
-    bench.attempt([](ServerIndex) { return false; });
+    bench.sendOpening(port);
+    bench.advance(Millisecond * 60);
+    bench.finishAttempts([](ServerIndex) { return false; });
   }
   // That nothing arrives may be the fault of the daemon's own link at first.
   for (int i = 0; i < 30; ++i) {
-    bench.pass(Millisecond * 50);
-    bench.attempt([](ServerIndex) { return false; });
+    bench.advance(Millisecond * 50);
+    bench.finishAttempts([](ServerIndex) { return false; });
   }
-  EXPECT_TRUE(bench.Router.outOfReach());
-  bench.pass(Millisecond * 800);
+  EXPECT_TRUE(bench.Router.allServersUnreachable());
+  bench.advance(Millisecond * 800);
   bool first = true;
-  bench.attempt([&](ServerIndex) { return std::exchange(first, false); });
-  EXPECT_FALSE(bench.Router.outOfReach());
+  bench.finishAttempts(
+      [&](ServerIndex) { return std::exchange(first, false); });
+  EXPECT_FALSE(bench.Router.allServersUnreachable());
 }
 
 // Guards against callers that are refused by a daemon that can reach no server,
 // one try after the other, since the fabric still takes it for ready.
 TEST(LongFlowsTest, ADaemonThatRefusesEveryOpeningIsOutOfReach) {
-  PacketBench bench;
-  bench.usual();
+  PacketRouterHarness bench;
+  bench.publishDefaults();
   for (uint16_t port = 1; port <= 30; ++port) {
-    bench.opens(port);
+    bench.sendOpening(port);
     if (!bench.Out.Resets.empty())
       break;
-    bench.pass(Millisecond * 60);
-    bench.attempt([](ServerIndex) { return false; });
+    bench.advance(Millisecond * 60);
+    bench.finishAttempts([](ServerIndex) { return false; });
   }
   ASSERT_FALSE(bench.Out.Resets.empty());
-  EXPECT_TRUE(bench.Router.outOfReach());
+  EXPECT_TRUE(bench.Router.allServersUnreachable());
 }
 
 // Story: a server takes connections, but none of its callers' openings is
 // answered: it is full. Being asked after the first of them must not hide that
 // the second has no answer either.
 TEST(LongFlowsTest, AServerThatOnlyTakesConnectionsFallsSilent) {
-  PacketBench bench;
+  PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
-  bench.servers({{"b1", "bern-a"}});
+  bench.publishServers({{"b1", "bern-a"}});
   for (uint16_t port : {1, 2}) {
-    bench.opens(port);
-    bench.pass(Millisecond * 60);
-    bench.attempt([&](ServerIndex) { return port == 1; });
+    bench.sendOpening(port);
+    bench.advance(Millisecond * 60);
+    bench.finishAttempts([&](ServerIndex) { return port == 1; });
   }
   EXPECT_EQ(bench.Router.silentServers(), 1U);
 }
@@ -232,16 +234,16 @@
 /// off for a while: each asks 400 ms after its last answer, which takes 100 ms,
 /// sends a request again after 200 and 600 ms, and opens a new flow after a
 /// reset.
-class CutSite {
+class PartitionedSite {
 public:
   /// Requests that had no answer within a second.
-  int play() {
+  int run() {
     Bench.configure(1, {{443, "booking"}});
-    Bench.servers({{"b1", "bern-a"},
-                   {"b2", "bern-a"},
-                   {"b3", "bern-b"},
-                   {"b4", "bern-b"},
-                   {"b5", "bern-b"}});
+    Bench.publishServers({{"b1", "bern-a"},
+                          {"b2", "bern-a"},
+                          {"b3", "bern-b"},
+                          {"b4", "bern-b"},
+                          {"b5", "bern-b"}});
     for (uint16_t i = 0; i < Callers; ++i) {
       All.emplace_back();
       All.back().Next = Bench.Now + Millisecond * 10 * i;
@@ -250,7 +252,7 @@
     TimePoint until = from + Duration(5'000'000);
     while (Bench.Now < until) {
       IsCut = Bench.Now >= from;
-      Bench.pass(Millisecond * 5);
+      Bench.advance(Millisecond * 5);
       settleAttempts();
       for (Caller &it : All)
         step(it);
@@ -277,14 +279,15 @@
     if (Bench.Now < NextAttempts)
       return;
     NextAttempts = Bench.Now + Millisecond * 50;
-    Bench.attempt([this](ServerIndex it) { return reaches(Bench.tagAt(it)); });
+    Bench.finishAttempts(
+        [this](ServerIndex it) { return reaches(Bench.tagAt(it)); });
   }
   void step(Caller &it) {
-    noteReset(it);
+    handleReset(it);
     if (Bench.Now < it.Next)
       return;
     if (it.Arrived) {
-      Bench.hears(it.Port, it.Token, it.Request++);
+      Bench.acknowledgeAnswer(it.Port, it.Token, it.Request++);
       it.Arrived = false;
       it.Asked = {};
       it.Next = Bench.Now + Millisecond * 400;
@@ -301,8 +304,8 @@
     }
     if (it.Port == 0 && !open(it))
       return;
-    Bench.asks(it.Port, it.Token, it.Request);
-    if (noteReset(it))
+    Bench.sendRequest(it.Port, it.Token, it.Request);
+    if (handleReset(it))
       return;
     if (reaches(it.Home)) {
       it.Arrived = true;
@@ -312,7 +315,7 @@
     it.Next = Bench.Now + Millisecond * (it.Copies++ == 0 ? 200 : 400);
   }
   /// True when the caller's flow was reset; it opens a new one at once.
-  bool noteReset(Caller &it) {
+  bool handleReset(Caller &it) {
     for (; SeenResets < Bench.Out.Resets.size(); ++SeenResets)
       ResetPorts.insert(Bench.Out.Resets[SeenResets].Flow.Caller.Port);
     if (ResetPorts.count(it.Port) == 0)
@@ -323,9 +326,9 @@
   }
   bool open(Caller &it) {
     uint16_t port = ++LastPort;
-    Bench.opens(port);
+    Bench.sendOpening(port);
     for (int wait = 0; wait < 30 && !reaches(Bench.lastTag()); ++wait)
-      Bench.pass(Millisecond * 5);
+      Bench.advance(Millisecond * 5);
     if (!reaches(Bench.lastTag()))
       return false;
     it.Port = port;
@@ -335,7 +338,7 @@
     return true;
   }
 
-  PacketBench Bench;
+  PacketRouterHarness Bench;
   std::vector<Caller> All;
   size_t SeenResets = 0;
   std::set<uint16_t> ResetPorts;
@@ -349,7 +352,7 @@
 // side when two domains are cut off from each other. Without a word each of
 // these lost one request to its time budget.
 TEST(LongFlowsTest, ACutBetweenDomainsLosesFewRequests) {
-  int lost = CutSite().play();
+  int lost = PartitionedSite().run();
   printf("requests lost in a cut: %d\n", lost);
   EXPECT_LE(lost, 2);
 }
--- a/UnitTests/Packets/OpeningStoriesTest.cpp
+++ b/UnitTests/Packets/OpeningScenariosTest.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "UnitTests/Packets/PacketBench.h"
+#include "UnitTests/Packets/PacketRouterHarness.h"
 
 // What becomes of openings that wait, come again or can't be served.
 
@@ -12,46 +12,46 @@
 // Story: all daemons were away, and their callers come back all at once. One
 // that has missed its objective gives way while all slots are taken, and is
 // served once one gets free.
-TEST(OpeningStoriesTest, ALateOpeningWaitsForAFreeSlot) {
-  PacketBench bench;
+TEST(OpeningScenariosTest, ALateOpeningWaitsForAFreeSlot) {
+  PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}}, 0, Duration(150'000));
-  bench.servers({{"b1", "bern-a"}});
+  bench.publishServers({{"b1", "bern-a"}});
   for (uint16_t port = 1; port <= 3; ++port) {
-    bench.opens(port);
-    bench.speaks(port, bench.lastToken());
+    bench.sendOpening(port);
+    bench.sendOnFlow(port, bench.lastToken());
   }
-  bench.pass(Duration(100'000));
+  bench.advance(Duration(100'000));
   size_t before = bench.Out.Sent.size();
-  bench.opens(4, 1);
+  bench.sendOpening(4, 1);
   EXPECT_EQ(bench.Out.Sent.size(), before) << "both slots are taken";
-  bench.opens(5);
+  bench.sendOpening(5);
   EXPECT_EQ(bench.Out.Sent.size(), before + 1) << "in time, so it goes at once";
   for (uint16_t port : {1, 2, 3})
-    bench.speaks(port, tokenOf(ServerId("b1")), 0, true);
-  bench.pass(Duration(100'000));
+    bench.sendOnFlow(port, tokenOf(ServerId("b1")), 0, true);
+  bench.advance(Duration(100'000));
   EXPECT_EQ(bench.Out.Sent.size(), before + 5) << "a slot got free";
 }
 
 // Story: as above, but no slot gets free. The waiting caller's time runs, and a
 // late answer is better than none.
-TEST(OpeningStoriesTest, ALateOpeningIsSentOnBeforeItsTimeIsOver) {
-  PacketBench bench;
+TEST(OpeningScenariosTest, ALateOpeningIsSentOnBeforeItsTimeIsOver) {
+  PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}}, 0, Duration(150'000));
-  bench.servers({{"b1", "bern-a"}});
+  bench.publishServers({{"b1", "bern-a"}});
   for (uint16_t port = 1; port <= 4; ++port) {
-    bench.opens(port);
-    bench.speaks(port, bench.lastToken());
+    bench.sendOpening(port);
+    bench.sendOnFlow(port, bench.lastToken());
   }
-  bench.pass(Duration(100'000));
-  bench.opens(9, 1);
+  bench.advance(Duration(100'000));
+  bench.sendOpening(9, 1);
   size_t before = bench.Out.Sent.size();
   for (int i = 0; i < 8; ++i) {
     for (uint16_t port = 1; port <= 4; ++port)
-      bench.speaks(port, tokenOf(ServerId("b1")));
-    bench.pass(Duration(100'000));
+      bench.sendOnFlow(port, tokenOf(ServerId("b1")));
+    bench.advance(Duration(100'000));
   }
   EXPECT_EQ(bench.Out.Sent.size(), before + 32) << "still waits at 0.8 s";
-  bench.pass(Duration(100'000));
+  bench.advance(Duration(100'000));
   EXPECT_EQ(bench.Out.Sent.size(), before + 33);
 }
 
@@ -60,45 +60,45 @@
 // another daemon, where the flow opened. The daemon wakes, sends the three on
 // at once, sees no answer to them, since the seller answers elsewhere, and
 // resets the open flow. It also takes living servers for silent.
-TEST(OpeningStoriesTest, AWokenDaemonJudgesNothingByWhatWaitedForIt) {
-  PacketBench bench;
-  bench.usual();
+TEST(OpeningScenariosTest, AWokenDaemonJudgesNothingByWhatWaitedForIt) {
+  PacketRouterHarness bench;
+  bench.publishDefaults();
   for (uint16_t port = 1; port <= 6; ++port)
     for (uint8_t copy : {0, 1, 2})
-      bench.opens(port, copy);
-  bench.pass(Duration(500'000));
+      bench.sendOpening(port, copy);
+  bench.advance(Duration(500'000));
   EXPECT_TRUE(bench.Out.Resets.empty());
   EXPECT_EQ(bench.Router.silentServers(), 0U);
 }
 
 // Story: as above, but the daemon falls asleep after the first copy was sent
 // on. The others come to it late, though not too fast.
-TEST(OpeningStoriesTest, ADaemonThatFellAsleepBetweenCopiesResetsNothing) {
-  PacketBench bench;
-  bench.usual();
-  bench.opens(1, 0);
+TEST(OpeningScenariosTest, ADaemonThatFellAsleepBetweenCopiesResetsNothing) {
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  bench.sendOpening(1, 0);
   bench.Now += Duration(970'000);
-  bench.opens(1, 1);
-  bench.opens(1, 2);
-  bench.pass(Duration(900'000));
+  bench.sendOpening(1, 1);
+  bench.sendOpening(1, 2);
+  bench.advance(Duration(900'000));
   EXPECT_TRUE(bench.Out.Resets.empty());
 }
 
 // Story: a server is well again just when a seller's last copy comes. The
 // seller has its answer, but its first packet to the server is lost. It comes
 // again after 200 ms; a reset in between broke the open flow.
-TEST(OpeningStoriesTest, ALostFirstPacketHasTimeToComeAgain) {
-  PacketBench bench;
-  bench.usual();
-  bench.opens(1, 0);
-  bench.pass(Duration(200'000));
-  bench.opens(1, 1);
-  bench.pass(Duration(400'000));
-  bench.opens(1, 2);
+TEST(OpeningScenariosTest, ALostFirstPacketHasTimeToComeAgain) {
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  bench.sendOpening(1, 0);
+  bench.advance(Duration(200'000));
+  bench.sendOpening(1, 1);
+  bench.advance(Duration(400'000));
+  bench.sendOpening(1, 2);
   uint32_t token = bench.lastToken();
-  bench.pass(Duration(250'000));
-  bench.speaks(1, token);
-  bench.pass(Duration(900'000));
+  bench.advance(Duration(250'000));
+  bench.sendOnFlow(1, token);
+  bench.advance(Duration(900'000));
   EXPECT_TRUE(bench.Out.Resets.empty());
 }
 
@@ -106,38 +106,38 @@
 // end of its last copy's time. The openings of all other callers, whose servers
 // are silent too, waited behind it for half a second before another server got
 // them.
-TEST(OpeningStoriesTest, ACallersLastCopyHoldsUpNobodyElse) {
-  PacketBench bench;
+TEST(OpeningScenariosTest, ACallersLastCopyHoldsUpNobodyElse) {
+  PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}, {444, "plans"}});
-  bench.servers(
+  bench.publishServers(
       {{"b1", "bern-a"}, {"b2", "bern-a"}, {"b7", "bern-a", "plans"}});
-  bench.opens(1, 0, 444);
-  bench.pass(Duration(200'000));
-  bench.opens(1, 1, 444);
-  bench.pass(Duration(400'000));
-  bench.opens(1, 2, 444);
-  bench.pass(Duration(100'000));
+  bench.sendOpening(1, 0, 444);
+  bench.advance(Duration(200'000));
+  bench.sendOpening(1, 1, 444);
+  bench.advance(Duration(400'000));
+  bench.sendOpening(1, 2, 444);
+  bench.advance(Duration(100'000));
   ASSERT_TRUE(bench.Out.Resets.empty()) << "still has time";
-  bench.opens(2);
+  bench.sendOpening(2);
   uint64_t first = bench.lastTag();
-  bench.pass(Duration(100'000));
+  bench.advance(Duration(100'000));
   EXPECT_NE(bench.lastTag(), first) << "another server has it by now";
 }
 
 // The same copies, each at its time: nobody answers, and the caller sends no
 // more.
-TEST(OpeningStoriesTest, ACallerIsToldOnceNobodyAnswersItsLastCopy) {
-  PacketBench bench;
-  bench.usual();
-  bench.opens(1, 0);
-  bench.pass(Duration(200'000));
-  bench.opens(1, 1);
-  bench.pass(Duration(400'000));
+TEST(OpeningScenariosTest, ACallerIsToldOnceNobodyAnswersItsLastCopy) {
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  bench.sendOpening(1, 0);
+  bench.advance(Duration(200'000));
+  bench.sendOpening(1, 1);
+  bench.advance(Duration(400'000));
   EXPECT_TRUE(bench.Out.Resets.empty());
-  bench.opens(1, 2);
-  bench.pass(Duration(400'000));
+  bench.sendOpening(1, 2);
+  bench.advance(Duration(400'000));
   EXPECT_TRUE(bench.Out.Resets.empty()) << "its answer may have been lost";
-  bench.pass(Duration(100'000));
+  bench.advance(Duration(100'000));
   EXPECT_EQ(bench.Out.Resets.size(), 1U);
   EXPECT_TRUE(
       bench.Out.reported(PacketEventKind::Refused, PacketReason::NoAnswer));
@@ -155,14 +155,14 @@
 // that did not get them all can't know what became of the others: the flow may
 // be open, and a reset would break it.
 TEST_P(EachSomeCopies, ResetNothing) {
-  PacketBench bench;
-  bench.usual();
+  PacketRouterHarness bench;
+  bench.publishDefaults();
   TimePoint began = bench.Now;
   for (uint8_t copy : GetParam().Copies) {
-    bench.pass(began + PacketBench::copyAge(copy) - bench.Now);
-    bench.opens(1, copy);
+    bench.advance(began + PacketRouterHarness::copyAge(copy) - bench.Now);
+    bench.sendOpening(1, copy);
   }
-  bench.pass(Duration(500'000));
+  bench.advance(Duration(500'000));
   EXPECT_TRUE(bench.Out.Resets.empty());
 }
 
@@ -189,42 +189,42 @@
 // are all out of reach, and against refusing them while the fabric still turns
 // to daemons that can serve them.
 TEST_P(EachOutOfReach, CallersAreRefusedAtOnceThatNobodyCanServe) {
-  PacketBench bench;
+  PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
-  bench.servers({{"b1", GetParam().Domain}, {"b2", GetParam().Domain}});
+  bench.publishServers({{"b1", GetParam().Domain}, {"b2", GetParam().Domain}});
   for (uint16_t port = 1; port <= 4; ++port)
-    bench.opens(port);
-  bench.pass(Duration(100'000));
-  bench.opens(5);
+    bench.sendOpening(port);
+  bench.advance(Duration(100'000));
+  bench.sendOpening(5);
   EXPECT_EQ(bench.lastTag() != 0, true) << "silent, but not yet asked by us";
   EXPECT_TRUE(bench.Out.Resets.empty());
-  auto endAttempts = [&](AttemptEnd how) {
+  auto endAttempts = [&](ConnectionResult how) {
     for (const ConnectionAttempt &it : bench.Router.dueAttempts(bench.Now))
-      bench.Router.attemptEnded(bench.Now, it.Server, how, bench.Out);
+      bench.Router.handleAttemptResult(bench.Now, it.Server, how, bench.Out);
   };
-  endAttempts(AttemptEnd::NotAttempted);
-  bench.opens(6);
+  endAttempts(ConnectionResult::NotAttempted);
+  bench.sendOpening(6);
   EXPECT_TRUE(bench.Out.Resets.empty()) << "nothing is known";
-  bench.pass(Duration(900'000));
-  endAttempts(AttemptEnd::Failed);
+  bench.advance(Duration(900'000));
+  endAttempts(ConnectionResult::Failed);
   size_t sent = bench.Out.Sent.size();
   size_t resets = bench.Out.Resets.size();
   if (GetParam().LeftToOthers > Duration{0}) {
-    bench.opens(10);
+    bench.sendOpening(10);
     EXPECT_EQ(bench.Out.Resets.size(), resets) << "others can serve it";
-    bench.pass(GetParam().LeftToOthers);
-    endAttempts(AttemptEnd::Failed);
+    bench.advance(GetParam().LeftToOthers);
+    endAttempts(ConnectionResult::Failed);
   }
-  bench.opens(7);
+  bench.sendOpening(7);
   EXPECT_EQ(bench.Out.Resets.size(), resets + 1);
   EXPECT_EQ(bench.Out.Sent.size(), sent) << "so it is true that nothing ran";
   EXPECT_TRUE(
       bench.Out.reported(PacketEventKind::Refused, PacketReason::Unreachable));
-  bench.opens(8, 1);
+  bench.sendOpening(8, 1);
   EXPECT_EQ(bench.Out.Resets.size(), resets + 1) << "its flow may be open";
-  bench.pass(Duration(900'000));
-  endAttempts(AttemptEnd::Connected);
-  bench.opens(9);
+  bench.advance(Duration(900'000));
+  endAttempts(ConnectionResult::Connected);
+  bench.sendOpening(9);
   EXPECT_NE(bench.lastTag(), 0U);
   EXPECT_EQ(bench.Out.Resets.size(), resets + 1);
 }
@@ -232,8 +232,9 @@
 INSTANTIATE_TEST_SUITE_P(
     Domains, EachOutOfReach,
     testing::Values(OutOfReach{"Own", "bern-a", Duration(0)},
-                    OutOfReach{"Other", "bern-b",
-                               PacketBench::settings().RotationSpan}),
+                    OutOfReach{
+                        "Other", "bern-b",
+                        PacketRouterHarness::settings().FabricFailoverTime}),
     [](const auto &info) { return std::string(info.param.Name); });
 
 } // namespace
--- a/UnitTests/Packets/FlowMemoryTest.cpp
+++ b/UnitTests/Packets/PacketFlowTableTest.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Packets/FlowMemory.h"
+#include "Balsamrack/Packets/PacketFlowTable.h"
 
 #include <gtest/gtest.h>
 
@@ -11,9 +11,9 @@
 
 FlowKey key(uint16_t port) { return {{0x0a000001, port}, {0xc6120001, 443}}; }
 
-Duration quietOf(const RememberedFlow &) { return Duration(2'000'000); }
+Duration quietOf(const TrackedFlow &) { return Duration(2'000'000); }
 
-Duration keepOf(const RememberedFlow &flow) {
+Duration keepOf(const TrackedFlow &flow) {
   return flow.Stage == FlowStage::Open ? OpenKeep : OpeningKeep;
 }
 
@@ -23,44 +23,45 @@
 // flows avoided a server that stood idle.
 // Cause: looks at flows waited in the order in which they were planned, not in
 // the order of their times.
-TEST(FlowMemoryTest, ALongWaitHoldsUpNoOtherFlow) {
-  FlowMemory memory(100);
-  RememberedFlow *open = memory.add(Start, key(1));
+TEST(PacketFlowTableTest, ALongWaitHoldsUpNoOtherFlow) {
+  PacketFlowTable memory(100);
+  TrackedFlow *open = memory.add(Start, key(1));
   open->Stage = FlowStage::Open;
   int quiet = 0;
-  auto onQuiet = [&](const FlowKey &, RememberedFlow &flow, bool) {
+  auto onQuiet = [&](const FlowKey &, TrackedFlow &flow, bool) {
     quiet += flow.Stage == FlowStage::Opening ? 1 : 0;
   };
   for (TimePoint now = Start; now < Start + Duration(3'000'000);
        now += Duration(100'000)) {
-    memory.sweep(now, quietOf, keepOf, onQuiet);
+    memory.processTimers(now, quietOf, keepOf, onQuiet);
     if (now == Start + Duration(2'500'000))
       memory.add(now, key(2));
   }
   for (TimePoint now = Start + Duration(3'000'000);
        now < Start + Duration(6'000'000); now += Duration(100'000))
-    memory.sweep(now, quietOf, keepOf, onQuiet);
+    memory.processTimers(now, quietOf, keepOf, onQuiet);
   EXPECT_EQ(quiet, 1);
   EXPECT_EQ(memory.find(key(2)), nullptr);
   EXPECT_NE(memory.find(key(1)), nullptr);
 }
 
-TEST(FlowMemoryTest, TakesNoMoreThanItsBound) {
-  FlowMemory memory(2);
+TEST(PacketFlowTableTest, TakesNoMoreThanItsBound) {
+  PacketFlowTable memory(2);
   EXPECT_NE(memory.add(Start, key(1)), nullptr);
   EXPECT_NE(memory.add(Start, key(2)), nullptr);
   EXPECT_EQ(memory.add(Start, key(3)), nullptr);
 }
 
-TEST(FlowMemoryTest, AFlowThatSpeaksStays) {
-  FlowMemory memory(10);
+TEST(PacketFlowTableTest, AFlowThatSpeaksStays) {
+  PacketFlowTable memory(10);
   memory.add(Start, key(1))->Stage = FlowStage::Open;
   int quiet = 0;
   for (TimePoint now = Start; now < Start + Duration(60'000'000);
        now += Duration(500'000)) {
     memory.find(key(1))->LastSeen = now;
-    memory.sweep(now, quietOf, keepOf,
-                 [&](const FlowKey &, RememberedFlow &, bool) { ++quiet; });
+    memory.processTimers(
+        now, quietOf, keepOf,
+        [&](const FlowKey &, TrackedFlow &, bool) { ++quiet; });
     ASSERT_NE(memory.find(key(1)), nullptr);
   }
   EXPECT_EQ(quiet, 0);
--- a/UnitTests/Packets/PacketLoadTest.cpp
+++ b/UnitTests/Packets/PacketLoadTest.cpp
@@ -8,7 +8,7 @@
 
 #include <gtest/gtest.h>
 
-#include "UnitTests/Packets/PacketBench.h"
+#include "UnitTests/Packets/PacketRouterHarness.h"
 
 namespace balsamrack {
 namespace {
@@ -108,7 +108,7 @@
       std::memcpy(&call, packet, sizeof call);
       Site.arrives(to.Tag - 1, to.Token, call, packet[8] != 0);
     }
-    void reset(const PacketHead &) override {}
+    void reset(const PacketHeader &) override {}
     void report(const PacketEvent &) override {}
 
   private:
@@ -124,15 +124,15 @@
   void startDaemon(size_t i) {
     if (Benches.size() <= i)
       Benches.resize(i + 1);
-    Benches[i] = std::make_unique<PacketBench>(Its.Seed * 100 + i);
-    PacketBench &bench = *Benches[i];
+    Benches[i] = std::make_unique<PacketRouterHarness>(Its.Seed * 100 + i);
+    PacketRouterHarness &bench = *Benches[i];
     bench.Now = Now;
     bench.configure(1, {{443, "booking"}}, 0,
                     Its.LateWait ? Objective : Duration(0));
-    std::vector<PacketBench::ServerLine> lines;
+    std::vector<PacketRouterHarness::ServerSpec> lines;
     for (size_t s = 1; s <= Its.Servers; ++s)
       lines.push_back({"b" + std::to_string(s), "bern-a"});
-    bench.servers(lines);
+    bench.publishServers(lines);
     if (Its.Shares)
       bench.Router.setFleet(Its.Daemons, i);
   }
@@ -178,20 +178,22 @@
     Call &call = Calls[id];
     if (call.Confirmed || call.Done || away())
       return;
-    PacketHead head;
+    PacketHeader head;
     head.Flow = call.Key;
     head.Opens = true;
     head.Sequence = static_cast<uint32_t>(id);
-    head.Copy = copy;
-    head.Age = PacketBench::copyAge(copy);
+    head.CopyNumber = copy;
+    head.Age = PacketRouterHarness::copyAge(copy);
     send(call.Daemon, head, id, false);
   }
-  void send(size_t daemon, const PacketHead &head, uint64_t id, bool request) {
+  void send(size_t daemon, const PacketHeader &head, uint64_t id,
+            bool request) {
     uint8_t packet[31] = {};
     std::memcpy(packet, &id, sizeof id);
     packet[8] = request ? 1 : 0;
     Wire wire(*this);
-    Benches[daemon]->Router.packet(Now, head, packet, sizeof packet, wire);
+    Benches[daemon]->Router.handlePacket(Now, head, packet, sizeof packet,
+                                         wire);
     Benches[daemon]->Router.tick(Now, wire);
   }
   void arrives(size_t server, uint32_t token, uint64_t id, bool request) {
@@ -210,7 +212,7 @@
       return;
     call.Confirmed = true;
     at(Now + Millisecond * 4, [this, id, token] {
-      PacketHead head;
+      PacketHeader head;
       head.Flow = Calls[id].Key;
       head.Acknowledges = true;
       head.Token = token;
@@ -248,7 +250,7 @@
     else if (counted && took <= Timeout)
       ++Counts.Late;
     at(Now + Millisecond * 8, [this, id] {
-      PacketHead head;
+      PacketHeader head;
       head.Flow = Calls[id].Key;
       head.Acknowledges = true;
       head.Ends = true;
@@ -265,7 +267,7 @@
   TimePoint CountFrom;
   TimePoint CountTo;
   std::vector<Server> Servers;
-  std::vector<std::unique_ptr<PacketBench>> Benches;
+  std::vector<std::unique_ptr<PacketRouterHarness>> Benches;
   std::map<uint64_t, Call> Calls;
   std::priority_queue<Event, std::vector<Event>, std::greater<Event>> Events;
   uint64_t Orders = 0;
--- a/UnitTests/Packets/PacketBench.h
+++ b/UnitTests/Packets/PacketRouterHarness.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_UNITTESTS_PACKETS_PACKETBENCH_H
-#define BALSAMRACK_UNITTESTS_PACKETS_PACKETBENCH_H
+#ifndef BALSAMRACK_UNITTESTS_PACKETS_PACKETROUTERHARNESS_H
+#define BALSAMRACK_UNITTESTS_PACKETS_PACKETROUTERHARNESS_H
 
 #include <string>
 #include <utility>
@@ -20,10 +20,10 @@
   void forward(const PacketTarget &to, const uint8_t *, size_t) override {
     Sent.push_back({to.At, to.Tag, to.Token});
   }
-  void reset(const PacketHead &head) override { Resets.push_back(head); }
+  void reset(const PacketHeader &head) override { Resets.push_back(head); }
   void report(const PacketEvent &event) override {
     Kinds.push_back(event.Kind);
-    Reasons.push_back(event.Why);
+    Reasons.push_back(event.Reason);
   }
   bool reported(PacketEventKind kind, PacketReason why) const {
     for (size_t i = 0; i < Kinds.size(); ++i)
@@ -33,16 +33,16 @@
   }
 
   std::vector<Forwarded> Sent;
-  std::vector<PacketHead> Resets;
+  std::vector<PacketHeader> Resets;
   std::vector<PacketEventKind> Kinds;
   std::vector<PacketReason> Reasons;
 };
 
 /// A router with published routes and servers, and a clock. Servers of service
 /// "booking" are b1 to bN with tags 1 to N; the route is 198.18.0.1:443.
-class PacketBench {
+class PacketRouterHarness {
 public:
-  struct ServerLine {
+  struct ServerSpec {
     std::string Id;
     std::string Domain;
     std::string Service = "booking";
@@ -52,7 +52,7 @@
     std::string At{};  ///< Empty: one of its own.
   };
 
-  explicit PacketBench(uint64_t seed = 1)
+  explicit PacketRouterHarness(uint64_t seed = 1)
       : Random(seed), Router(settings(), Random) {}
 
   static PacketRouterSettings settings() {
@@ -83,7 +83,7 @@
     publishOperators();
   }
   /// Takes a failure domain out of service.
-  void domainOut(const std::string &domain) {
+  void takeDomainOut(const std::string &domain) {
     Operators.push_back({PublishedSection::Operators,
                          "evacuate/" + domain,
                          {++Revisions},
@@ -91,9 +91,9 @@
     publishOperators();
   }
   /// Publishes servers, new or changed.
-  void servers(const std::vector<ServerLine> &lines) {
+  void publishServers(const std::vector<ServerSpec> &lines) {
     std::vector<PublishedObject> changed;
-    for (const ServerLine &line : lines) {
+    for (const ServerSpec &line : lines) {
       auto s = std::make_shared<PublishedServer>();
       s->Server.Id = ServerId(line.Id);
       s->Server.Service = ServiceId(line.Service);
@@ -109,26 +109,26 @@
                          {++Revisions},
                          std::shared_ptr<const PublishedServer>(s)});
     }
-    Book.serversChanged(Now, changed);
-    Router.setRoutes(Book.snapshot(Now));
+    Builder.applyServerChanges(Now, changed);
+    Router.setRoutes(Builder.snapshot(Now));
   }
   /// Entries disappear.
-  void gone(const std::vector<std::string> &ids) {
+  void removeServers(const std::vector<std::string> &ids) {
     std::vector<PublishedObject> changed;
     changed.reserve(ids.size());
     for (const std::string &id : ids)
       changed.push_back(
           {PublishedSection::Servers, id, {++Revisions}, std::monostate()});
-    Book.serversChanged(Now, changed);
-    Router.setRoutes(Book.snapshot(Now));
+    Builder.applyServerChanges(Now, changed);
+    Router.setRoutes(Builder.snapshot(Now));
   }
   /// Four servers in two domains behind port 443.
-  void usual() {
+  void publishDefaults() {
     configure(1, {{443, "booking"}});
-    servers({{"b1", "bern-a"},
-             {"b2", "bern-a"},
-             {"b3", "bern-b"},
-             {"b4", "bern-b"}});
+    publishServers({{"b1", "bern-a"},
+                    {"b2", "bern-a"},
+                    {"b3", "bern-b"},
+                    {"b4", "bern-b"}});
   }
 
   /// When callers send the copies of an opening.
@@ -140,59 +140,62 @@
     return {{0x64400000U + callerPort, callerPort}, {0xc6120001, port}};
   }
   /// The caller sends an opening, or copy \p copy of it.
-  void opens(uint16_t callerPort, uint8_t copy = 0, uint16_t port = 443) {
-    PacketHead head;
+  void sendOpening(uint16_t callerPort, uint8_t copy = 0, uint16_t port = 443) {
+    PacketHeader head;
     head.Flow = key(callerPort, port);
     head.Opens = true;
     head.Sequence = callerPort;
-    head.Copy = copy;
+    head.CopyNumber = copy;
     head.Age = copyAge(copy);
-    Router.packet(Now, head, Bytes, sizeof Bytes, Out);
+    Router.handlePacket(Now, head, Bytes, sizeof Bytes, Out);
     Router.tick(Now, Out);
   }
   /// The caller sends a packet of an open flow.
-  void speaks(uint16_t callerPort, uint32_t token, uint16_t data = 100,
-              bool ends = false, uint16_t port = 443) {
-    PacketHead head;
+  void sendOnFlow(uint16_t callerPort, uint32_t token, uint16_t data = 100,
+                  bool ends = false, uint16_t port = 443) {
+    PacketHeader head;
     head.Flow = key(callerPort, port);
     head.Acknowledges = true;
     head.Token = token;
     head.DataBytes = data;
     head.Ends = ends;
-    Router.packet(Now, head, Bytes, sizeof Bytes, Out);
+    Router.handlePacket(Now, head, Bytes, sizeof Bytes, Out);
     Router.tick(Now, Out);
   }
   /// The caller sends request \p n (zero is the first) on its open flow, or
   /// sends it again.
-  void asks(uint16_t callerPort, uint32_t token, uint32_t n) {
-    onFlow(callerPort, token, n * RequestBytes, RequestBytes, n * AnswerBytes);
+  void sendRequest(uint16_t callerPort, uint32_t token, uint32_t n) {
+    sendFlowPacket(callerPort, token, n * RequestBytes, RequestBytes,
+                   n * AnswerBytes);
   }
   /// The caller confirms the answer to request \p n.
-  void hears(uint16_t callerPort, uint32_t token, uint32_t n) {
-    onFlow(callerPort, token, (n + 1) * RequestBytes, 0, (n + 1) * AnswerBytes);
+  void acknowledgeAnswer(uint16_t callerPort, uint32_t token, uint32_t n) {
+    sendFlowPacket(callerPort, token, (n + 1) * RequestBytes, 0,
+                   (n + 1) * AnswerBytes);
   }
   /// All attempts to connect that are due end, \p connects telling how.
-  template <class Connects> void attempt(const Connects &connects) {
+  template <class Connects> void finishAttempts(const Connects &connects) {
     std::vector<ConnectionAttempt> failed;
     for (const ConnectionAttempt &it : Router.dueAttempts(Now))
       if (connects(it.Server))
-        Router.attemptEnded(Now, it.Server, AttemptEnd::Connected, Out);
+        Router.handleAttemptResult(Now, it.Server, ConnectionResult::Connected,
+                                   Out);
       else
         failed.push_back(it);
     // Their timeout is over long after the others have connected.
     for (const ConnectionAttempt &it : failed)
-      Router.attemptEnded(Now, it.Server, AttemptEnd::Failed, Out);
+      Router.handleAttemptResult(Now, it.Server, ConnectionResult::Failed, Out);
   }
   /// The tag of the server at \p index.
   uint64_t tagAt(ServerIndex index) const {
-    return Router.servers().at(index).Is.What->Tag;
+    return Router.servers().at(index).Backend.Published->Tag;
   }
   /// Time passes, with a look around each five milliseconds.
-  void pass(Duration span) {
+  void advance(Duration span) {
     for (TimePoint until = Now + span; Now < until;) {
       Now += Duration(5'000);
-      if (Now >= Book.nextChange())
-        Router.setRoutes(Book.snapshot(Now));
+      if (Now >= Builder.nextChange())
+        Router.setRoutes(Builder.snapshot(Now));
       Router.tick(Now, Out);
     }
   }
@@ -209,28 +212,28 @@
   TimePoint Now{Duration(1'000'000)};
   SeededRandom Random;
   PacketRouter Router;
-  RouteBook Book;
+  PacketRoutesBuilder Builder;
   RecordingSink Out;
 
 private:
   static constexpr uint16_t RequestBytes = 100;
   static constexpr uint32_t AnswerBytes = 1000;
 
-  void onFlow(uint16_t callerPort, uint32_t token, uint32_t sequence,
-              uint16_t data, uint32_t acknowledged) {
-    PacketHead head;
+  void sendFlowPacket(uint16_t callerPort, uint32_t token, uint32_t sequence,
+                      uint16_t data, uint32_t acknowledged) {
+    PacketHeader head;
     head.Flow = key(callerPort);
     head.Acknowledges = true;
     head.Token = token;
     head.Sequence = sequence;
     head.DataBytes = data;
     head.Acknowledged = acknowledged;
-    Router.packet(Now, head, Bytes, sizeof Bytes, Out);
+    Router.handlePacket(Now, head, Bytes, sizeof Bytes, Out);
     Router.tick(Now, Out);
   }
   void publishOperators() {
-    Book.setOperators(Now, Operators);
-    Router.setRoutes(Book.snapshot(Now));
+    Builder.applyOperatorObjects(Now, Operators);
+    Router.setRoutes(Builder.snapshot(Now));
   }
 
   static constexpr uint8_t Bytes[31] = {};
@@ -240,4 +243,4 @@
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_UNITTESTS_PACKETS_PACKETBENCH_H
+#endif // BALSAMRACK_UNITTESTS_PACKETS_PACKETROUTERHARNESS_H
--- a/UnitTests/Packets/PacketRouterTest.cpp
+++ b/UnitTests/Packets/PacketRouterTest.cpp
@@ -2,24 +2,24 @@
 
 #include <gtest/gtest.h>
 
-#include "UnitTests/Packets/PacketBench.h"
+#include "UnitTests/Packets/PacketRouterHarness.h"
 
 namespace balsamrack {
 namespace {
 
 TEST(PacketRouterTest, AFlowStaysAtTheServerThatItsCallerAnswers) {
-  PacketBench bench;
-  bench.usual();
-  bench.opens(1);
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  bench.sendOpening(1);
   uint64_t home = bench.lastTag();
   uint32_t token = bench.lastToken();
   ASSERT_NE(home, 0U);
   EXPECT_EQ(token, tokenOf(ServerId("b" + std::to_string(home))));
   for (int i = 0; i < 5; ++i) {
-    bench.speaks(1, token);
+    bench.sendOnFlow(1, token);
     EXPECT_EQ(bench.lastTag(), home);
   }
-  bench.speaks(1, token, 0, true);
+  bench.sendOnFlow(1, token, 0, true);
   EXPECT_EQ(bench.lastTag(), home);
   EXPECT_TRUE(bench.Out.reported(PacketEventKind::Ended, PacketReason::None));
 }
@@ -27,11 +27,11 @@
 // Story: the fabric hands the packets of an open flow to another daemon, which
 // has never heard of it. The seller's reservation must go on.
 TEST(PacketRouterTest, AnyDaemonFindsAFlowByItsToken) {
-  PacketBench first(1), second(2);
-  first.usual();
-  second.usual();
-  first.opens(1);
-  second.speaks(1, first.lastToken());
+  PacketRouterHarness first(1), second(2);
+  first.publishDefaults();
+  second.publishDefaults();
+  first.sendOpening(1);
+  second.sendOnFlow(1, first.lastToken());
   EXPECT_EQ(second.lastTag(), first.lastTag());
   EXPECT_TRUE(
       second.Out.reported(PacketEventKind::Adopted, PacketReason::None));
@@ -40,14 +40,14 @@
 // Story: a server dies. Its entry stands for three seconds more, and every
 // caller whose flow is placed there waits 200 ms for its next copy.
 TEST(PacketRouterTest, AnUnansweredOpeningGoesElsewhereSoon) {
-  PacketBench bench;
-  bench.usual();
-  bench.opens(1);
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  bench.sendOpening(1);
   uint64_t first = bench.lastTag();
-  bench.pass(Duration(60'000));
+  bench.advance(Duration(60'000));
   ASSERT_GE(bench.Out.Sent.size(), 2U);
   EXPECT_NE(bench.lastTag(), first);
-  bench.pass(Duration(400'000));
+  bench.advance(Duration(400'000));
   std::set<uint64_t> tried;
   for (const auto &sent : bench.Out.Sent)
     tried.insert(sent.Tag);
@@ -59,10 +59,10 @@
 // and takes the rest of their time for the usual time of a request. It then
 // thinks that slots are free which are taken.
 TEST(PacketRouterTest, AnAdoptedFlowTellsNoRequestTime) {
-  PacketBench bench;
-  bench.usual();
-  bench.speaks(1, tokenOf(ServerId("b1")));
-  bench.speaks(1, tokenOf(ServerId("b1")), 0, true);
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  bench.sendOnFlow(1, tokenOf(ServerId("b1")));
+  bench.sendOnFlow(1, tokenOf(ServerId("b1")), 0, true);
   EXPECT_EQ(
       bench.Router.servers().services().at(ServiceId("booking")).RequestTime,
       Duration(0));
@@ -72,16 +72,16 @@
 // The caller takes the first answer, but the second one's token is on all its
 // later packets. They belong to the first server.
 TEST(PacketRouterTest, ASecondAnswerMovesNoFlow) {
-  PacketBench bench;
-  bench.usual();
-  bench.opens(1);
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  bench.sendOpening(1);
   RecordingSink::Forwarded first = bench.Out.Sent.back();
-  bench.pass(Duration(45'000));
+  bench.advance(Duration(45'000));
   RecordingSink::Forwarded second = bench.Out.Sent.back();
   ASSERT_NE(first.Tag, second.Tag);
-  bench.speaks(1, first.Token);
+  bench.sendOnFlow(1, first.Token);
   EXPECT_EQ(bench.lastTag(), first.Tag);
-  bench.speaks(1, second.Token);
+  bench.sendOnFlow(1, second.Token);
   EXPECT_EQ(bench.lastTag(), first.Tag);
   EXPECT_EQ(bench.lastToken(), first.Token) << "the token is put right";
 }
@@ -89,26 +89,26 @@
 // Story: two failure domains are cut off from each other. Each server of the
 // other side would cost two callers 40 ms and more to find out about.
 TEST(PacketRouterTest, ASilentDomainIsFoundByTwoOfItsServers) {
-  PacketBench bench;
+  PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
-  bench.servers({{"b1", "bern-a"},
-                 {"b2", "bern-a"},
-                 {"b3", "bern-b"},
-                 {"b4", "bern-b"},
-                 {"b5", "bern-b"},
-                 {"b6", "bern-b"}});
+  bench.publishServers({{"b1", "bern-a"},
+                        {"b2", "bern-a"},
+                        {"b3", "bern-b"},
+                        {"b4", "bern-b"},
+                        {"b5", "bern-b"},
+                        {"b6", "bern-b"}});
   uint16_t port = 1;
   auto answers = [](uint64_t tag) { return tag <= 2; };
   for (int i = 0; i < 60; ++i, ++port) {
-    bench.opens(port);
+    bench.sendOpening(port);
     for (int step = 0; step < 40 && !answers(bench.lastTag()); ++step)
-      bench.pass(Duration(5'000));
+      bench.advance(Duration(5'000));
     ASSERT_TRUE(answers(bench.lastTag()));
     // A few flows stay open, so that the own domain is busy.
-    bench.speaks(port, bench.lastToken(), 100, port > 6);
+    bench.sendOnFlow(port, bench.lastToken(), 100, port > 6);
     for (const ConnectionAttempt &it : bench.Router.dueAttempts(bench.Now))
-      bench.Router.attemptEnded(bench.Now, it.Server, AttemptEnd::Failed,
-                                bench.Out);
+      bench.Router.handleAttemptResult(bench.Now, it.Server,
+                                       ConnectionResult::Failed, bench.Out);
   }
   size_t wasted = 0;
   for (const auto &sent : bench.Out.Sent)
@@ -117,18 +117,18 @@
 }
 
 TEST(PacketRouterTest, AServerThatTakesConnectionsAgainGetsFlowsAgain) {
-  PacketBench bench;
+  PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
-  bench.servers({{"b1", "bern-a"}});
-  bench.attempt([](ServerIndex) { return true; });
-  bench.opens(1);
-  bench.opens(2);
-  bench.pass(Duration(60'000));
+  bench.publishServers({{"b1", "bern-a"}});
+  bench.finishAttempts([](ServerIndex) { return true; });
+  bench.sendOpening(1);
+  bench.sendOpening(2);
+  bench.advance(Duration(60'000));
   ASSERT_EQ(bench.Router.silentServers(), 1U);
   auto due = bench.Router.dueAttempts(bench.Now);
   ASSERT_EQ(due.size(), 1U);
-  bench.Router.attemptEnded(bench.Now, due[0].Server, AttemptEnd::Connected,
-                            bench.Out);
+  bench.Router.handleAttemptResult(bench.Now, due[0].Server,
+                                   ConnectionResult::Connected, bench.Out);
   EXPECT_EQ(bench.Router.silentServers(), 0U);
   EXPECT_TRUE(
       bench.Out.reported(PacketEventKind::ServerBack, PacketReason::None));
@@ -138,9 +138,9 @@
 // What is explained must be what then happens, whatever the daemon is in.
 TEST(PacketRouterTest, WhatIsToldOfAPlacingIsWhatHappens) {
   SeededRandom random(7);
-  PacketBench bench;
+  PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
-  bench.servers(
+  bench.publishServers(
       {{"b1", "bern-a"},
        {"b2", "bern-a"},
        {"b3", "bern-b"},
@@ -148,34 +148,38 @@
   bench.Router.setFleet(3, 1);
   for (uint16_t port = 1; port <= 300; ++port) {
     FlowExplanation explanation =
-        bench.Router.explain(bench.Now, PacketBench::key(port));
+        bench.Router.explain(bench.Now, PacketRouterHarness::key(port));
     EXPECT_FALSE(explanation.Known);
     ASSERT_EQ(explanation.Refused, PacketReason::None);
-    bench.opens(port);
+    bench.sendOpening(port);
     std::string went = "b" + std::to_string(bench.lastTag());
     bool agrees = false;
     for (const ExplainedCandidate &it : explanation.Candidates)
       agrees = agrees || (it.Best && it.Server.str() == went);
     EXPECT_TRUE(agrees) << port << " went to " << went;
-    explanation = bench.Router.explain(bench.Now, PacketBench::key(port));
+    explanation =
+        bench.Router.explain(bench.Now, PacketRouterHarness::key(port));
     EXPECT_TRUE(explanation.Known);
-    EXPECT_EQ(explanation.Home.str(), went);
+    EXPECT_EQ(explanation.HomeServer.str(), went);
     // Some servers answer, some flows end, time passes.
     if (random.below(5) != 0)
-      bench.speaks(port, bench.lastToken(), 100, random.below(2) == 0);
-    bench.pass(Duration(static_cast<int64_t>(random.below(60'000))));
+      bench.sendOnFlow(port, bench.lastToken(), 100, random.below(2) == 0);
+    bench.advance(Duration(static_cast<int64_t>(random.below(60'000))));
   }
 }
 
 TEST(PacketRouterTest, ToldWhyANewFlowWouldGetNothing) {
-  PacketBench bench;
-  EXPECT_EQ(bench.Router.explain(bench.Now, PacketBench::key(1)).Refused,
-            PacketReason::NotReady);
+  PacketRouterHarness bench;
+  EXPECT_EQ(
+      bench.Router.explain(bench.Now, PacketRouterHarness::key(1)).Refused,
+      PacketReason::NotReady);
   bench.configure(1, {{443, "booking"}});
-  EXPECT_EQ(bench.Router.explain(bench.Now, PacketBench::key(1)).Refused,
-            PacketReason::NoServer);
-  EXPECT_EQ(bench.Router.explain(bench.Now, PacketBench::key(1, 999)).Refused,
-            PacketReason::NoRoute);
+  EXPECT_EQ(
+      bench.Router.explain(bench.Now, PacketRouterHarness::key(1)).Refused,
+      PacketReason::NoServer);
+  EXPECT_EQ(
+      bench.Router.explain(bench.Now, PacketRouterHarness::key(1, 999)).Refused,
+      PacketReason::NoRoute);
 }
 
 /// Packets that must not reach a server, and what happens to them.
@@ -191,10 +195,10 @@
 // Story: a caller makes up a token, or keeps one of another service. Its
 // packets reach no server, and a flow that may be open is never reset.
 TEST_P(EachNotForwarded, IsDroppedInSilence) {
-  PacketBench bench;
+  PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}, {444, "plans"}});
-  bench.servers({{"b1", "bern-a"}, {"b7", "bern-a", "plans"}});
-  bench.speaks(9, GetParam().Token, 100, false, GetParam().Port);
+  bench.publishServers({{"b1", "bern-a"}, {"b7", "bern-a", "plans"}});
+  bench.sendOnFlow(9, GetParam().Token, 100, false, GetParam().Port);
   EXPECT_TRUE(bench.Out.Sent.empty());
   EXPECT_TRUE(bench.Out.Resets.empty());
   EXPECT_TRUE(bench.Out.reported(PacketEventKind::Dropped, GetParam().Why));
@@ -212,10 +216,10 @@
     [](const auto &info) { return std::string(info.param.Name); });
 
 TEST(PacketRouterTest, WhatCannotBeServedIsRefusedAtOnce) {
-  PacketBench bench;
+  PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
-  bench.opens(1);
-  bench.opens(2, 0, 999);
+  bench.sendOpening(1);
+  bench.sendOpening(2, 0, 999);
   EXPECT_TRUE(
       bench.Out.reported(PacketEventKind::Refused, PacketReason::NoServer));
   EXPECT_TRUE(
@@ -226,15 +230,15 @@
 // Story: nobody answers a caller's opening, not even its last copy. It hears so
 // at once instead of waiting until its own time is up.
 TEST(PacketRouterTest, AnOpeningThatNobodyAnswersIsGivenUp) {
-  PacketBench bench;
-  bench.usual();
-  bench.opens(1);
-  bench.pass(Duration(200'000));
-  bench.opens(1, 1);
-  bench.pass(Duration(400'000));
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  bench.sendOpening(1);
+  bench.advance(Duration(200'000));
+  bench.sendOpening(1, 1);
+  bench.advance(Duration(400'000));
   EXPECT_TRUE(bench.Out.Resets.empty());
-  bench.opens(1, 2);
-  bench.pass(Duration(700'000));
+  bench.sendOpening(1, 2);
+  bench.advance(Duration(700'000));
   EXPECT_EQ(bench.Out.Resets.size(), 1U);
   EXPECT_TRUE(
       bench.Out.reported(PacketEventKind::Refused, PacketReason::NoAnswer));
@@ -243,30 +247,30 @@
 // Story: operators drop a route. The flow that is open on it gets its answer;
 // new flows are refused.
 TEST(PacketRouterTest, ADroppedRouteKeepsItsOpenFlows) {
-  PacketBench bench;
+  PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
-  bench.servers({{"b1", "bern-a"}});
-  bench.opens(1);
+  bench.publishServers({{"b1", "bern-a"}});
+  bench.sendOpening(1);
   uint32_t token = bench.lastToken();
-  bench.speaks(1, token);
+  bench.sendOnFlow(1, token);
   bench.configure(2, {{444, "booking"}});
   size_t before = bench.Out.Sent.size();
-  bench.speaks(1, token);
+  bench.sendOnFlow(1, token);
   EXPECT_EQ(bench.Out.Sent.size(), before + 1);
-  bench.opens(2);
+  bench.sendOpening(2);
   EXPECT_TRUE(
       bench.Out.reported(PacketEventKind::Refused, PacketReason::NoRoute));
 }
 
 TEST(PacketRouterTest, LeavingServersAndDomainsGetNoNewFlows) {
-  PacketBench bench;
-  bench.usual();
-  bench.domainOut("bern-b");
-  bench.servers({{"b2", "bern-a", "booking", ServerMode::Draining}});
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  bench.takeDomainOut("bern-b");
+  bench.publishServers({{"b2", "bern-a", "booking", ServerMode::Draining}});
   for (uint16_t port = 1; port <= 20; ++port) {
-    bench.opens(port);
+    bench.sendOpening(port);
     EXPECT_EQ(bench.lastTag(), 1U);
-    bench.speaks(port, bench.lastToken());
+    bench.sendOnFlow(port, bench.lastToken());
   }
 }
 
@@ -277,18 +281,18 @@
   constexpr double PerSecond = 4;
   size_t toCold = 0;
   for (size_t self = 0; self < Daemons; ++self) {
-    PacketBench bench(self + 1);
+    PacketRouterHarness bench(self + 1);
     bench.configure(1, {{443, "booking"}}, PerSecond);
-    bench.servers({{"b1", "bern-a"},
-                   {"b2", "bern-a"},
-                   {"b3", "bern-b"},
-                   {"b4", "bern-b", "booking", ServerMode::Active,
-                    Duration(60'000'000)}});
+    bench.publishServers({{"b1", "bern-a"},
+                          {"b2", "bern-a"},
+                          {"b3", "bern-b"},
+                          {"b4", "bern-b", "booking", ServerMode::Active,
+                           Duration(60'000'000)}});
     bench.Router.setFleet(Daemons, self);
     for (uint16_t port = 1; port <= 400; ++port) {
-      bench.opens(port);
-      bench.speaks(port, bench.lastToken());
-      bench.pass(Duration(5'000));
+      bench.sendOpening(port);
+      bench.sendOnFlow(port, bench.lastToken());
+      bench.advance(Duration(5'000));
     }
     for (const auto &sent : bench.Out.Sent)
       toCold += sent.Tag == 4 ? 1 : 0;
@@ -301,60 +305,60 @@
 // Story: the publishing service was away, and all entries expired though every
 // server lives. Openings must go on, spread over all of them.
 TEST(PacketRouterTest, ServersThatExpireTogetherStayInUse) {
-  PacketBench bench;
-  bench.usual();
-  bench.gone({"b1", "b2", "b3", "b4"});
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  bench.removeServers({"b1", "b2", "b3", "b4"});
   std::set<uint64_t> used;
   for (uint16_t port = 1; port <= 40; ++port) {
-    bench.opens(port);
+    bench.sendOpening(port);
     used.insert(bench.lastTag());
-    bench.speaks(port, bench.lastToken());
+    bench.sendOnFlow(port, bench.lastToken());
   }
   EXPECT_EQ(used.size(), 4U);
   EXPECT_TRUE(bench.Out.Resets.empty());
-  bench.pass(Duration(2'100'000));
-  bench.opens(100);
+  bench.advance(Duration(2'100'000));
+  bench.sendOpening(100);
   EXPECT_TRUE(
       bench.Out.reported(PacketEventKind::Refused, PacketReason::NoServer));
 }
 
 TEST(PacketRouterTest, AServerThatDisappearsAloneIsTheLastChoice) {
-  PacketBench bench;
-  bench.usual();
-  bench.gone({"b1"});
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  bench.removeServers({"b1"});
   for (uint16_t port = 1; port <= 20; ++port) {
-    bench.opens(port);
+    bench.sendOpening(port);
     EXPECT_NE(bench.lastTag(), 1U);
-    bench.speaks(port, bench.lastToken());
+    bench.sendOnFlow(port, bench.lastToken());
   }
 }
 
 // Story: a daemon starts, and callers' packets are there before the first
 // updates of routes. Dropped, they would cost each caller 200 ms.
 TEST(PacketRouterTest, OpeningsWaitForTheFirstState) {
-  PacketBench bench;
-  bench.opens(1);
+  PacketRouterHarness bench;
+  bench.sendOpening(1);
   EXPECT_TRUE(bench.Out.Sent.empty());
-  bench.usual();
-  bench.pass(Duration(5'000));
+  bench.publishDefaults();
+  bench.advance(Duration(5'000));
   EXPECT_EQ(bench.Out.Sent.size(), 1U);
 }
 
 // Story: a process was frozen for seconds. What it holds may be old, so new
 // flows wait for updates; open ones go on.
 TEST(PacketRouterTest, AfterAPauseOpeningsWaitForARefresh) {
-  PacketBench bench;
-  bench.usual();
-  bench.opens(1);
+  PacketRouterHarness bench;
+  bench.publishDefaults();
+  bench.sendOpening(1);
   uint32_t token = bench.lastToken();
-  bench.speaks(1, token);
+  bench.sendOnFlow(1, token);
   bench.Router.setStale();
-  bench.opens(2);
+  bench.sendOpening(2);
   EXPECT_EQ(bench.Out.Sent.size(), 2U);
-  bench.speaks(1, token);
+  bench.sendOnFlow(1, token);
   EXPECT_EQ(bench.Out.Sent.size(), 3U);
   bench.Router.setFresh();
-  bench.pass(Duration(5'000));
+  bench.advance(Duration(5'000));
   EXPECT_EQ(bench.Out.Sent.size(), 4U);
 }
 
@@ -362,25 +366,25 @@
 // their tokens alone.
 TEST(PacketRouterTest, AFullMemoryLosesNoFlow) {
   SeededRandom random(1);
-  PacketRouterSettings settings = PacketBench::settings();
+  PacketRouterSettings settings = PacketRouterHarness::settings();
   settings.MaxFlows = 2;
   PacketRouter router(settings, random);
-  PacketBench source;
-  source.usual();
+  PacketRouterHarness source;
+  source.publishDefaults();
   router.setRoutes(source.Router.routes());
   RecordingSink out;
   const uint8_t bytes[31] = {};
   for (uint16_t port = 1; port <= 5; ++port) {
-    PacketHead head;
-    head.Flow = PacketBench::key(port);
+    PacketHeader head;
+    head.Flow = PacketRouterHarness::key(port);
     head.Opens = true;
     head.Sequence = port;
-    router.packet(source.Now, head, bytes, sizeof bytes, out);
+    router.handlePacket(source.Now, head, bytes, sizeof bytes, out);
     uint64_t home = out.Sent.back().Tag;
     head.Opens = false;
     head.Token = out.Sent.back().Token;
     head.DataBytes = 10;
-    router.packet(source.Now, head, bytes, sizeof bytes, out);
+    router.handlePacket(source.Now, head, bytes, sizeof bytes, out);
     EXPECT_EQ(out.Sent.back().Tag, home);
   }
   EXPECT_EQ(router.flows(), 2U);
@@ -389,13 +393,13 @@
 // The same input gives the same actions.
 TEST(PacketRouterTest, IsDeterministic) {
   auto play = [] {
-    PacketBench bench(7);
-    bench.usual();
+    PacketRouterHarness bench(7);
+    bench.publishDefaults();
     for (uint16_t port = 1; port <= 50; ++port) {
-      bench.opens(port);
+      bench.sendOpening(port);
       if (port % 3 != 0)
-        bench.speaks(port, bench.lastToken());
-      bench.pass(Duration(10'000));
+        bench.sendOnFlow(port, bench.lastToken());
+      bench.advance(Duration(10'000));
     }
     std::vector<uint64_t> tags;
     for (const auto &sent : bench.Out.Sent)
--- a/UnitTests/Packets/RouteBookTest.cpp
+++ b/UnitTests/Packets/PacketRoutesBuilderTest.cpp
@@ -13,14 +13,14 @@
 // its next change was due since the beginning of time, so the thread that
 // waited for updates looked without pause and used up the processor's
 // allotment.
-TEST(RouteBookTest, AnEmptyBookHasNothingDue) {
-  EXPECT_EQ(RouteBook().nextChange(), TimePoint(Duration::max()));
+TEST(PacketRoutesBuilderTest, AnEmptyBookHasNothingDue) {
+  EXPECT_EQ(PacketRoutesBuilder().nextChange(), TimePoint(Duration::max()));
 }
 
 /// Processor time of this thread that a book of \p servers needs to take in
 /// that a quarter of them disappear.
-Duration timeOfLoss(size_t servers) {
-  RouteBook book;
+Duration measureRemovalTime(size_t servers) {
+  PacketRoutesBuilder book;
   TimePoint now{Duration(1'000'000)};
   std::vector<PublishedObject> all, lost;
   for (size_t i = 0; i < servers; ++i) {
@@ -37,28 +37,28 @@
     if (i % 4 == 0)
       lost.push_back({PublishedSection::Servers, id, {2}, std::monostate()});
   }
-  book.serversChanged(now, all);
+  book.applyServerChanges(now, all);
   auto processorTime = [] {
     timespec at{};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &at);
     return Duration(at.tv_sec * 1'000'000 + at.tv_nsec / 1'000);
   };
   Duration before = processorTime();
-  book.serversChanged(now, lost);
+  book.applyServerChanges(now, lost);
   return processorTime() - before;
 }
 
 // Guards against a daemon that is busy for seconds with the loss of a failure
 // domain's servers: each was compared with all others.
-TEST(RouteBookTest, TheLossOfADomainCostsWhatItsServersCost) {
+TEST(PacketRoutesBuilderTest, TheLossOfADomainCostsWhatItsServersCost) {
   constexpr size_t Few = 500, TimesAsMany = 8;
   // Half way, in powers, from what grows with servers to what grows with their
   // square.
   constexpr double MostGrowth = 8 * 2.83;
   Duration few = Duration::max(), many = Duration::max();
   for (int i = 0; i < 5; ++i) {
-    few = std::min(few, timeOfLoss(Few));
-    many = std::min(many, timeOfLoss(Few * TimesAsMany));
+    few = std::min(few, measureRemovalTime(Few));
+    many = std::min(many, measureRemovalTime(Few * TimesAsMany));
   }
   EXPECT_LE(static_cast<double>(many.count()),
             MostGrowth * static_cast<double>(few.count() + 1));
--- a/UnitTests/Packets/CallerProgressTest.cpp
+++ b/UnitTests/Packets/RequestTrackerTest.cpp
@@ -3,49 +3,49 @@
 
 #include <gtest/gtest.h>
 
-#include "Balsamrack/Packets/CallerProgress.h"
+#include "Balsamrack/Packets/RequestTracker.h"
 
 namespace balsamrack {
 namespace {
 
 /// One packet of a caller, and what it says.
-struct Spoken {
+struct ObservedPacket {
   int64_t AtMillis;
   uint32_t Sequence;
   uint16_t Bytes;
   uint32_t Acknowledged;
   bool Answered;
-  CallerData Data;
+  RequestDataKind Data;
 };
 
 struct ProgressCase {
   const char *Name;
-  std::vector<Spoken> Packets;
+  std::vector<ObservedPacket> Packets;
   bool AskingAtTheEnd;
 };
 
 class EachProgress : public testing::TestWithParam<ProgressCase> {};
 
 TEST_P(EachProgress, IsFollowed) {
-  CallerProgress progress;
-  for (const Spoken &it : GetParam().Packets) {
-    PacketHead head;
+  RequestTracker progress;
+  for (const ObservedPacket &it : GetParam().Packets) {
+    PacketHeader head;
     head.Sequence = it.Sequence;
     head.DataBytes = it.Bytes;
     head.Acknowledged = it.Acknowledged;
     head.Acknowledges = true;
-    CallerStep step =
-        progress.packet(TimePoint(Duration(it.AtMillis * 1000)), head);
+    RequestProgress step =
+        progress.handlePacket(TimePoint(Duration(it.AtMillis * 1000)), head);
     EXPECT_EQ(step.Answered, it.Answered) << "at " << it.AtMillis;
     EXPECT_EQ(step.Data, it.Data) << "at " << it.AtMillis;
   }
-  EXPECT_EQ(progress.asking(), GetParam().AskingAtTheEnd);
+  EXPECT_EQ(progress.isAwaitingAnswer(), GetParam().AskingAtTheEnd);
 }
 
-constexpr CallerData None = CallerData::None;
-constexpr CallerData Begins = CallerData::Begins;
-constexpr CallerData GoesOn = CallerData::GoesOn;
-constexpr CallerData Repeated = CallerData::Repeated;
+constexpr RequestDataKind None = RequestDataKind::None;
+constexpr RequestDataKind Begins = RequestDataKind::NewRequest;
+constexpr RequestDataKind GoesOn = RequestDataKind::Continuation;
+constexpr RequestDataKind Repeated = RequestDataKind::Retransmission;
 
 INSTANTIATE_TEST_SUITE_P(
     Flows, EachProgress,
--- a/UnitTests/Peers/PeerSamples.cpp
+++ b/UnitTests/Peers/PeerSamples.cpp
@@ -124,7 +124,7 @@
 OutcomeReport report() {
   OutcomeReport r;
   r.Result.Request = {11};
-  r.Result.How = Ending::GivenUp;
+  r.Result.How = OutcomeKind::GivenUp;
   r.Result.Why = Reason::UnknownService;
   r.Result.RetryAfter = Duration(9);
   r.Result.Server = ServerId("booking-01");
@@ -160,7 +160,7 @@
           FlowExceptions{ServiceId("booking"), {{{12}, ServerId("b-1")}}},
           KeyClaim{Key, {11}},
           KeyReply{Key, {11}, KeyVerdict::Fresh},
-          KeySettled{Key, {11}, Ending::GivenUp},
+          KeySettled{Key, {11}, OutcomeKind::GivenUp},
           KeysHandedOver{{{Key, {11}, KeyVerdict::Unknown, Duration(8)}},
                          VmId("vm-1"),
                          {12},
--- a/UnitTests/UsersPlatform/EchoPacketsTest.cpp
+++ b/UnitTests/UsersPlatform/EchoPacketsTest.cpp
@@ -30,7 +30,7 @@
   EXPECT_EQ(head->Flow.Service.str(), "198.18.0.1:443");
   EXPECT_EQ(head->Sequence, 0x11223344U);
   EXPECT_TRUE(head->Opens);
-  EXPECT_EQ(head->Copy, 0);
+  EXPECT_EQ(head->CopyNumber, 0);
 }
 
 TEST(EchoPacketsTest, KnowsTheNumberOfACopy) {
@@ -38,14 +38,14 @@
   copy[27] = 2;
   auto head = EchoPackets().decode(copy.data(), copy.size());
   ASSERT_TRUE(head);
-  EXPECT_EQ(head->Copy, 2);
+  EXPECT_EQ(head->CopyNumber, 2);
   EXPECT_EQ(head->Age, Duration(600'000));
 }
 
 TEST(EchoPacketsTest, WritesTheReset) {
   EchoPackets codec;
   auto head = codec.decode(Opening.data(), Opening.size());
-  Bytes out(PacketCodec::MaxHeadBytes);
+  Bytes out(PacketCodec::MaxHeaderBytes);
   out.resize(codec.writeReset(*head, out.data()));
   EXPECT_EQ(out, Reset);
 }
@@ -58,7 +58,7 @@
   packet[28] = 0x56;
   auto head = codec.decode(packet.data(), packet.size());
   ASSERT_TRUE(head);
-  Bytes out(PacketCodec::MaxHeadBytes);
+  Bytes out(PacketCodec::MaxHeaderBytes);
   codec.writeReset(*head, out.data());
   EXPECT_EQ(out[23], 0x78);
   EXPECT_EQ(out[24], 0x56);
@@ -121,7 +121,7 @@
       packet[5] = 0;
     }
     auto head = codec.decode(packet.data(), packet.size());
-    std::array<uint8_t, PacketCodec::MaxHeadBytes> out{};
+    std::array<uint8_t, PacketCodec::MaxHeaderBytes> out{};
     if (head) {
       EXPECT_EQ(codec.writeReset(*head, out.data()), 31U);
     }
