--- a/Balsamrack/Daemon/DaemonTelemetry.cpp
+++ b/Balsamrack/Daemon/DaemonTelemetry.cpp
@@ -87,20 +87,20 @@
 
 void DaemonTelemetry::endSpan(HopSpan span) { Impl->Spans->end(span); }
 
-void DaemonTelemetry::recordPacketEnd(const ServiceId &service, Ending how,
+void DaemonTelemetry::recordPacketEnd(const ServiceId &service, OutcomeKind how,
                                       Reason why, Duration took) {
   Impl->Registry->count(Packets, {{"service", service.str()},
-                                  {"ending", endingName(how)},
+                                  {"ending", outcomeKindName(how)},
                                   {"reason", reasonName(why)}});
-  if (how == Ending::Answered)
+  if (how == OutcomeKind::Answered)
     Impl->Registry->observe(PacketTimes, {{"service", service.str()}}, took);
 }
 
-void DaemonTelemetry::recordDispatchEnd(const ServerId &server, DispatchEnd how,
-                                        Duration took) {
-  Impl->Registry->count(
-      Dispatches, {{"server", server.str()}, {"end", dispatchEndName(how)}});
-  if (how == DispatchEnd::Answered)
+void DaemonTelemetry::recordDispatchEnd(const ServerId &server,
+                                        DispatchOutcome how, Duration took) {
+  Impl->Registry->count(Dispatches, {{"server", server.str()},
+                                     {"end", dispatchOutcomeName(how)}});
+  if (how == DispatchOutcome::Answered)
     Impl->Registry->observe(AnswerTimes, {{"server", server.str()}}, took);
 }
 
--- a/Balsamrack/Daemon/DaemonTelemetry.h
+++ b/Balsamrack/Daemon/DaemonTelemetry.h
@@ -28,9 +28,9 @@
   void recordDecision(Decision what) override;
   std::string startSpan(const std::string &parent) override;
   void endSpan(HopSpan span) override;
-  void recordPacketEnd(const ServiceId &service, Ending how, Reason why,
+  void recordPacketEnd(const ServiceId &service, OutcomeKind how, Reason why,
                        Duration took) override;
-  void recordDispatchEnd(const ServerId &server, DispatchEnd how,
+  void recordDispatchEnd(const ServerId &server, DispatchOutcome how,
                          Duration took) override;
   void log(Part part, Severity severity, const std::string &sentence) override;
   void recordError(Part part, const absl::Status &status) override;
--- a/Balsamrack/Daemon/PacketControlPlane.cpp
+++ b/Balsamrack/Daemon/PacketControlPlane.cpp
@@ -380,9 +380,9 @@
   else
     logChanges(changed);
   if (changed.Section == PublishedSection::Servers)
-    Book.serversChanged(now, changed.Changed);
+    Book.applyServerChanges(now, changed.Changed);
   else
-    Book.setOperators(now, Exchange.store().objects(changed.Section));
+    Book.applyOperatorObjects(now, Exchange.store().objects(changed.Section));
   RoutesDue = true;
 }
 
--- a/Balsamrack/Daemon/PacketControlPlane.h
+++ b/Balsamrack/Daemon/PacketControlPlane.h
@@ -104,7 +104,7 @@
   std::vector<EntryVm> Seeds;
   std::unique_ptr<Membership> Members;
   StateExchange Exchange;
-  RouteBook Book;
+  PacketRoutesBuilder Book;
   bool RoutesDue = true;   ///< A snapshot is to be made once all is known.
   TimePoint NextRoutesAt;  ///< Not before; see UpdatePeriod.
   bool MembersDue = true;  ///< The live daemons have changed.
--- a/Balsamrack/Daemon/PacketTelemetry.cpp
+++ b/Balsamrack/Daemon/PacketTelemetry.cpp
@@ -78,7 +78,7 @@
 
 void PacketTelemetry::recordEvent(const PacketEvent &event) {
   const char *kind = packetEventName(event.Kind);
-  const char *why = packetReasonName(event.Why);
+  const char *why = packetReasonName(event.Reason);
   Registry->count(FlowEvents, {{"event", kind}, {"reason", why}});
   if (event.Kind == PacketEventKind::Confirmed)
     Registry->observe(OpeningTime, {}, event.Took);
@@ -92,7 +92,7 @@
                kind);
   if (event.Flow.Service.Port != 0)
     line.text("flow", event.Flow.Caller.str() + ">" + event.Flow.Service.str());
-  if (event.Why != PacketReason::None)
+  if (event.Reason != PacketReason::None)
     line.text("reason", why);
   if (event.Server) {
     line.text("server", event.Server->str());
--- a/Balsamrack/Flows/EntryPlacement.cpp
+++ b/Balsamrack/Flows/EntryPlacement.cpp
@@ -79,19 +79,19 @@
           {}, {});
   // True, and better for the caller than "unknown": it may simply come back.
   if (p.Keys.isProvenNotRun(Settings))
-    return end(p, Ending::NotRun, why, {}, jitteredRetryAfter(),
+    return end(p, OutcomeKind::NotRun, why, {}, jitteredRetryAfter(),
                "key-proved-new");
   // Coming back helps when another attempt is under way or a guardian was out
   // of reach; a key whose guardians are all fresh stays unknown for long.
   bool comeBack = why == Reason::KeyInProgress || p.Keys.hasMissingReply();
-  end(p, Ending::OutcomeUnknown, why, {},
+  end(p, OutcomeKind::OutcomeUnknown, why, {},
       comeBack ? jitteredRetryAfter() : Duration(0), "idempotency-key");
 }
 
 void EntryRouter::State::place(EntryPacket &p) {
   const ServiceRoute *route = View->findService(p.Head.Service);
   if (!route)
-    return end(p, Ending::NotRun, Reason::UnknownService, {}, {},
+    return end(p, OutcomeKind::NotRun, Reason::UnknownService, {}, {},
                "unknown-service");
   if (placeByToken(p, *route))
     return;
@@ -122,10 +122,11 @@
   // force here yet: then another server would break the flow, and the ticket
   // arrives within seconds. Or the server was deleted: the flow is over.
   if (token->Ticket > View->Ticket)
-    end(p, Ending::NotRun, Reason::OwnerUnsure, {}, jitteredRetryAfter(),
+    end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, {}, jitteredRetryAfter(),
         "token-of-later-ticket");
   else
-    end(p, Ending::GivenUp, Reason::NoServer, {}, {}, "token-server-deleted");
+    end(p, OutcomeKind::GivenUp, Reason::NoServer, {}, {},
+        "token-server-deleted");
   return true;
 }
 
@@ -135,15 +136,15 @@
   const RoutedServer *server =
       chooseForNewFlow(route, rankKey(p), p.TriedServers);
   if (!server)
-    return end(p, Ending::NotRun, Reason::NoServer, {}, jitteredRetryAfter(),
-               "no-server");
+    return end(p, OutcomeKind::NotRun, Reason::NoServer, {},
+               jitteredRetryAfter(), "no-server");
   forward(p, *server, false, false, "new-flow");
 }
 
 void EntryRouter::State::placeEstablishedFlow(EntryPacket &p,
                                               const ServiceRoute &route) {
   if (route.Servers.empty())
-    return end(p, Ending::GivenUp, Reason::NoServer, {}, {}, "no-server");
+    return end(p, OutcomeKind::GivenUp, Reason::NoServer, {}, {}, "no-server");
   // Most flows live on their first candidate: hand the packet over right away,
   // its owner says if not.
   const RoutedServer &best =
@@ -158,14 +159,15 @@
                                              bool byToken, const char *rule) {
   const ServerId &id = server.Server.Id;
   if (!server.DomainInService)
-    return end(p, Ending::GivenUp, Reason::DomainOut, id, {}, "domain-out");
+    return end(p, OutcomeKind::GivenUp, Reason::DomainOut, id, {},
+               "domain-out");
   // Its server may well be alive: moving the flow would break it for good,
   // while the obstacle may go away.
   if (!server.DomainReachable)
-    return end(p, Ending::NotRun, Reason::DomainUnreachable, id,
+    return end(p, OutcomeKind::NotRun, Reason::DomainUnreachable, id,
                jitteredRetryAfter(), "domain-unreachable");
   if (!server.isReachable())
-    return end(p, Ending::NotRun, Reason::OwnerUnreachable, id,
+    return end(p, OutcomeKind::NotRun, Reason::OwnerUnreachable, id,
                jitteredRetryAfter(), "owner-unreachable");
   forward(p, server, !byToken, byToken, rule);
 }
@@ -177,7 +179,7 @@
   const RoutedServer *home = route ? route->find(server) : nullptr;
   // A peer with a later ticket names a server that is not in force here yet.
   if (!home)
-    return end(p, Ending::NotRun, Reason::OwnerUnsure, server,
+    return end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, server,
                jitteredRetryAfter(), "server-of-later-ticket");
   forwardToFlowServer(p, *home, false, rule);
 }
@@ -185,8 +187,8 @@
 void EntryRouter::State::startSearch(EntryPacket &p) {
   const ServiceRoute *route = View->findService(p.Head.Service);
   if (!route || route->Servers.empty())
-    return end(p, Ending::NotRun, Reason::OwnerUnsure, {}, jitteredRetryAfter(),
-               "service-gone");
+    return end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, {},
+               jitteredRetryAfter(), "service-gone");
   if (!Settings.UseQuestion) {
     const RoutedServer &best =
         route->Servers[route->Rank.firstCandidate(rankKey(p))];
@@ -218,14 +220,15 @@
   case FlowSearch::Conclusion::Inferred:
     return forwardToFlowServerById(p, p.Search.server(), "question-inferred");
   case FlowSearch::Conclusion::Unreachable:
-    return end(p, Ending::NotRun, Reason::OwnerUnreachable, p.Search.server(),
-               jitteredRetryAfter(), "likely-home-unreachable");
+    return end(p, OutcomeKind::NotRun, Reason::OwnerUnreachable,
+               p.Search.server(), jitteredRetryAfter(),
+               "likely-home-unreachable");
   case FlowSearch::Conclusion::DomainOut:
-    return end(p, Ending::GivenUp, Reason::DomainOut, p.Search.server(), {},
-               "likely-home-out");
+    return end(p, OutcomeKind::GivenUp, Reason::DomainOut, p.Search.server(),
+               {}, "likely-home-out");
   case FlowSearch::Conclusion::LaterTicket:
-    return end(p, Ending::NotRun, Reason::OwnerUnsure, {}, jitteredRetryAfter(),
-               "owner-has-later-ticket");
+    return end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, {},
+               jitteredRetryAfter(), "owner-has-later-ticket");
   case FlowSearch::Conclusion::NotFound:
     break;
   }
@@ -234,8 +237,8 @@
   const RoutedServer *server =
       route ? chooseForNewFlow(*route, rankKey(p), {}) : nullptr;
   if (!server)
-    return end(p, Ending::NotRun, Reason::NoServer, {}, jitteredRetryAfter(),
-               "no-server");
+    return end(p, OutcomeKind::NotRun, Reason::NoServer, {},
+               jitteredRetryAfter(), "no-server");
   forward(p, *server, true, false, "nobody-knows");
 }
 
@@ -290,8 +293,8 @@
     p.MayHaveRun = true;
     p.LostServer = gone.Server;
     if (!retry)
-      return end(p, Ending::OutcomeUnknown, Reason::OwnerLost, gone.Server, {},
-                 "owner-lost");
+      return end(p, OutcomeKind::OutcomeUnknown, Reason::OwnerLost, gone.Server,
+                 {}, "owner-lost");
     p.Outstanding.reset();
     const ServiceRoute &route = *View->findService(p.Head.Service);
     const RoutedServer &next =
--- a/Balsamrack/Flows/EntryRouterState.h
+++ b/Balsamrack/Flows/EntryRouterState.h
@@ -70,8 +70,8 @@
   Duration jitteredRetryAfter();
   void handleTimer(EntryPacket &p);
   void abandon(EntryPacket &p, Reason why);
-  void settleKey(const EntryPacket &p, Ending how);
-  void end(EntryPacket &p, Ending how, Reason why, const ServerId &server,
+  void settleKey(const EntryPacket &p, OutcomeKind how);
+  void end(EntryPacket &p, OutcomeKind how, Reason why, const ServerId &server,
            Duration retryAfter, const char *rule);
   void end(EntryPacket &p, Outcome outcome, const char *rule);
   void erase(EntryPacket &p);
--- a/UnitTests/Daemon/PlatformReaderTest.cpp
+++ b/UnitTests/Daemon/PlatformReaderTest.cpp
@@ -69,8 +69,10 @@
   void recordDecision(Decision) override {}
   std::string startSpan(const std::string &) override { return ""; }
   void endSpan(HopSpan) override {}
-  void recordPacketEnd(const ServiceId &, Ending, Reason, Duration) override {}
-  void recordDispatchEnd(const ServerId &, DispatchEnd, Duration) override {}
+  void recordPacketEnd(const ServiceId &, OutcomeKind, Reason,
+                       Duration) override {}
+  void recordDispatchEnd(const ServerId &, DispatchOutcome, Duration) override {
+  }
   void log(Part, Severity, const std::string &) override {}
   void recordError(Part, const absl::Status &) override {}
 };
--- a/UnitTests/Flows/EntryRouterTest.cpp
+++ b/UnitTests/Flows/EntryRouterTest.cpp
@@ -49,7 +49,7 @@
   if (std::string(GetParam().Established) != "sent") {
     EXPECT_EQ(harness.ending(), GetParam().Established);
     EXPECT_EQ(harness.End.Result.RetryAfter > Duration(0),
-              harness.End.Result.How == Ending::NotRun);
+              harness.End.Result.How == OutcomeKind::NotRun);
     return;
   }
   EXPECT_EQ(harness.forward().Server, first);
@@ -82,7 +82,7 @@
 
 /// What an owner says to a new flow, and what becomes of it.
 struct RefusalCase {
-  Ending How;
+  OutcomeKind How;
   Reason Why;
   bool TriesNext;
 };
@@ -101,28 +101,30 @@
 INSTANTIATE_TEST_SUITE_P(
     All, RefusalTest,
     testing::Values(
-        RefusalCase{Ending::NotRun, Reason::QueueFull, true},
-        RefusalCase{Ending::NotRun, Reason::ServerCold, true},
-        RefusalCase{Ending::NotRun, Reason::ServerFull, true},
-        RefusalCase{Ending::NotRun, Reason::ServerEjected, true},
-        RefusalCase{Ending::NotRun, Reason::ServerDraining, true},
-        RefusalCase{Ending::NotRun, Reason::CallerShare, true},
-        RefusalCase{Ending::NotRun, Reason::DeadlineTooShort, true},
-        RefusalCase{Ending::NotRun, Reason::OwnerUnsure, true},
-        RefusalCase{Ending::NotRun, Reason::ServerShed, true},
-        RefusalCase{Ending::NotRun, Reason::ServerUnreachable, true},
-        RefusalCase{Ending::NotRun, Reason::DeadlinePassed, false},
-        RefusalCase{Ending::NotRun, Reason::CallerGone, false},
-        RefusalCase{Ending::OutcomeUnknown, Reason::ServerFailed, false},
-        RefusalCase{Ending::GivenUp, Reason::DomainOut, false},
-        RefusalCase{Ending::Answered, Reason::None, false}));
+        RefusalCase{OutcomeKind::NotRun, Reason::QueueFull, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::ServerCold, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::ServerFull, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::ServerEjected, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::ServerDraining, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::CallerShare, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::DeadlineTooShort, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::OwnerUnsure, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::ServerShed, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::ServerUnreachable, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::DeadlinePassed, false},
+        RefusalCase{OutcomeKind::NotRun, Reason::CallerGone, false},
+        RefusalCase{OutcomeKind::OutcomeUnknown, Reason::ServerFailed, false},
+        RefusalCase{OutcomeKind::GivenUp, Reason::DomainOut, false},
+        RefusalCase{OutcomeKind::Answered, Reason::None, false}));
 
 TEST(EntryRouterTest, TriesAreBounded) {
   RouterHarness harness(makeView(14));
   harness.arrive(true);
   for (uint32_t i = 1; i < harness.Settings.MaxTries; ++i)
-    harness.reply(Ending::NotRun, Reason::QueueFull, harness.forward().Server);
-  harness.reply(Ending::NotRun, Reason::QueueFull, harness.forward().Server);
+    harness.reply(OutcomeKind::NotRun, Reason::QueueFull,
+                  harness.forward().Server);
+  harness.reply(OutcomeKind::NotRun, Reason::QueueFull,
+                harness.forward().Server);
   EXPECT_EQ(harness.ending(), "not-run/queue-full");
   EXPECT_GT(harness.End.Result.RetryAfter, Duration(0));
 }
@@ -139,7 +141,7 @@
     harness.arrive(true);
     while (!harness.all<SendForward>().empty()) {
       ++forwards;
-      harness.reply(Ending::NotRun, Reason::QueueFull,
+      harness.reply(OutcomeKind::NotRun, Reason::QueueFull,
                     harness.forward().Server);
     }
   }
@@ -209,7 +211,7 @@
   RouterHarness harness(makeView(5), withTokens());
   harness.arrive(true);
   ServerId home = harness.forward().Server;
-  harness.reply(Ending::Answered, Reason::None, home);
+  harness.reply(OutcomeKind::Answered, Reason::None, home);
   EXPECT_EQ(harness.ending(), "answered/none");
   harness.arrive(false, Semantics::RunOnce, harness.End.Token);
   EXPECT_EQ(harness.forward().Server, home);
@@ -236,7 +238,7 @@
   harness.arrive(false);
   EXPECT_EQ(harness.forward().Server, order[0]);
   EXPECT_FALSE(harness.LastForward.Accept);
-  harness.reply(Ending::NotRun, Reason::FlowElsewhere, ServerId());
+  harness.reply(OutcomeKind::NotRun, Reason::FlowElsewhere, ServerId());
   // Two are asked at first, the others when those don't know.
   EXPECT_EQ(harness.all<SendQuestion>().size(), 2U);
   std::map<VmId, std::string> replies;
@@ -296,10 +298,10 @@
   std::vector<ServerId> order = harness.candidates();
   harness.arrive(false);
   harness.forward();
-  harness.reply(Ending::NotRun, Reason::FlowElsewhere, order[3]);
+  harness.reply(OutcomeKind::NotRun, Reason::FlowElsewhere, order[3]);
   EXPECT_EQ(harness.forward().Server, order[3]);
   EXPECT_TRUE(harness.LastForward.Accept);
-  harness.reply(Ending::NotRun, Reason::QueueFull, order[3]);
+  harness.reply(OutcomeKind::NotRun, Reason::QueueFull, order[3]);
   EXPECT_EQ(harness.ending(), "not-run/queue-full");
 }
 
@@ -322,7 +324,7 @@
   ServerId first = harness.forward().Server;
   harness.step(PeerLost{harness.LastForward.To.Id});
   EXPECT_NE(harness.forward().Server, first);
-  harness.reply(Ending::NotRun, Reason::DeadlinePassed,
+  harness.reply(OutcomeKind::NotRun, Reason::DeadlinePassed,
                 harness.LastForward.Server);
   EXPECT_EQ(harness.ending(), "unknown/owner-lost");
   EXPECT_EQ(harness.End.Result.Server, first);
@@ -335,7 +337,7 @@
   RouterHarness harness(makeView(5));
   harness.arrive(true);
   SendForward first = harness.forward();
-  harness.reply(Ending::NotRun, Reason::QueueFull, first.Server);
+  harness.reply(OutcomeKind::NotRun, Reason::QueueFull, first.Server);
   harness.forward();
   Outcome again;
   again.Request = RequestId{1};
@@ -354,9 +356,9 @@
   RouterHarness harness(view);
   harness.arrive(true);
   ServerId first = harness.forward().Server;
-  harness.reply(Ending::NotRun, Reason::QueueFull, first);
+  harness.reply(OutcomeKind::NotRun, Reason::QueueFull, first);
   harness.forward();
-  harness.reply(Ending::NotRun, Reason::QueueFull, first);
+  harness.reply(OutcomeKind::NotRun, Reason::QueueFull, first);
   EXPECT_TRUE(harness.Last.empty());
 }
 
@@ -370,9 +372,9 @@
   ServerId home = harness.candidates()[3];
   harness.arrive(false);
   harness.forward();
-  harness.reply(Ending::NotRun, Reason::FlowElsewhere, home);
+  harness.reply(OutcomeKind::NotRun, Reason::FlowElsewhere, home);
   EXPECT_EQ(harness.forward().Server, home);
-  harness.reply(Ending::NotRun, Reason::FlowElsewhere, home);
+  harness.reply(OutcomeKind::NotRun, Reason::FlowElsewhere, home);
   EXPECT_TRUE(harness.Last.empty());
 }
 
