--- a/Balsamrack/Daemon/ControlPart.cpp
+++ b/Balsamrack/Daemon/ControlPart.cpp
@@ -19,13 +19,13 @@
 /// Well below the largest frame, so that control stays in small pieces.
 constexpr size_t StateMessageBytes = size_t{64} * 1024;
 
-OwnedServer::Origin originOf(GainedHow how) {
+OwnedServer::Origin originOf(AcquisitionKind how) {
   switch (how) {
-  case GainedHow::Founded:
+  case AcquisitionKind::FirstOwner:
     return OwnedServer::Origin::Founded;
-  case GainedHow::HandedOver:
+  case AcquisitionKind::HandedOver:
     return OwnedServer::Origin::HandedOver;
-  case GainedHow::TakenOver:
+  case AcquisitionKind::TakenOver:
     break;
   }
   return OwnedServer::Origin::TakenOver;
@@ -154,7 +154,7 @@
 void ControlPart::tick(TimePoint now) {
   {
     std::lock_guard<std::mutex> guard(Lock);
-    Fence.ticked(now);
+    Fence.onTick(now);
     const auto due = Members->nextWakeup();
     if (!due || *due <= now)
       stepMembership(now, MembershipTicked{});
@@ -242,11 +242,11 @@
       asked = now;
       Outbox.emplace_back(newer->Peer, Store.request());
     }
-  } else if (const auto *heard = std::get_if<ConditionHeard>(&action)) {
-    stepOwnership(now, ConditionNoted{heard->Condition});
+  } else if (const auto *heard = std::get_if<ConditionReceived>(&action)) {
+    stepOwnership(now, PeerConditionReceived{heard->Condition});
   } else if (const auto *renewed = std::get_if<LeaseRenewed>(&action)) {
-    Fence.heard(renewed->Peer, renewed->SentAt, now);
-  } else if (std::get_if<HeldForDead>(&action)) {
+    Fence.renewLease(renewed->Peer, renewed->SentAt, now);
+  } else if (std::get_if<DeclaredDead>(&action)) {
     stepOwnership(now, AuthorityExpired{});
   } else if (std::get_if<Superseded>(&action)) {
     Watch.log(Part::Membership, Severity::Error,
@@ -259,7 +259,7 @@
 }
 
 void ControlPart::membersChanged(TimePoint now) {
-  Fence.peersChanged(Members->liveDomainPeers(), now);
+  Fence.setPeers(Members->liveDomainPeers(), now);
   stepOwnership(now, MembersChanged{Members->members()});
   ViewStale = true;
 }
@@ -295,11 +295,11 @@
 }
 
 void ControlPart::onOwnershipAction(const OwnershipAction &action) {
-  if (const auto *gain = std::get_if<Gain>(&action)) {
+  if (const auto *gain = std::get_if<ServerAcquired>(&action)) {
     Gains[gain->Server] = *gain;
     Gained.push_back(gain->Server);
     OwnedChanged = ViewStale = true;
-  } else if (const auto *lose = std::get_if<Lose>(&action)) {
+  } else if (const auto *lose = std::get_if<StopDispatching>(&action)) {
     Gains.erase(lose->Server);
     Losses.push_back(*lose);
     OwnedChanged = ViewStale = true;
@@ -322,7 +322,7 @@
     change.Ticket = view->highest();
     change.Settings = *service;
     change.Servers.push_back({*server, view->domainInService(server->Domain),
-                              originOf(gain.How), gain.LastKnown,
+                              originOf(gain.Kind), gain.LastKnown,
                               gain.InProgress, gain.DispatchAllowedFrom});
   }
   return owned;
@@ -426,7 +426,7 @@
 
 void ControlPart::applyOwned() {
   OwnedServers owned;
-  std::vector<Lose> losses;
+  std::vector<StopDispatching> losses;
   std::vector<ServerId> gained;
   std::optional<uint64_t> expiry;
   {
@@ -444,15 +444,15 @@
     Fence.restart(*expiry, Time.now());
 
   // Only now can it be said that nothing more leaves for what was lost.
-  for (const Lose &it : losses) {
-    HandedServer handed;
+  for (const StopDispatching &it : losses) {
+    HandedOverServer handed;
     handed.InProgress = Listener.onLost(it.Server, it.NewOwner);
     std::lock_guard<std::mutex> guard(Lock);
     const auto known = Conditions.find(it.Server);
     if (known != Conditions.end())
       handed.Condition = known->second;
     handed.Condition.Server = it.Server;
-    stepOwnership(Time.now(), ServerStopped{handed});
+    stepOwnership(Time.now(), DispatchStopped{handed});
   }
 }
 
--- a/Balsamrack/Daemon/ControlPart.h
+++ b/Balsamrack/Daemon/ControlPart.h
@@ -135,9 +135,9 @@
   mutable std::mutex Lock; ///< Guards all below.
   std::unique_ptr<Membership> Members;
   std::unique_ptr<OwnershipTracker> Ownership;
-  std::map<ServerId, Gain> Gains; ///< How each owned server came.
+  std::map<ServerId, ServerAcquired> Gains; ///< How each owned server came.
   std::map<ServerId, ServerCondition> Conditions; ///< Newest of owned servers.
-  std::vector<Lose> Losses;                       ///< Not applied yet.
+  std::vector<StopDispatching> Losses;            ///< Not applied yet.
   std::vector<ServerId> Gained;                   ///< Not told yet.
   std::vector<std::pair<EntryVm, PeerMessage>> Outbox; ///< Not sent yet.
   std::map<ServiceId, std::deque<std::vector<RankedServer>>>
--- a/Balsamrack/Daemon/StatePart.cpp
+++ b/Balsamrack/Daemon/StatePart.cpp
@@ -33,7 +33,7 @@
 /// no lease to keep.
 MembershipSettings packetMembership() {
   MembershipSettings settings;
-  settings.HintRetryMax = Duration(4'000'000);
+  settings.MaxHintRetryPeriod = Duration(4'000'000);
   // After a loss of power all daemons start within some hundred milliseconds,
   // and until they know each other each takes all slots for its own.
   settings.StartPeriod = Duration(100'000);
@@ -114,7 +114,7 @@
   TimePoint now = Time.now();
   TimePoint until =
       std::min({now + MostWait, Exchange.nextWakeup(), Book.nextChange()});
-  if (RoutesDue && Exchange.store().complete())
+  if (RoutesDue && Exchange.store().isComplete())
     until = std::min(until, NextRoutes);
   if (MembersDue)
     until = std::min(until, NextMembers);
@@ -290,20 +290,20 @@
                             const std::vector<StateExchangeAction> &actions) {
   for (const StateExchangeAction &action : actions) {
     if (const auto *to = std::get_if<SendStateMessage>(&action)) {
-      std::visit([&](const auto &what) { sendAll(to->To, what); }, to->What);
+      std::visit([&](const auto &what) { sendAll(to->To, what); }, to->Message);
     } else if (const auto *read = std::get_if<StartRead>(&action)) {
-      startRead(read->What);
+      startRead(read->Read);
     } else if (const auto *changed = std::get_if<StateChanged>(&action)) {
       handleStateChange(now, *changed);
     } else if (const auto *source = std::get_if<SourceChanged>(&action)) {
       Watch.log(LogLine(Part::Platform,
-                        source->Good ? Severity::Info : Severity::Warning,
-                        source->Good ? "source-regained" : "source-lost")
+                        source->Readable ? Severity::Info : Severity::Warning,
+                        source->Readable ? "source-regained" : "source-lost")
                     .text("section", sectionName(source->Section))
                     .text("error", source->Error));
     }
   }
-  Complete = Exchange.store().complete();
+  Complete = Exchange.store().isComplete();
 }
 
 void StatePart::startRead(const PublishedRead &read) {
@@ -323,7 +323,7 @@
   Watch.readEnded(read.Section, read.After == Revision{}, result.status());
   if (result.ok())
     noteRefreshed();
-  runExchange(now, Exchange.readEnded(now, read, result));
+  runExchange(now, Exchange.handleReadResult(now, read, result));
 }
 
 void StatePart::logChange(const PublishedObject &object, const VmId &from) {
@@ -346,20 +346,20 @@
                            : "draining")
         .millis("cold_ms", (*server)->ColdLeft);
   else
-    line.text("state", object.gone() ? "gone" : "domain-out");
+    line.text("state", object.isDeleted() ? "gone" : "domain-out");
   Watch.log(line);
 }
 
 void StatePart::logChanges(const StateChanged &changed) {
   auto gone = std::count_if(changed.Changed.begin(), changed.Changed.end(),
-                            [](const auto &it) { return it.gone(); });
+                            [](const auto &it) { return it.isDeleted(); });
   Watch.log(
       LogLine(Part::Reader, Severity::Info, "many-published-changed")
           .text("section", sectionName(changed.Section))
           .number("objects", changed.Changed.size())
           .number("gone", static_cast<uint64_t>(gone))
           .number("revision",
-                  Exchange.store().completeAs(changed.Section).Value)
+                  Exchange.store().completeRevision(changed.Section).Value)
           .text("from", changed.From.empty() ? "source" : changed.From.str()));
 }
 
@@ -378,7 +378,7 @@
 
 void StatePart::publishRoutes(TimePoint now) {
   bool due = (RoutesDue && now >= NextRoutes) || now >= Book.nextChange();
-  if (!due || !Exchange.store().complete())
+  if (!due || !Exchange.store().isComplete())
     return;
   RoutesDue = false;
   NextRoutes = now + UpdatePeriod;
@@ -391,7 +391,7 @@
   NextFigures = now + FiguresPeriod;
   Watch.setPeers(Peers->counters(), LivePeers);
   for (auto section : {PublishedSection::Operators, PublishedSection::Servers})
-    Watch.setAge(section, now - Exchange.provedAt(section));
+    Watch.setAge(section, now - Exchange.verifiedAt(section));
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Membership/GossipComposer.cpp
+++ b/Balsamrack/Membership/GossipComposer.cpp
@@ -8,7 +8,7 @@
 constexpr size_t MemberOverheadBytes = 80;
 constexpr size_t ConditionOverheadBytes = 50;
 /// Conditions get this part of the bytes of a message at most.
-constexpr size_t ConditionShare = 2;
+constexpr size_t ConditionShareDivisor = 2;
 /// Each daemon passes record on so many times for each doubling of the fleet;
 /// an epidemic needs about one (SWIM, section 4.1), the rest covers loss.
 constexpr uint32_t SendsPerDoubling = 2;
@@ -45,9 +45,9 @@
   return SendsPerDoubling * doublings;
 }
 
-size_t GossipComposer::addAboutReceiver(const MemberMap &members,
-                                        const EntryVm &to,
-                                        Gossip &gossip) const {
+size_t GossipComposer::addReceiverRecord(const MemberMap &members,
+                                         const EntryVm &to,
+                                         Gossip &gossip) const {
   auto it = members.find(to.Id);
   if (it == members.end() || it->second.Record.State == MemberState::Alive)
     return 0;
@@ -56,21 +56,20 @@
 }
 
 Gossip GossipComposer::compose(const MemberMap &members, const EntryVm &to) {
-  Gossip gossip{Held, {}, {}};
+  Gossip gossip{OwnDigest, {}, {}};
   uint32_t times = timesToSend(members.size());
   size_t left = Settings.GossipBytes;
   // Conditions matter to daemons of the own domain only.
   if (to.Domain == Domain)
-    for (const ServerId &id :
-         ConditionQueue.take(left / ConditionShare, times, [&](auto &key) {
-           return estimatedBytes(Conditions.at(key));
-         })) {
+    for (const ServerId &id : ConditionQueue.dequeue(
+             left / ConditionShareDivisor, times,
+             [&](auto &key) { return estimatedBytes(Conditions.at(key)); })) {
       gossip.Conditions.push_back(Conditions.at(id));
       left -= estimatedBytes(Conditions.at(id));
     }
-  size_t used = addAboutReceiver(members, to, gossip);
+  size_t used = addReceiverRecord(members, to, gossip);
   left -= used < left ? used : left;
-  for (const VmId &id : MemberQueue.take(left, times, [&](const VmId &key) {
+  for (const VmId &id : MemberQueue.dequeue(left, times, [&](const VmId &key) {
          return estimatedBytes(members.at(key).Record);
        }))
     if (id != to.Id || used == 0)
@@ -80,8 +79,8 @@
 
 Gossip GossipComposer::composeFull(const MemberMap &members,
                                    const EntryVm &to) {
-  Gossip gossip{Held, {}, {}};
-  size_t bytes = addAboutReceiver(members, to, gossip);
+  Gossip gossip{OwnDigest, {}, {}};
+  size_t bytes = addReceiverRecord(members, to, gossip);
   for (bool ofReceiver : {true, false})
     for (const auto &[id, member] : members) {
       bool here = member.Record.Vm.Domain == to.Domain;
--- a/Balsamrack/Membership/GossipComposer.h
+++ b/Balsamrack/Membership/GossipComposer.h
@@ -22,13 +22,13 @@
   GossipComposer(const MembershipSettings &settings, const DomainId &domain);
 
   /// The own configuration is now \p held. Not thread-safe.
-  void setDigest(const StateDigest &held) { Held = held; }
+  void setDigest(const StateDigest &held) { OwnDigest = held; }
   /// The own configuration. Not thread-safe.
-  const StateDigest &digest() const { return Held; }
+  const StateDigest &digest() const { return OwnDigest; }
   /// A member has updates to be spread. Not thread-safe.
   void queueMember(const VmId &vm) { MemberQueue.add(vm); }
   /// A member was forgotten. Not thread-safe.
-  void memberForgotten(const VmId &vm) { MemberQueue.remove(vm); }
+  void removeMember(const VmId &vm) { MemberQueue.remove(vm); }
   /// Takes a condition; true when it is newer than what was known. Not
   /// thread-safe.
   bool queueCondition(const ServerCondition &condition);
@@ -42,13 +42,13 @@
   Gossip composeFull(const MemberMap &members, const EntryVm &to);
 
 private:
-  size_t addAboutReceiver(const MemberMap &members, const EntryVm &to,
-                          Gossip &gossip) const;
+  size_t addReceiverRecord(const MemberMap &members, const EntryVm &to,
+                           Gossip &gossip) const;
   uint32_t timesToSend(size_t members) const;
 
   const MembershipSettings Settings;              ///< Limits.
   const DomainId Domain;                          ///< Own domain.
-  StateDigest Held;                               ///< Own configuration.
+  StateDigest OwnDigest;                          ///< Own configuration.
   GossipQueue<VmId> MemberQueue;                  ///< Members with updates.
   GossipQueue<ServerId> ConditionQueue;           ///< Servers with updates.
   std::map<ServerId, ServerCondition> Conditions; ///< Newest of each server.
--- a/Balsamrack/Membership/GossipQueue.h
+++ b/Balsamrack/Membership/GossipQueue.h
@@ -19,52 +19,52 @@
   /// \p key has updates that were not sent yet. Not thread-safe.
   void add(const Key &key) {
     remove(key);
-    place(key, 0);
+    insert(key, 0);
   }
   /// \p key needs no update any more. Not thread-safe.
   void remove(const Key &key) {
-    auto it = Places.find(key);
-    if (it == Places.end())
+    auto it = PositionByKey.find(key);
+    if (it == PositionByKey.end())
       return;
     Order.erase({it->second.Sent, it->second.Turn, key});
-    Places.erase(it);
+    PositionByKey.erase(it);
   }
   /// Takes names until their sizes by \p sizeOf fill \p bytes, and counts them
   /// as sent; a name that was sent \p times is dropped. Not thread-safe.
   template <class SizeOf>
-  std::vector<Key> take(size_t bytes, uint32_t times, SizeOf sizeOf) {
-    std::vector<Key> taken;
+  std::vector<Key> dequeue(size_t bytes, uint32_t times, SizeOf sizeOf) {
+    std::vector<Key> dequeued;
     for (const auto &[sent, turn, key] : Order) {
       size_t size = sizeOf(key);
       if (size > bytes)
         break;
       bytes -= size;
-      taken.push_back(key);
+      dequeued.push_back(key);
     }
-    for (const Key &key : taken) {
-      uint32_t sent = Places.at(key).Sent + 1;
+    for (const Key &key : dequeued) {
+      uint32_t sent = PositionByKey.at(key).Sent + 1;
       remove(key);
       if (sent < times)
-        place(key, sent);
+        insert(key, sent);
     }
-    return taken;
+    return dequeued;
   }
   /// Number of names with unsent updates. Not thread-safe.
-  size_t size() const { return Places.size(); }
+  size_t size() const { return PositionByKey.size(); }
 
 private:
   /// Where a key stands in the order.
-  struct Place {
+  struct Position {
     uint32_t Sent = 0; ///< How often it was sent.
     uint64_t Turn = 0; ///< Lower was placed earlier.
   };
-  void place(const Key &key, uint32_t sent) {
-    Places[key] = {sent, ++LastTurn};
+  void insert(const Key &key, uint32_t sent) {
+    PositionByKey[key] = {sent, ++LastTurn};
     Order.insert({sent, LastTurn, key});
   }
 
   std::set<std::tuple<uint32_t, uint64_t, Key>> Order; ///< By (sent, turn).
-  std::map<Key, Place> Places;                         ///< The same by key.
+  std::map<Key, Position> PositionByKey;               ///< The same by key.
   uint64_t LastTurn = 0;                               ///< Counts placings.
 };
 
--- a/Balsamrack/Membership/HintList.cpp
+++ b/Balsamrack/Membership/HintList.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 /// Hints tried at once: enough to find a domain's few daemons in one round.
-constexpr size_t OwnDomainTries = 3;
+constexpr size_t OwnDomainProbes = 3;
 /// Others come one by one, so that a long list of dead VMs costs little.
-constexpr size_t OtherTries = 1;
+constexpr size_t OtherDomainProbes = 1;
 /// Seeds are few, and their domain may not be known.
-constexpr size_t SeedTries = 3;
+constexpr size_t SeedProbes = 3;
 
 } // namespace
 
@@ -54,7 +54,7 @@
   addMissing(now, vms, members);
 }
 
-void HintList::memberForgotten(TimePoint now, const VmId &vm) {
+void HintList::onMemberForgotten(TimePoint now, const VmId &vm) {
   for (const auto *named : {&Listed, &Seeded}) {
     auto it = named->find(vm);
     if (it != named->end())
@@ -62,18 +62,20 @@
   }
 }
 
-std::vector<EntryVm> HintList::due(TimePoint now) {
+std::vector<EntryVm> HintList::takeDue(TimePoint now) {
   std::vector<EntryVm> own, others;
   for (auto &[id, hint] : Hints) {
     bool sameDomain = hint.Vm.Domain == Self.Domain;
     bool seed = Seeded.count(id) != 0;
     auto &list = sameDomain ? own : others;
-    size_t most = sameDomain ? OwnDomainTries : seed ? SeedTries : OtherTries;
+    size_t most = sameDomain ? OwnDomainProbes
+                  : seed     ? SeedProbes
+                             : OtherDomainProbes;
     if (hint.Next > now || list.size() >= most)
       continue;
     list.push_back(hint.Vm);
     hint.Next = now + hint.Wait;
-    hint.Wait = std::min(hint.Wait * 2, Settings.HintRetryMax);
+    hint.Wait = std::min(hint.Wait * 2, Settings.MaxHintRetryPeriod);
   }
   own.insert(own.end(), others.begin(), others.end());
   return own;
--- a/Balsamrack/Membership/HintList.h
+++ b/Balsamrack/Membership/HintList.h
@@ -29,17 +29,17 @@
   void forget(const VmId &vm) { Hints.erase(vm); }
   /// A member was forgotten; if it is still named it is a hint again. Not
   /// thread-safe.
-  void memberForgotten(TimePoint now, const VmId &vm);
+  void onMemberForgotten(TimePoint now, const VmId &vm);
   /// Hints to be tried now, own domain first, and counts them as tried: a few
   /// of the own domain, one of others. Not thread-safe.
-  std::vector<EntryVm> due(TimePoint now);
+  std::vector<EntryVm> takeDue(TimePoint now);
   /// Everyone of the own domain that is named, member or not, but this daemon.
   /// Not thread-safe.
   std::vector<VmId> domainPeers() const;
   /// True once the list or seeds were given. Not thread-safe.
   bool known() const { return !Listed.empty() || !Seeded.empty(); }
   /// True when the platform's list was given and lacks \p vm. Not thread-safe.
-  bool unlisted(const VmId &vm) const {
+  bool isUnlisted(const VmId &vm) const {
     return !Listed.empty() && Listed.count(vm) == 0;
   }
 
--- a/Balsamrack/Membership/MemberTable.cpp
+++ b/Balsamrack/Membership/MemberTable.cpp
@@ -14,7 +14,7 @@
 constexpr int DomainCheckPeriods = 4;
 /// After a domain is heard again its members get so many times the usual time
 /// to refute what was said of them while it was cut off.
-constexpr int HealSuspicions = 3;
+constexpr int HealedSuspicionFactor = 3;
 /// Between two looks for members to forget.
 constexpr Duration ForgetPeriod{250'000};
 
@@ -31,13 +31,14 @@
   Members[Self].Record = {self, run, 0, MemberState::Alive};
 }
 
-void MemberTable::note(const MemberView &member, const std::string &rule,
-                       const VmId &peer, bool spread) {
+void MemberTable::recordChange(const MemberView &member,
+                               const std::string &rule, const VmId &peer,
+                               bool spread) {
   Changes.push_back({member.Record, member.Unreachable, rule, peer, spread});
 }
 
-bool MemberTable::takeHeldForDead() {
-  return std::exchange(HeldForDead, false);
+bool MemberTable::takeDeclaredDead() {
+  return std::exchange(WasDeclaredDead, false);
 }
 
 std::optional<MemberRecord> MemberTable::takeSuperseded() {
@@ -48,7 +49,7 @@
   return std::exchange(Changes, {});
 }
 
-void MemberTable::leave(TimePoint now, MemberState state) {
+void MemberTable::announceLeaving(TimePoint now, MemberState state) {
   MemberView &self = Members.at(Self);
   MemberRecord record = self.Record;
   record.Vm.Leaving = true;
@@ -62,15 +63,15 @@
                           const VmId &peer) {
   if (member.Record.State == MemberState::Alive &&
       record.State != MemberState::Alive)
-    member.SilentSince = now;
+    member.AliveUntil = now;
   member.Record = record;
-  member.Since = now;
+  member.StateChangedAt = now;
   Suspicions.erase(record.Vm.Id);
   if (record.State == MemberState::Suspect && !member.Unreachable)
-    Suspicions[record.Vm.Id] = {now, now + suspicionOf(member), false};
+    Suspicions[record.Vm.Id] = {now, now + suspicionTimeOf(member), false};
   if (record.State == MemberState::Dead || record.State == MemberState::Left)
     member.Unreachable = false;
-  note(member, rule, peer, !member.Unreachable);
+  recordChange(member, rule, peer, !member.Unreachable);
 }
 
 void MemberTable::refute(TimePoint now, const MemberRecord &record,
@@ -89,7 +90,7 @@
   // Guards against two owners: whoever holds us for dead may have a new owner
   // for our servers that waits for our lease only, so we own nothing from here
   // on, before anyone hears that we live and renews that lease.
-  HeldForDead = HeldForDead || record.State == MemberState::Dead;
+  WasDeclaredDead = WasDeclaredDead || record.State == MemberState::Dead;
   MemberRecord refuted = self.Record;
   refuted.Refutation = record.Refutation + 1;
   replace(now, self, refuted, "refuted", peer);
@@ -115,14 +116,15 @@
     MemberView &member = it->second;
     if (record.Run > member.Record.Run) {
       bool left = member.Record.State == MemberState::Left;
-      member.PreviousRunRenewed = left ? TimePoint{} : member.LastRenewed;
-      member.LastRenewed = {};
+      member.PreviousRunLeaseRenewal =
+          left ? TimePoint{} : member.LastLeaseRenewal;
+      member.LastLeaseRenewal = {};
     }
     replace(now, it->second, record, "higher-record", peer);
   }
 }
 
-void MemberTable::heard(TimePoint now, const VmId &vm) {
+void MemberTable::recordContact(TimePoint now, const VmId &vm) {
   auto it = Members.find(vm);
   if (it == Members.end())
     return;
@@ -139,14 +141,14 @@
          it->second.Record.Run == run;
 }
 
-bool MemberTable::renew(TimePoint now, const VmId &vm, Incarnation run) {
+bool MemberTable::renewLease(TimePoint now, const VmId &vm, Incarnation run) {
   if (!isAlive(vm, run))
     return false;
-  Members.at(vm).LastRenewed = now;
+  Members.at(vm).LastLeaseRenewal = now;
   return true;
 }
 
-Duration MemberTable::suspicionOf(const MemberView &member) const {
+Duration MemberTable::suspicionTimeOf(const MemberView &member) const {
   const DomainId &domain = member.Record.Vm.Domain;
   if (domain != OwnDomain)
     return Settings.suspicionTime(Members.size());
@@ -167,7 +169,7 @@
   replace(now, it->second, record, "probe-unanswered", Self);
 }
 
-void MemberTable::slept(Duration gap) {
+void MemberTable::extendSuspicions(Duration gap) {
   for (auto &[vm, suspicion] : Suspicions)
     suspicion.Until += gap;
 }
@@ -179,22 +181,23 @@
       over.emplace_back(vm, suspicion);
   for (const auto &[vm, suspicion] : over)
     if (Suspicions.count(vm))
-      end(now, vm, suspicion);
+      endSuspicion(now, vm, suspicion);
   if (now < NextForget)
     return {};
   NextForget = now + ForgetPeriod;
-  return forget(now, hints);
+  return forgetDeparted(now, hints);
 }
 
-void MemberTable::end(TimePoint now, const VmId &vm, Suspicion suspicion) {
+void MemberTable::endSuspicion(TimePoint now, const VmId &vm,
+                               Suspicion suspicion) {
   MemberView &member = Members.at(vm);
   const DomainId domain = member.Record.Vm.Domain;
   // Guards against taking a cut for many deaths: if nobody of the other domain
   // was heard since the suspicion began, the link is the likelier fault, and
   // members must not be replaced while they may be serving behind the cut.
   bool silent = domain != OwnDomain && DomainHeard[domain] < suspicion.Since;
-  if (silent && !suspicion.Checked) {
-    suspicion.Checked = true;
+  if (silent && !suspicion.ProbedAgain) {
+    suspicion.ProbedAgain = true;
     suspicion.Until = now + Settings.ProbePeriod * DomainCheckPeriods;
     Suspicions[vm] = suspicion;
     return;
@@ -214,9 +217,9 @@
     if (member.Record.Vm.Domain != domain || !member.live())
       continue;
     member.Unreachable = true;
-    member.Since = now;
+    member.StateChangedAt = now;
     Suspicions.erase(id);
-    note(member, "domain-silent", Self, false);
+    recordChange(member, "domain-silent", Self, false);
   }
 }
 
@@ -226,26 +229,27 @@
     if (member.Record.Vm.Domain != domain || !member.Unreachable)
       continue;
     member.Unreachable = false;
-    member.Since = now;
+    member.StateChangedAt = now;
     if (member.Record.State == MemberState::Suspect) {
-      Duration time = suspicionOf(member) * HealSuspicions;
+      Duration time = suspicionTimeOf(member) * HealedSuspicionFactor;
       Suspicions[id] = {now, now + time, false};
     }
-    note(member, "domain-heard-again", Self, false);
+    recordChange(member, "domain-heard-again", Self, false);
   }
 }
 
-std::vector<VmId> MemberTable::forget(TimePoint now, const HintList &hints) {
+std::vector<VmId> MemberTable::forgetDeparted(TimePoint now,
+                                              const HintList &hints) {
   std::vector<VmId> forgotten;
   for (auto it = Members.begin(); it != Members.end();) {
     MemberView &member = it->second;
     bool gone = member.Record.State == MemberState::Dead ||
                 member.Record.State == MemberState::Left;
-    bool old = gone && now - member.Since > Settings.ForgetAfter;
+    bool old = gone && now - member.StateChangedAt > Settings.ForgetAfter;
     // The platform took it off its list: it won't come back behind the cut.
-    bool removed = member.Unreachable && hints.unlisted(it->first);
-    bool lost =
-        member.Unreachable && now - member.Since > Settings.UnreachableKeep;
+    bool removed = member.Unreachable && hints.isUnlisted(it->first);
+    bool lost = member.Unreachable &&
+                now - member.StateChangedAt > Settings.ForgetUnreachableAfter;
     if (!old && !removed && !lost) {
       ++it;
       continue;
@@ -253,7 +257,7 @@
     if (!gone) {
       member.Record.State = MemberState::Dead;
       member.Unreachable = false;
-      note(member, "unlisted-behind-cut", Self, false);
+      recordChange(member, "unlisted-behind-cut", Self, false);
     }
     forgotten.push_back(it->first);
     it = Members.erase(it);
@@ -265,7 +269,7 @@
   return UnreachableDomains.count(domain) == 0;
 }
 
-std::optional<DomainId> MemberTable::silentDomain() const {
+std::optional<DomainId> MemberTable::findSilentDomain() const {
   for (const auto &[vm, suspicion] : Suspicions) {
     const DomainId &domain = Members.at(vm).Record.Vm.Domain;
     auto it = DomainHeard.find(domain);
--- a/Balsamrack/Membership/MemberTable.h
+++ b/Balsamrack/Membership/MemberTable.h
@@ -23,7 +23,7 @@
   bool Unreachable = false; ///< Reachability after it.
   std::string Rule;         ///< Why.
   VmId Peer;                ///< On whose word; may be empty.
-  bool Spread = true;       ///< Whether others should hear of it.
+  bool ShouldGossip = true; ///< Whether others should hear of it.
 };
 
 /// What is known of the daemons, and the rules by which record change it: the
@@ -41,15 +41,15 @@
   const MemberRecord &self() const { return Members.at(Self).Record; }
   /// This daemon shuts down (\p state Alive) or is gone (Left). Not
   /// thread-safe.
-  void leave(TimePoint now, MemberState state);
+  void announceLeaving(TimePoint now, MemberState state);
 
   /// Takes record from \p peer. Not thread-safe.
   void apply(TimePoint now, const MemberRecord &record, const VmId &peer);
   /// \p vm answered or spoke itself. Not thread-safe.
-  void heard(TimePoint now, const VmId &vm);
+  void recordContact(TimePoint now, const VmId &vm);
   /// We answer a probe of \p vm. Its lease is renewed when we hold this run of
   /// it for alive; says whether we do. Not thread-safe.
-  bool renew(TimePoint now, const VmId &vm, Incarnation run);
+  bool renewLease(TimePoint now, const VmId &vm, Incarnation run);
   /// \p vm did not answer, nor through others. Not thread-safe.
   void suspect(TimePoint now, const VmId &vm);
   /// Ends suspicions that are over and, once in a while, forgets the long dead;
@@ -57,18 +57,18 @@
   std::vector<VmId> expire(TimePoint now, const HintList &hints);
   /// This process did not run for \p gap: what others said meanwhile was not
   /// read, so running suspicions are prolonged by it. Not thread-safe.
-  void slept(Duration gap);
+  void extendSuspicions(Duration gap);
 
   /// True unless \p domain is silent as a whole. Not thread-safe.
   bool reachable(const DomainId &domain) const;
   /// A domain of which a member is suspect and nobody was heard since. Not
   /// thread-safe.
-  std::optional<DomainId> silentDomain() const;
+  std::optional<DomainId> findSilentDomain() const;
   /// Whether \p vm of run \p run is held for alive. Not thread-safe.
   bool isAlive(const VmId &vm, Incarnation run) const;
   /// True when others held this daemon for dead since the last call. Not
   /// thread-safe.
-  bool takeHeldForDead();
+  bool takeDeclaredDead();
   /// A later run of this daemon, when one was heard of since the last call. Not
   /// thread-safe.
   std::optional<MemberRecord> takeSuperseded();
@@ -78,20 +78,20 @@
 private:
   /// A suspicion that runs.
   struct Suspicion {
-    TimePoint Since;      ///< Since when.
-    TimePoint Until;      ///< When it becomes death.
-    bool Checked = false; ///< Its domain got a second chance to be heard.
+    TimePoint Since;          ///< Since when.
+    TimePoint Until;          ///< When it becomes death.
+    bool ProbedAgain = false; ///< Its domain got a second chance to be heard.
   };
   void refute(TimePoint now, const MemberRecord &record, const VmId &peer);
   void replace(TimePoint now, MemberView &member, const MemberRecord &record,
                const std::string &rule, const VmId &peer);
-  Duration suspicionOf(const MemberView &member) const;
-  void end(TimePoint now, const VmId &vm, Suspicion suspicion);
+  Duration suspicionTimeOf(const MemberView &member) const;
+  void endSuspicion(TimePoint now, const VmId &vm, Suspicion suspicion);
   void setUnreachable(TimePoint now, const DomainId &domain);
   void setReachable(TimePoint now, const DomainId &domain);
-  void note(const MemberView &member, const std::string &rule, const VmId &peer,
-            bool spread);
-  std::vector<VmId> forget(TimePoint now, const HintList &hints);
+  void recordChange(const MemberView &member, const std::string &rule,
+                    const VmId &peer, bool spread);
+  std::vector<VmId> forgetDeparted(TimePoint now, const HintList &hints);
 
   const MembershipSettings Settings;         ///< Times.
   const VmId Self;                           ///< This daemon.
@@ -100,7 +100,7 @@
   std::map<VmId, Suspicion> Suspicions;      ///< Of suspect members.
   std::map<DomainId, TimePoint> DomainHeard; ///< Last direct message of any.
   std::set<DomainId> UnreachableDomains;     ///< Silent as a whole.
-  bool HeldForDead = false;                  ///< Not taken yet.
+  bool WasDeclaredDead = false;              ///< Not taken yet.
   std::optional<MemberRecord> SupersededBy;  ///< Not taken yet.
   std::vector<MemberChange> Changes;         ///< Not taken yet.
   TimePoint NextForget; ///< forget() goes through all members.
--- a/Balsamrack/Membership/MemberView.h
+++ b/Balsamrack/Membership/MemberView.h
@@ -13,14 +13,15 @@
   MemberRecord Record;      ///< The highest record of it.
   bool Unreachable = false; ///< Its whole domain is silent: not the same as
                             ///< dead.
-  TimePoint Since;          ///< When its state or reachability changed.
-  TimePoint SilentSince;    ///< When it was last taken from alive to suspect or
+  TimePoint StateChangedAt; ///< When its state or reachability changed.
+  TimePoint AliveUntil;     ///< When it was last taken from alive to suspect or
                             ///< dead: it ran no longer, and renewed nothing.
   TimePoint LastHeard;      ///< Last message straight from it; zero: never.
-  TimePoint PreviousRunRenewed; ///< LastRenewed of the run before, unless that
-                                ///< one left: its lease may still run.
-  TimePoint LastRenewed; ///< When we last answered a probe of it and held it
-                         ///< for alive: its lease may run from there.
+  TimePoint
+      PreviousRunLeaseRenewal; ///< LastLeaseRenewal of the run before, unless
+                               ///< that one left: its lease may still run.
+  TimePoint LastLeaseRenewal; ///< When we last answered a probe of it and held
+                              ///< it for alive: its lease may run from there.
 
   /// Alive or suspect, and its domain can be reached. Thread-safe.
   bool live() const {
--- a/Balsamrack/Membership/Membership.h
+++ b/Balsamrack/Membership/Membership.h
@@ -42,7 +42,7 @@
   /// thread-safe.
   virtual std::vector<VmId> listedDomainPeers() const = 0;
   /// Live daemons of the own domain, this one left out: for
-  /// OwnershipFence::peersChanged. Not thread-safe.
+  /// OwnershipFence::setPeers. Not thread-safe.
   virtual std::vector<VmId> liveDomainPeers() const = 0;
   /// When the next MembershipTicked is due; nothing before the first step. Not
   /// thread-safe.
--- a/Balsamrack/Membership/MembershipEvents.h
+++ b/Balsamrack/Membership/MembershipEvents.h
@@ -57,16 +57,16 @@
 };
 /// A peer lacks tickets that are held here. It has been told our digest and
 /// will ask; nothing has to be sent.
-struct PeerLacks {
+struct PeerHasOlder {
   EntryVm Peer;     ///< Who.
   StateDigest Held; ///< What it holds.
 };
 /// A newer condition of a server in the own domain.
-struct ConditionHeard {
+struct ConditionReceived {
   ServerCondition Condition; ///< As its owner saw it.
 };
 /// A domain peer answered a probe and holds us for alive: renew the lease
-/// (OwnershipFence::heard).
+/// (OwnershipFence::renewLease).
 struct LeaseRenewed {
   VmId Peer;        ///< Who answered.
   TimePoint SentAt; ///< When the answered probe was sent.
@@ -74,7 +74,7 @@
 /// Others held this daemon for dead: whoever they made owner may dispatch soon.
 /// Give the OwnershipTracker an AuthorityExpired before the next action is
 /// carried out, since that tells the others that this daemon lives.
-struct HeldForDead {};
+struct DeclaredDead {};
 /// A later run under this daemon's name is known: the VM was replaced while
 /// this process was paused. Stop dispatching and shut down.
 struct Superseded {
@@ -83,8 +83,9 @@
 
 /// All that a Membership asks for, to be carried out in order.
 using MembershipAction =
-    std::variant<SendTo, MemberChanged, PeerHasNewer, PeerLacks, ConditionHeard,
-                 LeaseRenewed, HeldForDead, Superseded, Explain>;
+    std::variant<SendTo, MemberChanged, PeerHasNewer, PeerHasOlder,
+                 ConditionReceived, LeaseRenewed, DeclaredDead, Superseded,
+                 Explain>;
 
 } // namespace balsamrack
 
--- a/Balsamrack/Membership/MembershipMessages.h
+++ b/Balsamrack/Membership/MembershipMessages.h
@@ -66,7 +66,7 @@
 
 /// One backend server's state, passed on when its owner leaves or loses it to a
 /// joiner.
-struct HandedServer {
+struct HandedOverServer {
   ServerCondition Condition; ///< Warmth as the old owner saw it.
   uint32_t InProgress = 0;   ///< Requests that the old owner still has in
                              ///< progress; it ends them itself.
@@ -80,19 +80,20 @@
 struct OwnershipHandOver {
   VmId From;       ///< Who sends it.
   Incarnation Run; ///< Its run.
-  std::vector<HandedServer>
+  std::vector<HandedOverServer>
       Servers; ///< Released: the sender does not dispatch to them and will not
                ///< without asking again.
   std::vector<ServerId> Held; ///< Owned by the sender: ask again, as the last.
-  std::vector<ServerId> Wanted; ///< The sender asks the receiver for these.
-  bool Last = false;            ///< Of Wanted: all others have released them.
+  std::vector<ServerId> Wanted;   ///< The sender asks the receiver for these.
+  bool AllOthersReleased = false; ///< Of Wanted: all others have released them.
   uint64_t Sequence = 0; ///< Chosen by the asker and repeated in the answer, so
                          ///< that an answer to an earlier question is ignored.
   uint64_t LiveHash =
-      0;                ///< Of the live daemons of the domain and their runs,
-                        ///< as the sender sees them; a release needs agreement.
-  Duration QuietFor{0}; ///< Since a lease may have begun that a daemon of the
-                        ///< domain has which the sender holds for dead.
+      0; ///< Of the live daemons of the domain and their runs,
+         ///< as the sender sees them; a release needs agreement.
+  Duration TimeSinceDeadLease{
+      0}; ///< Since a lease may have begun that a daemon of the
+          ///< domain has which the sender holds for dead.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Membership/MembershipSettings.cpp
+++ b/Balsamrack/Membership/MembershipSettings.cpp
@@ -12,7 +12,7 @@
 /// The own domain is probed every second period at least.
 constexpr int ProbesOfOwnDomainPerLease = 2;
 
-absl::Status fault(const std::string &what) {
+absl::Status settingsError(const std::string &what) {
   return makeError(absl::StatusCode::kInvalidArgument, Step::ReadSettings, "",
                    absl::StrCat("membership: ", what));
 }
@@ -21,17 +21,19 @@
 
 absl::Status MembershipSettings::check() const {
   const Duration zero{0};
-  for (Duration d : {ProbePeriod, ProbeTimeout, IndirectTimeout, MinSuspicion,
-                     LeaseTime, ForgetAfter, UnreachableKeep, UnreachableProbe,
-                     HintRetryMax, AskPeriod})
+  for (Duration d :
+       {ProbePeriod, ProbeTimeout, IndirectTimeout, MinSuspicion, LeaseTime,
+        ForgetAfter, ForgetUnreachableAfter, UnreachableProbePeriod,
+        MaxHintRetryPeriod, OwnershipRequestPeriod})
     if (d <= zero)
-      return fault("every time must be above zero");
+      return settingsError("every time must be above zero");
   if (SuspicionPerDoubling < zero || DriftMargin < zero)
-    return fault("margins must not be negative");
+    return settingsError("margins must not be negative");
   if (LeaseTime < ProbePeriod * 2 * ProbesOfOwnDomainPerLease)
-    return fault("the lease must outlast two probes of the own domain");
-  if (AsksPerPeriod == 0 || GossipBytes == 0 || FullTableBytes == 0)
-    return fault("limits must be above zero");
+    return settingsError("the lease must outlast two probes of the own domain");
+  if (OwnershipRequestsPerPeriod == 0 || GossipBytes == 0 ||
+      FullTableBytes == 0)
+    return settingsError("limits must be above zero");
   return absl::OkStatus();
 }
 
--- a/Balsamrack/Membership/MembershipSettings.h
+++ b/Balsamrack/Membership/MembershipSettings.h
@@ -29,17 +29,19 @@
   Duration DriftMargin{250'000}; ///< Added to LeaseTime by whoever waits for
                                  ///< another's lease: clock rates differ.
   Duration ForgetAfter{120'000'000}; ///< Dead and left daemons are remembered.
-  Duration UnreachableKeep{
+  Duration ForgetUnreachableAfter{
       86'400'000'000}; ///< Daemons of an unreachable domain are remembered.
-  Duration UnreachableProbe{
+  Duration UnreachableProbePeriod{
       2'000'000}; ///< One probe towards unreachable domains, with jitter.
-  Duration HintRetryMax{30'000'000}; ///< Longest wait between probes of a
-                                     ///< listed VM that never answered.
+  Duration MaxHintRetryPeriod{30'000'000}; ///< Longest wait between probes of a
+                                           ///< listed VM that never answered.
   size_t GossipBytes = 500; ///< Updates on a message, in estimated bytes.
   size_t FullTableBytes =
-      65'536;                  ///< Updates for a daemon that has just started.
-  Duration AskPeriod{250'000}; ///< Between repeats of an ownership question.
-  uint32_t AsksPerPeriod = 16; ///< Daemons asked in one AskPeriod.
+      65'536; ///< Updates for a daemon that has just started.
+  Duration OwnershipRequestPeriod{
+      250'000}; ///< Between repeats of an ownership question.
+  uint32_t OwnershipRequestsPerPeriod =
+      16; ///< Daemons asked in one OwnershipRequestPeriod.
 
   /// Error kInvalidArgument (step read-settings) when a value is out of its
   /// range, or when the lease could end before two probes of the own domain.
--- a/Balsamrack/Membership/OwnershipEvents.h
+++ b/Balsamrack/Membership/OwnershipEvents.h
@@ -27,12 +27,12 @@
 struct HandOverReceived {
   OwnershipHandOver Message; ///< What it says.
 };
-/// After Lose: the daemon dispatches nothing more to the server.
-struct ServerStopped {
-  HandedServer Server; ///< What it leaves behind.
+/// After StopDispatching: the daemon dispatches nothing more to the server.
+struct DispatchStopped {
+  HandedOverServer Server; ///< What it leaves behind.
 };
 /// A condition that the owner of a server spread.
-struct ConditionNoted {
+struct PeerConditionReceived {
   ServerCondition Condition; ///< As its owner saw it.
 };
 /// The fence had a expiry: all ownership has to be won anew.
@@ -43,31 +43,31 @@
 /// All that an OwnershipTracker reacts to.
 using OwnershipEvent =
     std::variant<MembersChanged, ListedPeers, DomainServersChanged,
-                 HandOverReceived, ServerStopped, ConditionNoted,
+                 HandOverReceived, DispatchStopped, PeerConditionReceived,
                  AuthorityExpired, OwnershipTicked>;
 
 /// How a daemon came to own a server.
-enum class GainedHow {
-  Founded,    ///< Nobody is known to have owned it.
+enum class AcquisitionKind {
+  FirstOwner, ///< Nobody is known to have owned it.
   HandedOver, ///< A live owner released it.
   TakenOver,  ///< Its owner died.
 };
 
 /// Name in lower case with hyphens. Thread-safe.
-const char *gainedHowName(GainedHow how);
+const char *acquisitionKindName(AcquisitionKind how);
 
 /// This daemon owns the server now.
-struct Gain {
-  ServerId Server;                    ///< Which.
-  GainedHow How = GainedHow::Founded; ///< In which way.
+struct ServerAcquired {
+  ServerId Server;                                    ///< Which.
+  AcquisitionKind Kind = AcquisitionKind::FirstOwner; ///< In which way.
   TimePoint DispatchAllowedFrom; ///< Not later than now: the tracker waits.
   ServerCondition LastKnown; ///< What is known of it; Version 0 for nothing.
   uint32_t InProgress = 0;   ///< Requests that the old owner still has there;
                              ///< only meaningful when HandedOver.
 };
 /// This daemon stops dispatching to the server at once; answer with
-/// ServerStopped as soon as nothing more can leave.
-struct Lose {
+/// DispatchStopped as soon as nothing more can leave.
+struct StopDispatching {
   ServerId Server;  ///< Which.
   EntryVm NewOwner; ///< Who takes it; empty id when nobody is known to.
 };
@@ -78,7 +78,8 @@
 };
 
 /// All that an OwnershipTracker asks for, to be carried out in order.
-using OwnershipAction = std::variant<Gain, Lose, SendHandOver, Explain>;
+using OwnershipAction =
+    std::variant<ServerAcquired, StopDispatching, SendHandOver, Explain>;
 
 } // namespace balsamrack
 
--- a/Balsamrack/Membership/OwnershipFence.cpp
+++ b/Balsamrack/Membership/OwnershipFence.cpp
@@ -27,48 +27,49 @@
 OwnershipFence::OwnershipFence(const MembershipSettings &settings,
                                TimePoint now)
     : Settings(settings), DispatchUntil(0) {
-  extend(now + Settings.LeaseTime);
+  extendLease(now + Settings.LeaseTime);
 }
 
-void OwnershipFence::extend(TimePoint until) {
-  Until = std::max(Until, until);
+void OwnershipFence::extendLease(TimePoint until) {
+  LeaseEnd = std::max(LeaseEnd, until);
   if (!Expired)
-    DispatchUntil.store(Until.time_since_epoch().count(),
+    DispatchUntil.store(LeaseEnd.time_since_epoch().count(),
                         std::memory_order_release);
 }
 
-void OwnershipFence::noteExpiry(TimePoint now) {
+void OwnershipFence::expireIfDue(TimePoint now) {
   // A renewal after a expiry may run out too, before restart was called.
-  if (now < Until || (Expired && !RenewedSince))
+  if (now < LeaseEnd || (Expired && !RenewedAfterExpiry))
     return;
   Expired = true;
-  RenewedSince = false;
+  RenewedAfterExpiry = false;
   ExpiredAt = now;
   ++Expiries;
   DispatchUntil.store(0, std::memory_order_release);
 }
 
-void OwnershipFence::ticked(TimePoint now) {
+void OwnershipFence::onTick(TimePoint now) {
   std::lock_guard<std::mutex> guard(Lock);
   bool slept = now - LastTick > Settings.LeaseTime;
   LastTick = now;
-  noteExpiry(now);
+  expireIfDue(now);
   if (!Peers.empty())
     return;
   // Alone: nobody renews. After a expiry, whoever may have taken over meanwhile
   // and is not known yet gets the time that its lease and its updates need.
-  if (Expired && !RenewedSince) {
+  if (Expired && !RenewedAfterExpiry) {
     if (slept)
       ExpiredAt = now;
-    RenewedSince = now - ExpiredAt >= Settings.takeoverWait();
+    RenewedAfterExpiry = now - ExpiredAt >= Settings.takeoverWait();
   }
-  if (!Expired || RenewedSince)
-    extend(now + Settings.LeaseTime);
+  if (!Expired || RenewedAfterExpiry)
+    extendLease(now + Settings.LeaseTime);
 }
 
-void OwnershipFence::heard(const VmId &peer, TimePoint sentAt, TimePoint now) {
+void OwnershipFence::renewLease(const VmId &peer, TimePoint sentAt,
+                                TimePoint now) {
   std::lock_guard<std::mutex> guard(Lock);
-  noteExpiry(now);
+  expireIfDue(now);
   if (Peers.count(peer) == 0)
     return;
   // Guards against the answer to a probe from before a pause, read after it:
@@ -76,14 +77,13 @@
   if (Expired && sentAt < ExpiredAt)
     return;
   if (Expired)
-    RenewedSince = true;
-  extend(sentAt + Settings.LeaseTime);
+    RenewedAfterExpiry = true;
+  extendLease(sentAt + Settings.LeaseTime);
 }
 
-void OwnershipFence::peersChanged(const std::vector<VmId> &peers,
-                                  TimePoint now) {
+void OwnershipFence::setPeers(const std::vector<VmId> &peers, TimePoint now) {
   std::lock_guard<std::mutex> guard(Lock);
-  noteExpiry(now);
+  expireIfDue(now);
   Peers = std::set<VmId>(peers.begin(), peers.end());
 }
 
@@ -94,7 +94,7 @@
 
 AuthorityState OwnershipFence::state(TimePoint now) const {
   std::lock_guard<std::mutex> guard(Lock);
-  if (now >= Until || (Expired && !RenewedSince))
+  if (now >= LeaseEnd || (Expired && !RenewedAfterExpiry))
     return AuthorityState::Expired;
   return Expired ? AuthorityState::Renewed : AuthorityState::Held;
 }
@@ -106,11 +106,11 @@
 
 void OwnershipFence::restart(uint64_t expiry, TimePoint now) {
   std::lock_guard<std::mutex> guard(Lock);
-  noteExpiry(now);
-  if (!Expired || !RenewedSince || expiry != Expiries)
+  expireIfDue(now);
+  if (!Expired || !RenewedAfterExpiry || expiry != Expiries)
     return;
   Expired = false;
-  extend(Until);
+  extendLease(LeaseEnd);
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Membership/OwnershipFence.h
+++ b/Balsamrack/Membership/OwnershipFence.h
@@ -44,13 +44,13 @@
   create(const MembershipSettings &settings, TimePoint now);
 
   /// The process is running. Call at least every ProbePeriod. Thread-safe.
-  void ticked(TimePoint now);
+  void onTick(TimePoint now);
   /// \p peer of the own domain answered a probe sent at \p sentAt, and holds
   /// this daemon for alive. Thread-safe.
-  void heard(const VmId &peer, TimePoint sentAt, TimePoint now);
+  void renewLease(const VmId &peer, TimePoint sentAt, TimePoint now);
   /// The live daemons of the own domain, without this one, are now \p peers.
   /// With none left the lease runs with the ticks. Thread-safe.
-  void peersChanged(const std::vector<VmId> &peers, TimePoint now);
+  void setPeers(const std::vector<VmId> &peers, TimePoint now);
   /// Whether a dispatch may leave now. \p now must be read from the clock right
   /// before. Wait-free, thread-safe.
   bool mayDispatch(TimePoint now) const;
@@ -64,18 +64,18 @@
 
 private:
   OwnershipFence(const MembershipSettings &settings, TimePoint now);
-  void noteExpiry(TimePoint now);
-  void extend(TimePoint until);
+  void expireIfDue(TimePoint now);
+  void extendLease(TimePoint until);
 
   const MembershipSettings Settings;  ///< Times.
   mutable std::mutex Lock;            ///< Guards all but DispatchUntil.
   std::atomic<int64_t> DispatchUntil; ///< End of the authority, microseconds;
                                       ///< zero while expired.
   TimePoint LastTick;                 ///< Zero before the first one.
-  TimePoint Until;                    ///< End of the lease.
+  TimePoint LeaseEnd;                 ///< End of the lease.
   TimePoint ExpiredAt;                ///< Start of the last expiry.
   bool Expired = false;               ///< A expiry that restart has not ended.
-  bool RenewedSince = false;          ///< Renewed after ExpiredAt.
+  bool RenewedAfterExpiry = false;    ///< Renewed after ExpiredAt.
   uint64_t Expiries = 0;              ///< How many.
   std::set<VmId> Peers;               ///< Live daemons of the own domain.
 };
--- a/Balsamrack/Membership/OwnershipMap.cpp
+++ b/Balsamrack/Membership/OwnershipMap.cpp
@@ -17,7 +17,7 @@
   return wa != wb ? wa > wb : a.Id < b.Id;
 }
 
-const std::vector<EntryVm> Nobody;
+const std::vector<EntryVm> NoCandidates;
 
 } // namespace
 
@@ -37,7 +37,7 @@
 OwnershipMap::candidatesOf(const DomainId &domain) const {
   auto it = ByDomain.find(domain);
   if (it == ByDomain.end())
-    return Nobody;
+    return NoCandidates;
   return it->second.Staying.empty() ? it->second.Leaving : it->second.Staying;
 }
 
--- a/Balsamrack/Membership/OwnershipTracker.cpp
+++ b/Balsamrack/Membership/OwnershipTracker.cpp
@@ -10,17 +10,17 @@
 namespace {
 
 /// Said when no lease of another daemon can be running.
-constexpr Duration QuietForEver{3'600'000'000};
+constexpr Duration NoLeaseRunning{3'600'000'000};
 
 } // namespace
 
-const char *gainedHowName(GainedHow how) {
+const char *acquisitionKindName(AcquisitionKind how) {
   switch (how) {
-  case GainedHow::Founded:
+  case AcquisitionKind::FirstOwner:
     return "founded";
-  case GainedHow::HandedOver:
+  case AcquisitionKind::HandedOver:
     return "handed-over";
-  case GainedHow::TakenOver:
+  case AcquisitionKind::TakenOver:
     return "taken-over";
   }
   return "unknown";
@@ -40,7 +40,7 @@
                                    const EntryVm &self, Incarnation run,
                                    TimePoint now)
     : Settings(settings), Self(self), Run(run), StartedAt(now), Now(now),
-      NextAsk(now) {
+      NextRequestAt(now) {
   Members[Self.Id].Record = {Self, Run, 0, MemberState::Alive};
   Map = OwnershipMap::create(Members);
   LiveHash = liveHash();
@@ -52,8 +52,8 @@
   Actions.clear();
   std::visit([this](const auto &what) { on(what); }, event);
   reconcile();
-  gainReady();
-  ask();
+  acquireReleased();
+  sendDueRequests();
   return std::exchange(Actions, {});
 }
 
@@ -63,10 +63,10 @@
     if (member.Record.Vm.Domain == Self.Domain)
       Members[id] = member;
   Map = OwnershipMap::create(Members);
-  Unranked = true;
+  RanksOutdated = true;
   uint64_t hash = liveHash();
   if (hash != LiveHash)
-    restartQuestions();
+    restartRequests();
   LiveHash = hash;
 }
 
@@ -79,71 +79,71 @@
     entry.Configured = false;
   for (const ServerId &id : event.Servers) {
     Servers[id].Configured = true;
-    Servers[id].Known.Condition.Server = id;
+    Servers[id].LastKnown.Condition.Server = id;
   }
-  Unranked = true;
+  RanksOutdated = true;
 }
 
-void OwnershipTracker::on(const ConditionNoted &event) {
+void OwnershipTracker::on(const PeerConditionReceived &event) {
   auto it = Servers.find(event.Condition.Server);
   if (it == Servers.end())
     return;
-  ServerCondition &known = it->second.Known.Condition;
+  ServerCondition &known = it->second.LastKnown.Condition;
   if (event.Condition.Version > known.Version)
     known = event.Condition;
 }
 
 void OwnershipTracker::on(const AuthorityExpired &) {
-  restartQuestions();
+  restartRequests();
   for (auto &[id, entry] : Servers)
-    if (entry.In == Phase::Owned)
-      stop(id, entry, {});
-    else if (entry.In == Phase::Wanting)
-      enter(id, entry, Phase::Other);
+    if (entry.CurrentPhase == Phase::Owned)
+      beginRelease(id, entry, {});
+    else if (entry.CurrentPhase == Phase::Requesting)
+      setPhase(id, entry, Phase::NotOwned);
 }
 
 void OwnershipTracker::on(const OwnershipTicked &) {}
 
-void OwnershipTracker::enter(const ServerId &id, Entry &entry, Phase phase) {
-  entry.In = phase;
-  Unsettled = true;
-  if (phase == Phase::Wanting)
+void OwnershipTracker::setPhase(const ServerId &id, Entry &entry, Phase phase) {
+  entry.CurrentPhase = phase;
+  PhasesOutdated = true;
+  if (phase == Phase::Requesting)
     WantedIds.insert(id);
   else
     WantedIds.erase(id);
 }
 
-void OwnershipTracker::rank() {
+void OwnershipTracker::updateRanks() {
   for (auto &[id, entry] : Servers) {
     std::optional<EntryVm> owner = Map.ownerOf(id, Self.Domain);
-    entry.Mine = owner && owner->Id == Self.Id;
+    entry.RankedFirst = owner && owner->Id == Self.Id;
   }
-  Unranked = false;
-  Unsettled = true;
+  RanksOutdated = false;
+  PhasesOutdated = true;
 }
 
-void OwnershipTracker::on(const ServerStopped &event) {
+void OwnershipTracker::on(const DispatchStopped &event) {
   const ServerId &id = event.Server.Condition.Server;
   auto it = Servers.find(id);
-  if (it == Servers.end() || it->second.In != Phase::Stopping)
+  if (it == Servers.end() || it->second.CurrentPhase != Phase::Releasing)
     return;
   Entry &entry = it->second;
-  enter(id, entry, Phase::Other);
-  entry.Known = event.Server;
-  entry.Known.Owned = true;
-  Asker next = std::exchange(entry.Next, {});
+  setPhase(id, entry, Phase::NotOwned);
+  entry.LastKnown = event.Server;
+  entry.LastKnown.Owned = true;
+  PendingRelease next = std::exchange(entry.Release, {});
   if (next.Vm.Id.empty())
     return;
   OwnershipHandOver release = message(next.Sequence);
-  release.Servers.push_back(entry.Known);
+  release.Servers.push_back(entry.LastKnown);
   Actions.push_back(SendHandOver{next.Vm, std::move(release)});
 }
 
-void OwnershipTracker::stop(const ServerId &id, Entry &entry,
-                            const Asker &next) {
-  enter(id, entry, Phase::Stopping);
-  entry.Next = next;
-  Actions.push_back(Lose{id, next.Vm});
+void OwnershipTracker::beginRelease(const ServerId &id, Entry &entry,
+                                    const PendingRelease &next) {
+  setPhase(id, entry, Phase::Releasing);
+  entry.Release = next;
+  Actions.push_back(StopDispatching{id, next.Vm});
   explain(id, next.Vm.Id.empty() ? "authority-ended" : "handed-over",
           "gave up " + id.str(), next.Vm.Id);
 }
@@ -152,165 +152,169 @@
   const OwnershipHandOver &message = event.Message;
   // Updates of a daemon or of a run that is not known as live yet; it asks
   // again.
-  const MemberView *sender = livePeer(message.From, message.Run);
+  const MemberView *sender = findLivePeer(message.From, message.Run);
   if (!sender)
     return;
   if (!message.Wanted.empty())
-    onQuestion(sender->Record.Vm, message);
+    onRequest(sender->Record.Vm, message);
   else
-    onAnswer(message);
+    onReply(message);
 }
 
-void OwnershipTracker::onQuestion(const EntryVm &asker,
-                                  const OwnershipHandOver &message) {
+void OwnershipTracker::onRequest(const EntryVm &asker,
+                                 const OwnershipHandOver &message) {
   // Guards against a release to one who holds another daemon for dead that we
   // hold for live (or the other way round): that one may be the owner.
   if (message.LiveHash != LiveHash)
     return;
   OwnershipHandOver answer = this->message(message.Sequence);
   for (const ServerId &server : message.Wanted)
-    answerFor(asker, message, server, answer);
+    addReplyFor(asker, message, server, answer);
   if (!answer.Servers.empty() || !answer.Held.empty())
     Actions.push_back(SendHandOver{asker, std::move(answer)});
 }
 
-void OwnershipTracker::answerFor(const EntryVm &asker,
-                                 const OwnershipHandOver &question,
-                                 const ServerId &server,
-                                 OwnershipHandOver &answer) {
+void OwnershipTracker::addReplyFor(const EntryVm &asker,
+                                   const OwnershipHandOver &question,
+                                   const ServerId &server,
+                                   OwnershipHandOver &answer) {
   std::optional<EntryVm> owner = Map.ownerOf(server, Self.Domain);
   if (!owner || owner->Id != asker.Id)
     return;
   auto it = Servers.find(server);
   if (it == Servers.end()) {
-    HandedServer unknown;
+    HandedOverServer unknown;
     unknown.Condition.Server = server;
     answer.Servers.push_back(unknown);
     return;
   }
   Entry &entry = it->second;
-  if (entry.In == Phase::Stopping) {
-    entry.Next = {asker, question.Sequence};
-  } else if (entry.In == Phase::Owned && question.Last) {
-    stop(server, entry, {asker, question.Sequence});
-  } else if (entry.In == Phase::Owned) {
+  if (entry.CurrentPhase == Phase::Releasing) {
+    entry.Release = {asker, question.Sequence};
+  } else if (entry.CurrentPhase == Phase::Owned && question.AllOthersReleased) {
+    beginRelease(server, entry, {asker, question.Sequence});
+  } else if (entry.CurrentPhase == Phase::Owned) {
     answer.Held.push_back(server);
   } else {
-    answer.Servers.push_back(entry.Known);
+    answer.Servers.push_back(entry.LastKnown);
   }
 }
 
-void OwnershipTracker::onAnswer(const OwnershipHandOver &message) {
+void OwnershipTracker::onReply(const OwnershipHandOver &message) {
   // Guards against an answer to an earlier question that comes late: the peer
   // may have become the owner since.
   if (message.Sequence != Sequence || message.LiveHash != LiveHash)
     return;
   for (const ServerId &id : message.Held)
-    if (Servers.count(id) && Servers[id].In == Phase::Wanting)
-      Servers[id].Holding.insert(message.From);
-  for (const HandedServer &handed : message.Servers) {
+    if (Servers.count(id) && Servers[id].CurrentPhase == Phase::Requesting)
+      Servers[id].HeldBy.insert(message.From);
+  for (const HandedOverServer &handed : message.Servers) {
     auto it = Servers.find(handed.Condition.Server);
-    if (it == Servers.end() || it->second.In != Phase::Wanting)
+    if (it == Servers.end() || it->second.CurrentPhase != Phase::Requesting)
       continue;
     Entry &entry = it->second;
-    bool first = entry.Released.insert(message.From).second;
-    entry.Holding.erase(message.From);
+    bool first = entry.ReleasedBy.insert(message.From).second;
+    entry.HeldBy.erase(message.From);
     if (!first)
       continue;
-    entry.LeasesEnd = std::max(entry.LeasesEnd, Now - message.QuietFor +
-                                                    Settings.takeoverWait());
+    entry.OtherLeasesEnd =
+        std::max(entry.OtherLeasesEnd,
+                 Now - message.TimeSinceDeadLease + Settings.takeoverWait());
     entry.HandedOver = entry.HandedOver || handed.Owned;
     if (handed.Owned ||
-        handed.Condition.Version > entry.Known.Condition.Version)
-      entry.Known = handed;
+        handed.Condition.Version > entry.LastKnown.Condition.Version)
+      entry.LastKnown = handed;
   }
 }
 
-void OwnershipTracker::restartQuestions() {
+void OwnershipTracker::restartRequests() {
   ++Sequence;
-  Asked.clear();
-  NextAsk = Now;
+  LastRequestAt.clear();
+  NextRequestAt = Now;
   for (const ServerId &id : std::set<ServerId>(WantedIds))
-    want(id, Servers.at(id));
+    beginRequest(id, Servers.at(id));
 }
 
-void OwnershipTracker::want(const ServerId &id, Entry &entry) {
-  enter(id, entry, Phase::Wanting);
-  entry.Released.clear();
-  entry.Holding.clear();
+void OwnershipTracker::beginRequest(const ServerId &id, Entry &entry) {
+  setPhase(id, entry, Phase::Requesting);
+  entry.ReleasedBy.clear();
+  entry.HeldBy.clear();
   entry.HandedOver = false;
-  entry.LeasesEnd = {};
+  entry.OtherLeasesEnd = {};
 }
 
 void OwnershipTracker::reconcile() {
-  if (Unranked)
-    rank();
-  if (!Unsettled)
+  if (RanksOutdated)
+    updateRanks();
+  if (!PhasesOutdated)
     return;
   bool fresh = false;
   for (const auto &[id, entry] : Servers)
     fresh =
-        fresh || (entry.Configured && entry.In == Phase::Other && entry.Mine);
+        fresh || (entry.Configured && entry.CurrentPhase == Phase::NotOwned &&
+                  entry.RankedFirst);
   // A new sequence keeps answers for an earlier want of a server from counting.
   if (fresh)
-    restartQuestions();
+    restartRequests();
   for (auto it = Servers.begin(); it != Servers.end();) {
-    reconcileOne(it->first, it->second);
-    bool gone = !it->second.Configured && it->second.In == Phase::Other;
+    reconcileServer(it->first, it->second);
+    bool gone =
+        !it->second.Configured && it->second.CurrentPhase == Phase::NotOwned;
     it = gone ? Servers.erase(it) : std::next(it);
   }
-  Unsettled = false;
+  PhasesOutdated = false;
 }
 
-void OwnershipTracker::reconcileOne(const ServerId &id, Entry &entry) {
+void OwnershipTracker::reconcileServer(const ServerId &id, Entry &entry) {
   if (!entry.Configured) {
-    if (entry.In == Phase::Owned)
-      stop(id, entry, {});
-    else if (entry.In == Phase::Wanting)
-      enter(id, entry, Phase::Other);
+    if (entry.CurrentPhase == Phase::Owned)
+      beginRelease(id, entry, {});
+    else if (entry.CurrentPhase == Phase::Requesting)
+      setPhase(id, entry, Phase::NotOwned);
     return;
   }
   // An owner that is not first any more goes on until it is asked last.
-  if (entry.In == Phase::Other && entry.Mine)
-    want(id, entry);
-  else if (entry.In == Phase::Wanting && !entry.Mine)
-    enter(id, entry, Phase::Other);
+  if (entry.CurrentPhase == Phase::NotOwned && entry.RankedFirst)
+    beginRequest(id, entry);
+  else if (entry.CurrentPhase == Phase::Requesting && !entry.RankedFirst)
+    setPhase(id, entry, Phase::NotOwned);
 }
 
-void OwnershipTracker::ask() {
-  if (Now < NextAsk || WantedIds.empty())
+void OwnershipTracker::sendDueRequests() {
+  if (Now < NextRequestAt || WantedIds.empty())
     return;
-  NextAsk = Now + Settings.AskPeriod;
-  uint32_t left = Settings.AsksPerPeriod;
+  NextRequestAt = Now + Settings.OwnershipRequestPeriod;
+  uint32_t left = Settings.OwnershipRequestsPerPeriod;
   std::vector<const MemberView *> order = peers();
   // Whoever was asked longest ago comes first.
   std::stable_sort(order.begin(), order.end(),
                    [this](const MemberView *a, const MemberView *b) {
-                     return Asked[a->Record.Vm.Id] < Asked[b->Record.Vm.Id];
+                     return LastRequestAt[a->Record.Vm.Id] <
+                            LastRequestAt[b->Record.Vm.Id];
                    });
   for (const MemberView *peer : order)
-    if (left > 0 && askPeer(*peer))
+    if (left > 0 && sendRequestsTo(*peer))
       --left;
 }
 
-bool OwnershipTracker::askPeer(const MemberView &peer) {
+bool OwnershipTracker::sendRequestsTo(const MemberView &peer) {
   const VmId &id = peer.Record.Vm.Id;
   OwnershipHandOver first = message(Sequence), last = message(Sequence);
-  last.Last = true;
+  last.AllOthersReleased = true;
   for (const ServerId &server : WantedIds) {
     const Entry &entry = Servers.at(server);
-    if (entry.Released.count(id))
+    if (entry.ReleasedBy.count(id))
       continue;
     // The owner is asked last once nothing else is waited for, so that the
     // server goes unserved for one round trip only.
-    if (lackLastOnly(entry, id))
+    if (isOnlyHolderMissing(entry, id))
       last.Wanted.push_back(server);
     // A holder is asked again too: it may have lost the server meanwhile, and
     // with two such holders neither would ever be the last.
     else
       first.Wanted.push_back(server);
   }
-  Asked[id] = Now;
+  LastRequestAt[id] = Now;
   bool any = false;
   for (OwnershipHandOver *question : {&first, &last}) {
     if (question->Wanted.empty())
@@ -321,46 +325,47 @@
   return any;
 }
 
-bool OwnershipTracker::lackLastOnly(const Entry &entry,
-                                    const VmId &peer) const {
-  return entry.Holding.count(peer) && startSettled() &&
-         Now >= std::max(entry.LeasesEnd, othersLeasesEnd()) &&
-         entry.Released.size() + 1 == peers().size();
+bool OwnershipTracker::isOnlyHolderMissing(const Entry &entry,
+                                           const VmId &peer) const {
+  return entry.HeldBy.count(peer) && isStartupComplete() &&
+         Now >= std::max(entry.OtherLeasesEnd, othersLeasesEnd()) &&
+         entry.ReleasedBy.size() + 1 == peers().size();
 }
 
-void OwnershipTracker::gainReady() {
-  if (WantedIds.empty() || !startSettled())
+void OwnershipTracker::acquireReleased() {
+  if (WantedIds.empty() || !isStartupComplete())
     return;
   for (const ServerId &id : std::set<ServerId>(WantedIds)) {
     Entry &entry = Servers.at(id);
     if (allReleased(entry) &&
-        Now >= std::max(entry.LeasesEnd, othersLeasesEnd()))
-      gain(id, entry);
+        Now >= std::max(entry.OtherLeasesEnd, othersLeasesEnd()))
+      acquire(id, entry);
   }
 }
 
 bool OwnershipTracker::allReleased(const Entry &entry) const {
   for (const MemberView *peer : peers())
-    if (entry.Released.count(peer->Record.Vm.Id) == 0)
+    if (entry.ReleasedBy.count(peer->Record.Vm.Id) == 0)
       return false;
   return true;
 }
 
-void OwnershipTracker::gain(const ServerId &id, Entry &entry) {
+void OwnershipTracker::acquire(const ServerId &id, Entry &entry) {
   bool died = false;
   for (const auto &[vm, member] : Members)
     died = died || member.Record.State == MemberState::Dead ||
-           member.PreviousRunRenewed != TimePoint{};
-  GainedHow how = entry.HandedOver ? GainedHow::HandedOver
-                  : died           ? GainedHow::TakenOver
-                                   : GainedHow::Founded;
-  enter(id, entry, Phase::Owned);
-  uint32_t inProgress = entry.HandedOver ? entry.Known.InProgress : 0;
-  Actions.push_back(Gain{id, how, Now, entry.Known.Condition, inProgress});
-  explain(id, gainedHowName(how), "owns " + id.str(), Self.Id);
-}
-
-bool OwnershipTracker::startSettled() const {
+           member.PreviousRunLeaseRenewal != TimePoint{};
+  AcquisitionKind how = entry.HandedOver ? AcquisitionKind::HandedOver
+                        : died           ? AcquisitionKind::TakenOver
+                                         : AcquisitionKind::FirstOwner;
+  setPhase(id, entry, Phase::Owned);
+  uint32_t inProgress = entry.HandedOver ? entry.LastKnown.InProgress : 0;
+  Actions.push_back(
+      ServerAcquired{id, how, Now, entry.LastKnown.Condition, inProgress});
+  explain(id, acquisitionKindName(how), "owns " + id.str(), Self.Id);
+}
+
+bool OwnershipTracker::isStartupComplete() const {
   if (Now >= StartedAt + Settings.takeoverWait())
     return true;
   // Without any peer it can't be told whether there is none or none was found.
@@ -378,8 +383,8 @@
   return list;
 }
 
-const MemberView *OwnershipTracker::livePeer(const VmId &id,
-                                             Incarnation run) const {
+const MemberView *OwnershipTracker::findLivePeer(const VmId &id,
+                                                 Incarnation run) const {
   auto it = Members.find(id);
   bool known = it != Members.end() && id != Self.Id && it->second.live() &&
                it->second.Record.Run == run;
@@ -395,20 +400,20 @@
 }
 
 TimePoint OwnershipTracker::othersLeasesEnd() const {
-  Duration quiet = quietFor();
-  return quiet == QuietForEver ? TimePoint{}
-                               : Now - quiet + Settings.takeoverWait();
+  Duration quiet = timeSinceDeadLease();
+  return quiet == NoLeaseRunning ? TimePoint{}
+                                 : Now - quiet + Settings.takeoverWait();
 }
 
-Duration OwnershipTracker::quietFor() const {
+Duration OwnershipTracker::timeSinceDeadLease() const {
   TimePoint latest;
   for (const auto &[id, member] : Members) {
-    latest = std::max(latest, member.PreviousRunRenewed);
+    latest = std::max(latest, member.PreviousRunLeaseRenewal);
     if (member.Record.State == MemberState::Dead)
-      latest = std::max({latest, member.LastRenewed, member.SilentSince});
+      latest = std::max({latest, member.LastLeaseRenewal, member.AliveUntil});
   }
-  return latest == TimePoint{} ? QuietForEver
-                               : std::min(Now - latest, QuietForEver);
+  return latest == TimePoint{} ? NoLeaseRunning
+                               : std::min(Now - latest, NoLeaseRunning);
 }
 
 OwnershipHandOver OwnershipTracker::message(uint64_t sequence) const {
@@ -417,19 +422,19 @@
   text.Run = Run;
   text.Sequence = sequence;
   text.LiveHash = LiveHash;
-  text.QuietFor = quietFor();
+  text.TimeSinceDeadLease = timeSinceDeadLease();
   return text;
 }
 
 bool OwnershipTracker::owns(const ServerId &server) const {
   auto it = Servers.find(server);
-  return it != Servers.end() && it->second.In == Phase::Owned;
+  return it != Servers.end() && it->second.CurrentPhase == Phase::Owned;
 }
 
 std::vector<ServerId> OwnershipTracker::owned() const {
   std::vector<ServerId> list;
   for (const auto &[id, entry] : Servers)
-    if (entry.In == Phase::Owned)
+    if (entry.CurrentPhase == Phase::Owned)
       list.push_back(id);
   return list;
 }
@@ -440,10 +445,10 @@
 
 std::optional<VmId> OwnershipTracker::holderOf(const ServerId &server) const {
   auto it = Servers.find(server);
-  if (it == Servers.end() || it->second.In != Phase::Wanting ||
-      it->second.Holding.empty())
+  if (it == Servers.end() || it->second.CurrentPhase != Phase::Requesting ||
+      it->second.HeldBy.empty())
     return std::nullopt;
-  return *it->second.Holding.begin();
+  return *it->second.HeldBy.begin();
 }
 
 void OwnershipTracker::explain(const ServerId &server, const std::string &rule,
--- a/Balsamrack/Membership/OwnershipTracker.h
+++ b/Balsamrack/Membership/OwnershipTracker.h
@@ -45,32 +45,32 @@
   /// it is released. Not thread-safe.
   std::optional<VmId> holderOf(const ServerId &server) const;
   /// When the next OwnershipTicked is due. Not thread-safe.
-  TimePoint nextWakeup() const { return NextAsk; }
+  TimePoint nextWakeup() const { return NextRequestAt; }
 
 private:
   /// Where a server stands with this daemon.
   enum class Phase {
-    Other,    ///< Another daemon should own it, or does.
-    Wanting,  ///< This one should; it asks the others.
-    Owned,    ///< This one does.
-    Stopping, ///< Lost, but the daemon may still be dispatching.
+    NotOwned,   ///< Another daemon should own it, or does.
+    Requesting, ///< This one should; it asks the others.
+    Owned,      ///< This one does.
+    Releasing,  ///< Lost, but the daemon may still be dispatching.
   };
   /// Whom to tell once a server has stopped.
-  struct Asker {
+  struct PendingRelease {
     EntryVm Vm;            ///< Who asked last; empty id for nobody.
     uint64_t Sequence = 0; ///< Of its question.
   };
   /// What is known of one server.
   struct Entry {
-    Phase In = Phase::Other; ///< Where it stands.
-    bool Mine = false;       ///< This daemon is first in rank for it.
-    bool Configured = true;  ///< A ticket still places it here.
-    std::set<VmId> Released; ///< Who released it under Sequence.
-    std::set<VmId> Holding;  ///< Who said under Sequence that it holds it.
-    bool HandedOver = false; ///< Its owner was among those who released it.
-    TimePoint LeasesEnd;     ///< The others' leases have ended by then.
-    HandedServer Known;      ///< What is known of it.
-    Asker Next;              ///< While Stopping.
+    Phase CurrentPhase = Phase::NotOwned; ///< Where it stands.
+    bool RankedFirst = false;   ///< This daemon is first in rank for it.
+    bool Configured = true;     ///< A ticket still places it here.
+    std::set<VmId> ReleasedBy;  ///< Who released it under Sequence.
+    std::set<VmId> HeldBy;      ///< Who said under Sequence that it holds it.
+    bool HandedOver = false;    ///< Its owner was among those who released it.
+    TimePoint OtherLeasesEnd;   ///< The others' leases have ended by then.
+    HandedOverServer LastKnown; ///< What is known of it.
+    PendingRelease Release;     ///< While Stopping.
   };
 
   OwnershipTracker(const MembershipSettings &settings, const EntryVm &self,
@@ -80,55 +80,56 @@
   void on(const ListedPeers &event);
   void on(const DomainServersChanged &event);
   void on(const HandOverReceived &event);
-  void on(const ServerStopped &event);
-  void on(const ConditionNoted &event);
+  void on(const DispatchStopped &event);
+  void on(const PeerConditionReceived &event);
   void on(const AuthorityExpired &event);
   void on(const OwnershipTicked &event);
 
-  void onQuestion(const EntryVm &asker, const OwnershipHandOver &message);
-  void onAnswer(const OwnershipHandOver &message);
-  void answerFor(const EntryVm &asker, const OwnershipHandOver &question,
-                 const ServerId &server, OwnershipHandOver &answer);
+  void onRequest(const EntryVm &asker, const OwnershipHandOver &message);
+  void onReply(const OwnershipHandOver &message);
+  void addReplyFor(const EntryVm &asker, const OwnershipHandOver &question,
+                   const ServerId &server, OwnershipHandOver &answer);
   void reconcile();
-  void reconcileOne(const ServerId &id, Entry &entry);
-  void restartQuestions();
-  void want(const ServerId &id, Entry &entry);
-  void stop(const ServerId &id, Entry &entry, const Asker &next);
-  void ask();
-  bool askPeer(const MemberView &peer);
-  void gainReady();
+  void reconcileServer(const ServerId &id, Entry &entry);
+  void restartRequests();
+  void beginRequest(const ServerId &id, Entry &entry);
+  void beginRelease(const ServerId &id, Entry &entry,
+                    const PendingRelease &next);
+  void sendDueRequests();
+  bool sendRequestsTo(const MemberView &peer);
+  void acquireReleased();
   bool allReleased(const Entry &entry) const;
-  bool lackLastOnly(const Entry &entry, const VmId &peer) const;
-  void gain(const ServerId &id, Entry &entry);
-  bool startSettled() const;
-  void rank();
-  void enter(const ServerId &id, Entry &entry, Phase phase);
+  bool isOnlyHolderMissing(const Entry &entry, const VmId &peer) const;
+  void acquire(const ServerId &id, Entry &entry);
+  bool isStartupComplete() const;
+  void updateRanks();
+  void setPhase(const ServerId &id, Entry &entry, Phase phase);
   std::vector<const MemberView *> peers() const;
-  const MemberView *livePeer(const VmId &id, Incarnation run) const;
+  const MemberView *findLivePeer(const VmId &id, Incarnation run) const;
   uint64_t liveHash() const;
   TimePoint othersLeasesEnd() const;
-  Duration quietFor() const;
+  Duration timeSinceDeadLease() const;
   OwnershipHandOver message(uint64_t sequence) const;
   void explain(const ServerId &server, const std::string &rule,
                const std::string &result, const VmId &peer);
 
-  const MembershipSettings Settings;    ///< Times.
-  const EntryVm Self;                   ///< This daemon's VM.
-  const Incarnation Run;                ///< This daemon's run.
-  const TimePoint StartedAt;            ///< When it started.
-  TimePoint Now;                        ///< Of the event being handled.
-  OwnershipMap Map;                     ///< From Members.
-  MemberMap Members;                    ///< Of the own domain, as last told.
-  uint64_t LiveHash = 0;                ///< Of Members.
-  std::set<VmId> Listed;                ///< As last told.
-  std::map<ServerId, Entry> Servers;    ///< All that is known.
-  std::set<ServerId> WantedIds;         ///< Those in Wanting.
-  bool Unranked = true;                 ///< Mine is to be reckoned anew.
-  bool Unsettled = true;                ///< Phases are to be gone through.
-  std::map<VmId, TimePoint> Asked;      ///< Under Sequence.
-  uint64_t Sequence = 1;                ///< Of the present questions.
-  TimePoint NextAsk;                    ///< When questions are due again.
-  std::vector<OwnershipAction> Actions; ///< Of the event being handled.
+  const MembershipSettings Settings;       ///< Times.
+  const EntryVm Self;                      ///< This daemon's VM.
+  const Incarnation Run;                   ///< This daemon's run.
+  const TimePoint StartedAt;               ///< When it started.
+  TimePoint Now;                           ///< Of the event being handled.
+  OwnershipMap Map;                        ///< From Members.
+  MemberMap Members;                       ///< Of the own domain, as last told.
+  uint64_t LiveHash = 0;                   ///< Of Members.
+  std::set<VmId> Listed;                   ///< As last told.
+  std::map<ServerId, Entry> Servers;       ///< All that is known.
+  std::set<ServerId> WantedIds;            ///< Those in Requesting.
+  bool RanksOutdated = true;               ///< Mine is to be reckoned anew.
+  bool PhasesOutdated = true;              ///< Phases are to be gone through.
+  std::map<VmId, TimePoint> LastRequestAt; ///< Under Sequence.
+  uint64_t Sequence = 1;                   ///< Of the present questions.
+  TimePoint NextRequestAt;                 ///< When questions are due again.
+  std::vector<OwnershipAction> Actions;    ///< Of the event being handled.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Membership/ProbeOrder.cpp
+++ b/Balsamrack/Membership/ProbeOrder.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-std::vector<VmId> takingPart(const MemberMap &members,
-                             const ProbeOrder::Filter &takesPart) {
+std::vector<VmId> matchingMembers(const MemberMap &members,
+                                  const ProbeOrder::Filter &filter) {
   std::vector<VmId> list;
   for (const auto &[id, member] : members)
-    if (takesPart(member))
+    if (filter(member))
       list.push_back(id);
   return list;
 }
@@ -25,25 +25,25 @@
 } // namespace
 
 std::optional<EntryVm> ProbeOrder::next(const MemberMap &members,
-                                        const Filter &takesPart,
+                                        const Filter &filter,
                                         RandomSource &random) {
   for (int round = 0; round < 2; ++round) {
-    while (!Round.empty()) {
-      auto it = members.find(Round.back());
-      Round.pop_back();
-      if (it != members.end() && takesPart(it->second))
+    while (!RemainingInRound.empty()) {
+      auto it = members.find(RemainingInRound.back());
+      RemainingInRound.pop_back();
+      if (it != members.end() && filter(it->second))
         return it->second.Record.Vm;
     }
-    Round = takingPart(members, takesPart);
-    shuffle(Round, random);
+    RemainingInRound = matchingMembers(members, filter);
+    shuffle(RemainingInRound, random);
   }
   return std::nullopt;
 }
 
 std::vector<EntryVm> pickRandom(const MemberMap &members,
-                                const ProbeOrder::Filter &takesPart,
-                                size_t count, RandomSource &random) {
-  std::vector<VmId> list = takingPart(members, takesPart);
+                                const ProbeOrder::Filter &filter, size_t count,
+                                RandomSource &random) {
+  std::vector<VmId> list = matchingMembers(members, filter);
   std::vector<EntryVm> picked;
   while (!list.empty() && picked.size() < count) {
     std::swap(list.back(), list[random.below(list.size())]);
--- a/Balsamrack/Membership/ProbeOrder.h
+++ b/Balsamrack/Membership/ProbeOrder.h
@@ -18,20 +18,21 @@
   /// Says which members take part.
   using Filter = std::function<bool(const MemberView &)>;
 
-  /// The next member that \p takesPart, or nothing when there is none. Not
+  /// The next member that \p filter, or nothing when there is none. Not
   /// thread-safe.
-  std::optional<EntryVm> next(const MemberMap &members, const Filter &takesPart,
+  std::optional<EntryVm> next(const MemberMap &members, const Filter &filter,
                               RandomSource &random);
 
 private:
-  std::vector<VmId> Round; ///< Left of this round; taken from the end.
+  std::vector<VmId>
+      RemainingInRound; ///< Left of this round; taken from the end.
 };
 
-/// Up to \p count different members that \p takesPart, at random. Thread-safe
+/// Up to \p count different members that \p filter, at random. Thread-safe
 /// but for \p random.
 std::vector<EntryVm> pickRandom(const MemberMap &members,
-                                const ProbeOrder::Filter &takesPart,
-                                size_t count, RandomSource &random);
+                                const ProbeOrder::Filter &filter, size_t count,
+                                RandomSource &random);
 
 } // namespace balsamrack
 
--- a/Balsamrack/Membership/SwimMembership.cpp
+++ b/Balsamrack/Membership/SwimMembership.cpp
@@ -16,10 +16,10 @@
 /// whole fleet everybody is new to everybody.
 constexpr Duration FullTablePeriod{500'000};
 /// A peer with newer tickets is told at most this often.
-constexpr Duration AskForStatePeriod{250'000};
+constexpr Duration StateRequestPeriod{250'000};
 /// A renewal older than this part of the lease makes the next probe go to the
 /// own domain, whoever's turn it is.
-constexpr int LeaseParts = 3;
+constexpr int RenewalAgeDivisor = 3;
 
 } // namespace
 
@@ -47,32 +47,32 @@
 SwimMembership::step(TimePoint now, const MembershipEvent &event) {
   Now = now;
   Actions.clear();
-  noteSleep();
+  detectPause();
   std::visit([this](const auto &what) { on(what); }, event);
-  takeChanges();
+  reportTableChanges();
   return std::exchange(Actions, {});
 }
 
 void SwimMembership::on(const MembershipTicked &) {
   // Daemons that start together would otherwise probe in step for ever.
   if (LastTick == TimePoint{}) {
-    NextPeriod = Now;
-    StartUntil = Now + Settings.StartSpan;
+    NextProbe = Now;
+    StartupEnd = Now + Settings.StartSpan;
   }
   LastTick = Now;
   expireRelays();
   expireProbes();
   for (const VmId &vm : Table.expire(Now, Hints)) {
-    Composer.memberForgotten(vm);
-    Hints.memberForgotten(Now, vm);
+    Composer.removeMember(vm);
+    Hints.onMemberForgotten(Now, vm);
   }
-  takeChanges();
-  if (Now < NextPeriod)
+  reportTableChanges();
+  if (Now < NextProbe)
     return;
   // After a late tick the lost periods are not made up for.
-  NextPeriod = std::max(NextPeriod + (Now < StartUntil ? Settings.StartPeriod
-                                                       : Settings.ProbePeriod),
-                        Now);
+  NextProbe = std::max(NextProbe + (Now < StartupEnd ? Settings.StartPeriod
+                                                     : Settings.ProbePeriod),
+                       Now);
   if (Table.self().State == MemberState::Left)
     return;
   probeNext();
@@ -80,7 +80,7 @@
   probeUnreachable();
 }
 
-void SwimMembership::noteSleep() {
+void SwimMembership::detectPause() {
   Duration gap = Now - LastTick;
   bool slept = gap > Settings.ProbePeriod * PausePeriods;
   if (LastTick == TimePoint{} || !slept)
@@ -89,18 +89,18 @@
   // Guards against two paused daemons that wake together, held for dead by the
   // rest, and renew each other's leases without ever hearing of it: after a
   // pause a daemon renews nobody until it was renewed itself.
-  Proven = false;
-  WokeAt = Now;
+  RenewedSincePause = false;
+  PauseEndedAt = Now;
   // Guards against a paused process that takes its own absence for that of the
   // others (Lifeguard: Dadgar, Phillips, Currey 2017): on waking all its probes
   // are over time, though answers wait unread in its sockets.
   Probes.clear();
-  Table.slept(gap);
+  Table.extendSuspicions(gap);
 }
 
-bool SwimMembership::mayRenew() const {
+bool SwimMembership::mayRenewLeases() const {
   // When the whole domain slept nobody is proven; by then all leases are over.
-  return Proven || Now - WokeAt >= Settings.takeoverWait();
+  return RenewedSincePause || Now - PauseEndedAt >= Settings.takeoverWait();
 }
 
 void SwimMembership::expireRelays() {
@@ -114,19 +114,20 @@
   for (auto it = Probes.begin(); it != Probes.end();) {
     Probe &probe = it->second;
     if (Now - probe.SentAt >= limit) {
-      unanswered(probe.Target);
+      onProbeTimeout(probe.Target);
       it = Probes.erase(it);
       continue;
     }
     if (!probe.Indirect && Now - probe.SentAt >= Settings.ProbeTimeout) {
       probe.Indirect = true;
-      askOthers(it->first, probe.Target);
+      sendPingRequests(it->first, probe.Target);
     }
     ++it;
   }
 }
 
-void SwimMembership::askOthers(uint64_t sequence, const EntryVm &target) {
+void SwimMembership::sendPingRequests(uint64_t sequence,
+                                      const EntryVm &target) {
   // Only members are worth the question; a hint is just tried again later.
   if (Table.all().count(target.Id) == 0)
     return;
@@ -142,7 +143,7 @@
          PingRequest{sequence, target, Composer.compose(Table.all(), other)});
 }
 
-void SwimMembership::unanswered(const EntryVm &target) {
+void SwimMembership::onProbeTimeout(const EntryVm &target) {
   auto it = Table.all().find(target.Id);
   if (it == Table.all().end() || it->second.Unreachable)
     return;
@@ -168,12 +169,12 @@
   auto ofFleet = [this](const MemberView &m) {
     return isPeer(m) && m.Record.Vm.Domain != Self.Domain;
   };
-  bool leaseAges = Now - LastRenewal > Settings.LeaseTime / LeaseParts;
-  bool domain = (DomainTurn || leaseAges) && !liveDomainPeers().empty();
-  DomainTurn = !domain;
+  bool leaseAges = Now - LastRenewal > Settings.LeaseTime / RenewalAgeDivisor;
+  bool domain = (ProbeOwnDomainNext || leaseAges) && !liveDomainPeers().empty();
+  ProbeOwnDomainNext = !domain;
   std::optional<EntryVm> target;
   // A domain that may have fallen silent is asked before the usual round.
-  std::optional<DomainId> silent = Table.silentDomain();
+  std::optional<DomainId> silent = Table.findSilentDomain();
   if (!domain && silent) {
     auto there = pickRandom(
         Table.all(),
@@ -195,12 +196,12 @@
 }
 
 void SwimMembership::probeHints() {
-  for (const EntryVm &vm : Hints.due(Now))
+  for (const EntryVm &vm : Hints.takeDue(Now))
     probe(vm);
 }
 
 void SwimMembership::probeUnreachable() {
-  if (Now < NextUnreachable)
+  if (Now < NextUnreachableProbe)
     return;
   // The dead are tried too: after a cut inside the own domain each side holds
   // the other for dead, and neither would ever hear of the other again.
@@ -216,10 +217,10 @@
   if (targets.empty() || Random.below(2) == 0)
     targets = pickRandom(Table.all(), gone, 1, Random);
   // Jitter keeps the fleet from trying a healed domain all at once.
-  Duration wait = Settings.UnreachableProbe;
-  NextUnreachable = Now + wait / 2 +
-                    Duration(static_cast<int64_t>(
-                        Random.below(static_cast<uint64_t>(wait.count()))));
+  Duration wait = Settings.UnreachableProbePeriod;
+  NextUnreachableProbe = Now + wait / 2 +
+                         Duration(static_cast<int64_t>(Random.below(
+                             static_cast<uint64_t>(wait.count()))));
   if (!targets.empty())
     probe(targets.front());
 }
@@ -239,17 +240,19 @@
   mergeGossip(from, ping.Updates);
   Table.apply(Now, sender, from.Id);
   Hints.forget(sender.Vm.Id);
-  Table.heard(Now, sender.Vm.Id);
-  takeChanges();
+  Table.recordContact(Now, sender.Vm.Id);
+  reportTableChanges();
   // Guards against the leave message of a daemon that was never heard of here:
   // the table keeps no updates of it, and nobody waits for an answer.
   bool known = Table.all().count(sender.Vm.Id) != 0;
   if (known && Table.self().State != MemberState::Left)
-    answer(sender.Vm, ping, started);
+    sendAck(sender.Vm, ping, started);
 }
 
-void SwimMembership::answer(const EntryVm &to, const Ping &ping, bool started) {
-  bool renews = mayRenew() && Table.renew(Now, to.Id, ping.Sender.Run);
+void SwimMembership::sendAck(const EntryVm &to, const Ping &ping,
+                             bool started) {
+  bool renews =
+      mayRenewLeases() && Table.renewLease(Now, to.Id, ping.Sender.Run);
   bool full = started && Now >= NextFullTable;
   if (full)
     NextFullTable = Now + FullTablePeriod;
@@ -279,7 +282,7 @@
   auto relay = Relays.find(ack.Sequence);
   if (relay != Relays.end()) {
     Table.apply(Now, ack.Sender, from.Id);
-    const EntryVm asker = relay->second.Asker;
+    const EntryVm asker = relay->second.Requester;
     send(asker, Ack{relay->second.Sequence, ack.About, ack.Sender,
                     Composer.compose(Table.all(), asker), false});
     Relays.erase(relay);
@@ -290,15 +293,15 @@
     return;
   Probe answered = it->second;
   Probes.erase(it);
-  provenAlive(answered, from, ack);
+  onProbeAnswered(answered, from, ack);
 }
 
-void SwimMembership::provenAlive(const Probe &probe, const EntryVm &from,
-                                 const Ack &ack) {
+void SwimMembership::onProbeAnswered(const Probe &probe, const EntryVm &from,
+                                     const Ack &ack) {
   Table.apply(Now, ack.Sender, from.Id);
   Hints.forget(ack.About);
-  Table.heard(Now, ack.About);
-  takeChanges();
+  Table.recordContact(Now, ack.About);
+  reportTableChanges();
   // An answer through others proves its life, but it was not us whom it
   // answered, so it renews nothing.
   bool direct = from.Id == ack.About;
@@ -310,7 +313,7 @@
     if (record.Vm.Id == Self.Id &&
         (record.State != MemberState::Alive || record.Run != Run))
       return;
-  Proven = Proven || probe.SentAt >= WokeAt;
+  RenewedSincePause = RenewedSincePause || probe.SentAt >= PauseEndedAt;
   LastRenewal = std::max(LastRenewal, probe.SentAt);
   Actions.push_back(LeaseRenewed{ack.About, probe.SentAt});
 }
@@ -320,23 +323,23 @@
     Table.apply(Now, member, from.Id);
   for (const ServerCondition &condition : updates.Conditions)
     if (from.Domain == Self.Domain && Composer.queueCondition(condition))
-      Actions.push_back(ConditionHeard{condition});
+      Actions.push_back(ConditionReceived{condition});
   compareDigests(from, updates.Held);
-  // Before anything is sent: HeldForDead has to go first.
-  takeChanges();
+  // Before anything is sent: DeclaredDead has to go first.
+  reportTableChanges();
 }
 
 void SwimMembership::compareDigests(const EntryVm &from,
                                     const StateDigest &theirs) {
   const StateDigest &ours = Composer.digest();
   if (theirs.Highest < ours.Highest) {
-    Actions.push_back(PeerLacks{from, theirs});
+    Actions.push_back(PeerHasOlder{from, theirs});
     return;
   }
   bool same = theirs.Highest == ours.Highest && theirs.Hash == ours.Hash;
-  if (same || Now < NextAskForState)
+  if (same || Now < NextStateRequest)
     return;
-  NextAskForState = Now + AskForStatePeriod;
+  NextStateRequest = Now + StateRequestPeriod;
   Actions.push_back(PeerHasNewer{from, theirs});
 }
 
@@ -344,7 +347,7 @@
   Hints.setListed(Now, event.Vms, Table.all());
   for (const EntryVm &vm : event.Vms)
     if (vm.Id == Self.Id && vm.Leaving && !Table.self().Vm.Leaving)
-      Table.leave(Now, MemberState::Alive);
+      Table.announceLeaving(Now, MemberState::Alive);
 }
 
 void SwimMembership::on(const Seeds &event) {
@@ -361,14 +364,14 @@
 
 void SwimMembership::on(const MembershipLeaving &) {
   if (!Table.self().Vm.Leaving)
-    Table.leave(Now, MemberState::Alive);
+    Table.announceLeaving(Now, MemberState::Alive);
 }
 
 void SwimMembership::on(const MembershipLeft &) {
   if (Table.self().State == MemberState::Left)
     return;
-  Table.leave(Now, MemberState::Left);
-  takeChanges();
+  Table.announceLeaving(Now, MemberState::Left);
+  reportTableChanges();
   // Nobody will probe us any more, so the leave message is sent out by itself.
   auto ofDomain = [this](const MemberView &m) { return isDomainPeer(m); };
   auto anyone = [this](const MemberView &m) { return isPeer(m); };
@@ -382,13 +385,13 @@
          Ping{++LastSequence, Table.self(), Composer.compose(Table.all(), vm)});
 }
 
-void SwimMembership::takeChanges() {
-  if (Table.takeHeldForDead())
-    Actions.push_back(HeldForDead{});
+void SwimMembership::reportTableChanges() {
+  if (Table.takeDeclaredDead())
+    Actions.push_back(DeclaredDead{});
   if (auto later = Table.takeSuperseded())
     Actions.push_back(Superseded{*later});
   for (const MemberChange &change : Table.takeChanges()) {
-    if (change.Spread && Table.all().count(change.Record.Vm.Id))
+    if (change.ShouldGossip && Table.all().count(change.Record.Vm.Id))
       Composer.queueMember(change.Record.Vm.Id);
     Actions.push_back(MemberChanged{change.Record, change.Unreachable});
     explain(change);
@@ -427,7 +430,8 @@
                                                    Duration span) const {
   std::vector<VmId> departed;
   for (const auto &[id, member] : Table.all())
-    if (!member.live() && !member.Unreachable && now - member.Since <= span)
+    if (!member.live() && !member.Unreachable &&
+        now - member.StateChangedAt <= span)
       departed.push_back(id);
   return departed;
 }
@@ -447,7 +451,7 @@
 std::optional<TimePoint> SwimMembership::nextWakeup() const {
   if (LastTick == TimePoint{})
     return std::nullopt;
-  TimePoint next = NextPeriod;
+  TimePoint next = NextProbe;
   for (const auto &[sequence, probe] : Probes) {
     TimePoint due = probe.SentAt + Settings.ProbeTimeout;
     if (probe.Indirect)
--- a/Balsamrack/Membership/SwimMembership.h
+++ b/Balsamrack/Membership/SwimMembership.h
@@ -42,8 +42,8 @@
     bool Indirect = false; ///< Others were asked to probe it too.
   };
   /// A probe that a peer asked us for.
-  struct Relay {
-    EntryVm Asker;         ///< Who asked.
+  struct RelayedProbe {
+    EntryVm Requester;     ///< Who asked.
     uint64_t Sequence = 0; ///< Its number of the probe.
     TimePoint SentAt;      ///< When we passed it on.
   };
@@ -66,43 +66,43 @@
   void probeUnreachable();
   void expireProbes();
   void expireRelays();
-  void askOthers(uint64_t sequence, const EntryVm &target);
-  void unanswered(const EntryVm &target);
-  void noteSleep();
-  bool mayRenew() const;
-  void answer(const EntryVm &to, const Ping &ping, bool started);
-  void provenAlive(const Probe &probe, const EntryVm &from, const Ack &ack);
+  void sendPingRequests(uint64_t sequence, const EntryVm &target);
+  void onProbeTimeout(const EntryVm &target);
+  void detectPause();
+  bool mayRenewLeases() const;
+  void sendAck(const EntryVm &to, const Ping &ping, bool started);
+  void onProbeAnswered(const Probe &probe, const EntryVm &from, const Ack &ack);
   void mergeGossip(const EntryVm &from, const Gossip &updates);
   void compareDigests(const EntryVm &from, const StateDigest &theirs);
-  void takeChanges();
+  void reportTableChanges();
   void explain(const MemberChange &change);
   void send(const EntryVm &to, std::variant<Ping, PingRequest, Ack> content);
   bool isPeer(const MemberView &member) const;
   bool isDomainPeer(const MemberView &member) const;
 
-  const MembershipSettings Settings;     ///< Times and limits.
-  const EntryVm Self;                    ///< This daemon's VM, as it started.
-  const Incarnation Run;                 ///< This daemon's run.
-  SeededRandom Random;                   ///< Order and jitter.
-  MemberTable Table;                     ///< Who is there.
-  HintList Hints;                        ///< Who may be there.
-  GossipComposer Composer;               ///< What rides along.
-  ProbeOrder DomainOrder;                ///< Own domain's round.
-  ProbeOrder FleetOrder;                 ///< The other domains' round.
-  std::map<uint64_t, Probe> Probes;      ///< Unanswered, by sequence.
-  std::map<uint64_t, Relay> Relays;      ///< Passed on, by sequence.
-  uint64_t LastSequence = 0;             ///< Of probes.
-  TimePoint Now;                         ///< Of the event being handled.
-  TimePoint LastTick;                    ///< Zero before the first one.
-  TimePoint StartUntil;                  ///< Probes come quicker until then.
-  TimePoint NextPeriod;                  ///< When the next probe is due.
-  TimePoint NextUnreachable;             ///< When the next one there is due.
-  TimePoint NextFullTable;               ///< Whole tables are sent this late.
-  TimePoint NextAskForState;             ///< PeerHasNewer is told this late.
-  TimePoint WokeAt;                      ///< End of the last pause; zero: none.
-  bool Proven = true;                    ///< A peer renewed us since WokeAt.
-  TimePoint LastRenewal;                 ///< Newest SentAt of a renewal.
-  bool DomainTurn = true;                ///< Whose turn the next probe is.
+  const MembershipSettings Settings;       ///< Times and limits.
+  const EntryVm Self;                      ///< This daemon's VM, as it started.
+  const Incarnation Run;                   ///< This daemon's run.
+  SeededRandom Random;                     ///< Order and jitter.
+  MemberTable Table;                       ///< Who is there.
+  HintList Hints;                          ///< Who may be there.
+  GossipComposer Composer;                 ///< What rides along.
+  ProbeOrder DomainOrder;                  ///< Own domain's round.
+  ProbeOrder FleetOrder;                   ///< The other domains' round.
+  std::map<uint64_t, Probe> Probes;        ///< Unanswered, by sequence.
+  std::map<uint64_t, RelayedProbe> Relays; ///< Passed on, by sequence.
+  uint64_t LastSequence = 0;               ///< Of probes.
+  TimePoint Now;                           ///< Of the event being handled.
+  TimePoint LastTick;                      ///< Zero before the first one.
+  TimePoint StartupEnd;                    ///< Probes come quicker until then.
+  TimePoint NextProbe;                     ///< When the next probe is due.
+  TimePoint NextUnreachableProbe;          ///< When the next one there is due.
+  TimePoint NextFullTable;                 ///< Whole tables are sent this late.
+  TimePoint NextStateRequest;              ///< PeerHasNewer is told this late.
+  TimePoint PauseEndedAt;         ///< End of the last pause; zero: none.
+  bool RenewedSincePause = true;  ///< A peer renewed us since PauseEndedAt.
+  TimePoint LastRenewal;          ///< Newest SentAt of a renewal.
+  bool ProbeOwnDomainNext = true; ///< Whose turn the next probe is.
   std::vector<MembershipAction> Actions; ///< Of the event being handled.
 };
 
--- a/Balsamrack/Packets/PacketRoutes.cpp
+++ b/Balsamrack/Packets/PacketRoutes.cpp
@@ -43,7 +43,7 @@
                              const std::vector<PublishedObject> &objects) {
   Out.clear();
   for (const PublishedObject &object : objects) {
-    if (const auto *out = std::get_if<DomainOut>(&object.Content))
+    if (const auto *out = std::get_if<DomainOutOfService>(&object.Content))
       Out.push_back(out->Domain);
     using Shared = std::shared_ptr<const OperatorConfiguration>;
     if (const auto *what = std::get_if<Shared>(&object.Content))
--- a/Balsamrack/Peers/PeerFields.h
+++ b/Balsamrack/Peers/PeerFields.h
@@ -54,7 +54,7 @@
 }
 
 template <class Ar>
-void fields(Ar &ar, typename Ar::template Ref<HandedServer> m) {
+void fields(Ar &ar, typename Ar::template Ref<HandedOverServer> m) {
   ar("c", m.Condition);
   ar("p", m.InProgress);
   ar("o", m.Owned);
@@ -216,10 +216,10 @@
   ar("s", m.Servers);
   ar("h", m.Held);
   ar("w", m.Wanted);
-  ar("l", m.Last);
+  ar("l", m.AllOthersReleased);
   ar("n", m.Sequence);
   ar("v", m.LiveHash);
-  ar("q", m.QuietFor);
+  ar("q", m.TimeSinceDeadLease);
 }
 
 template <class Ar> void fields(Ar &ar, typename Ar::template Ref<Forward> m) {
--- a/Balsamrack/Peers/PublishedFields.h
+++ b/Balsamrack/Peers/PublishedFields.h
@@ -27,7 +27,7 @@
 inline PublishedKind kindOf(const PublishedContent &content) {
   if (std::holds_alternative<std::monostate>(content))
     return PublishedKind::Gone;
-  if (std::holds_alternative<DomainOut>(content))
+  if (std::holds_alternative<DomainOutOfService>(content))
     return PublishedKind::DomainOut;
   using Server = std::shared_ptr<const PublishedServer>;
   return std::holds_alternative<Server>(content) ? PublishedKind::Server
@@ -88,7 +88,7 @@
 }
 
 template <class Ar>
-void fields(Ar &ar, typename Ar::template Ref<DomainOut> m) {
+void fields(Ar &ar, typename Ar::template Ref<DomainOutOfService> m) {
   ar("d", m.Domain);
 }
 
@@ -131,8 +131,8 @@
   }
   case PublishedKind::DomainOut:
     if constexpr (Ar::Reads)
-      m.Content = DomainOut();
-    ar("o", std::get<DomainOut>(m.Content));
+      m.Content = DomainOutOfService();
+    ar("o", std::get<DomainOutOfService>(m.Content));
     return;
   }
   // Reached by a number that names no kind; writing names one always.
@@ -144,7 +144,7 @@
 void fields(Ar &ar, typename Ar::template Ref<PublishedChanges> m) {
   ar.oneOf("p", m.Section, PublishedSection::Servers);
   ar("f", m.After);
-  ar("a", m.As);
+  ar("a", m.UpTo);
   ar("o", m.Objects);
   ar("c", m.BucketCount);
   ar("b", m.Buckets);
@@ -152,14 +152,14 @@
 
 template <class Ar>
 void fields(Ar &ar, typename Ar::template Ref<SectionDigest> m) {
-  ar("a", m.As);
+  ar("a", m.CompleteUpTo);
   ar("l", m.LastChange);
-  ar("p", m.Present);
+  ar("p", m.PresentHash);
   ar("h", m.HistoryFrom);
-  ar("n", m.Objects);
+  ar("n", m.ObjectCount);
   ar("g", m.Age);
-  ar("b", m.Prover);
-  ar("k", m.ProverRank);
+  ar("b", m.VerifiedBy);
+  ar("k", m.VerifierRank);
 }
 
 template <class Ar>
--- a/Balsamrack/Published/PublishedMessages.h
+++ b/Balsamrack/Published/PublishedMessages.h
@@ -10,16 +10,16 @@
 
 /// What a daemon holds of one section.
 struct SectionDigest {
-  Revision As;          ///< Complete up to here; zero: nothing.
-  Revision LastChange;  ///< See PublishedStore::lastChange().
-  uint64_t Present = 0; ///< See PublishedStore::presentHash().
-  Revision HistoryFrom; ///< See PublishedStore::historyFrom().
-  uint32_t Objects = 0; ///< How many exist.
-  Duration Age{0};      ///< Since the publishing service said to a reader that
-                        ///< nothing newer exists.
-  uint64_t Prover = 0;  ///< VmId::hash() of that reader.
-  uint32_t ProverRank = 0; ///< Zero: a regular reader; else one more than its
-                           ///< place among its domain's daemons.
+  Revision CompleteUpTo;    ///< Complete up to here; zero: nothing.
+  Revision LastChange;      ///< See PublishedStore::lastChange().
+  uint64_t PresentHash = 0; ///< See PublishedStore::presentHash().
+  Revision HistoryFrom;     ///< See PublishedStore::historyFrom().
+  uint32_t ObjectCount = 0; ///< How many exist.
+  Duration Age{0}; ///< Since the publishing service said to a reader that
+                   ///< nothing newer exists.
+  uint64_t VerifiedBy = 0;   ///< VmId::hash() of that reader.
+  uint32_t VerifierRank = 0; ///< Zero: a regular reader; else one more than its
+                             ///< place among its domain's daemons.
 };
 
 /// Says what is held here, for a peer to compare.
--- a/Balsamrack/Published/PublishedSource.h
+++ b/Balsamrack/Published/PublishedSource.h
@@ -13,7 +13,7 @@
   PublishedSection Section = PublishedSection::Servers; ///< What to read.
   Revision After;   ///< Zero: list all; else wait for changes after this.
   Duration Wait{0}; ///< How long the service may wait for a change.
-  bool MayBeOld =
+  bool AllowStale =
       false; ///< An answer some seconds old will do, and is cheaper.
 };
 
--- a/Balsamrack/Published/PublishedState.h
+++ b/Balsamrack/Published/PublishedState.h
@@ -63,7 +63,7 @@
 };
 
 /// Operators have taken this failure domain out of service.
-struct DomainOut {
+struct DomainOutOfService {
   DomainId Domain; ///< Which.
 };
 
@@ -84,7 +84,7 @@
 /// The state of one object. Monostate: it is gone.
 using PublishedContent =
     std::variant<std::monostate, std::shared_ptr<const OperatorConfiguration>,
-                 std::shared_ptr<const PublishedServer>, DomainOut>;
+                 std::shared_ptr<const PublishedServer>, DomainOutOfService>;
 
 /// One published object at one revision.
 struct PublishedObject {
@@ -94,7 +94,9 @@
   PublishedContent Content; ///< The state.
 
   /// True when the object is no longer published. Thread-safe.
-  bool gone() const { return std::holds_alternative<std::monostate>(Content); }
+  bool isDeleted() const {
+    return std::holds_alternative<std::monostate>(Content);
+  }
 };
 
 /// What happened in one section between two revisions.
@@ -102,7 +104,7 @@
   PublishedSection Section = PublishedSection::Servers; ///< Which section.
   Revision After; ///< Every change after this one is contained; zero: all
                   ///< objects that exist are contained.
-  Revision As;    ///< Up to this one.
+  Revision UpTo;  ///< Up to this one.
   std::vector<PublishedObject> Objects; ///< The newest state of what changed.
   uint32_t BucketCount = 0; ///< Not zero: the list is not by revision, but
                             ///< holds what exists of some buckets.
--- a/Balsamrack/Published/PublishedStore.cpp
+++ b/Balsamrack/Published/PublishedStore.cpp
@@ -19,70 +19,75 @@
 
 } // namespace
 
-void PublishedStore::toggleHash(Part &in, const PublishedObject &object) {
+void PublishedStore::toggleHash(SectionContent &in,
+                                const PublishedObject &object) {
   uint64_t hash = combineHash(stableHash(object.Name), object.At.Value);
-  in.Present ^= hash;
-  in.Buckets[bucketOf(object.Name, MaxBuckets)] ^= hash;
+  in.PresentHash ^= hash;
+  in.BucketHashes[bucketOf(object.Name, MaxBuckets)] ^= hash;
 }
 
-void PublishedStore::addToHashes(Part &in, const PublishedObject &object) {
-  if (object.gone())
+void PublishedStore::addToHashes(SectionContent &in,
+                                 const PublishedObject &object) {
+  if (object.isDeleted())
     return;
   toggleHash(in, object);
-  ++in.Existing;
+  ++in.ObjectCount;
 }
 
-void PublishedStore::removeFromHashes(Part &in, const PublishedObject &object) {
-  if (object.gone())
+void PublishedStore::removeFromHashes(SectionContent &in,
+                                      const PublishedObject &object) {
+  if (object.isDeleted())
     return;
   toggleHash(in, object);
-  --in.Existing;
+  --in.ObjectCount;
 }
 
-void PublishedStore::remove(Part &in, PublishedObject &object, Revision at) {
+void PublishedStore::remove(SectionContent &in, PublishedObject &object,
+                            Revision at) {
   removeFromHashes(in, object);
   object.At = at;
   object.Content = std::monostate();
   in.LastChange = std::max(in.LastChange, at);
-  in.Gone.push_back(object.Name);
+  in.Tombstones.push_back(object.Name);
 }
 
-bool PublishedStore::apply(Part &into, const PublishedObject &object) {
+bool PublishedStore::apply(SectionContent &into,
+                           const PublishedObject &object) {
   auto it = into.Objects.find(object.Name);
-  Revision known = it == into.Objects.end() ? into.CompleteAs : it->second.At;
+  Revision known = it == into.Objects.end() ? into.CompleteUpTo : it->second.At;
   if (object.At <= known)
     return false;
-  bool wasGone = it == into.Objects.end() || it->second.gone();
-  if (object.gone() && !wasGone)
-    into.Gone.push_back(object.Name);
+  bool wasGone = it == into.Objects.end() || it->second.isDeleted();
+  if (object.isDeleted() && !wasGone)
+    into.Tombstones.push_back(object.Name);
   if (it != into.Objects.end())
     removeFromHashes(into, it->second);
   addToHashes(into, object);
   into.Objects[object.Name] = object;
   into.LastChange = std::max(into.LastChange, object.At);
-  return !(object.gone() && wasGone);
+  return !(object.isDeleted() && wasGone);
 }
 
-void PublishedStore::forgetOldest(Part &from) {
-  while (from.Gone.size() > MaxGone) {
-    auto it = from.Objects.find(from.Gone.front());
+void PublishedStore::dropOldTombstones(SectionContent &from) {
+  while (from.Tombstones.size() > MaxTombstones) {
+    auto it = from.Objects.find(from.Tombstones.front());
     // Only what is complete makes up for what is forgotten: beyond it an older
     // listing would bring the object back.
-    bool beyond = it != from.Objects.end() && it->second.gone() &&
-                  it->second.At > from.CompleteAs;
+    bool beyond = it != from.Objects.end() && it->second.isDeleted() &&
+                  it->second.At > from.CompleteUpTo;
     if (beyond)
       return;
-    from.Gone.pop_front();
-    if (it == from.Objects.end() || !it->second.gone())
+    from.Tombstones.pop_front();
+    if (it == from.Objects.end() || !it->second.isDeleted())
       continue;
-    from.ForgotUpTo = std::max(from.ForgotUpTo, it->second.At);
+    from.HistoryFrom = std::max(from.HistoryFrom, it->second.At);
     from.Objects.erase(it);
   }
 }
 
 std::vector<PublishedObject>
 PublishedStore::merge(const PublishedChanges &changes) {
-  Part &into = Parts[static_cast<size_t>(changes.Section)];
+  SectionContent &into = Sections[static_cast<size_t>(changes.Section)];
   std::vector<PublishedObject> changed;
   std::set<std::string> listed;
   for (const PublishedObject &object : changes.Objects) {
@@ -93,57 +98,58 @@
   bool byBuckets = changes.BucketCount > 0;
   bool whole = changes.After == Revision{} && !byBuckets;
   std::set<uint32_t> buckets(changes.Buckets.begin(), changes.Buckets.end());
-  if ((whole || byBuckets) && changes.As > into.CompleteAs)
+  if ((whole || byBuckets) && changes.UpTo > into.CompleteUpTo)
     for (auto &[name, object] : into.Objects) {
-      if (object.gone() || object.At > changes.As || listed.count(name))
+      if (object.isDeleted() || object.At > changes.UpTo || listed.count(name))
         continue;
       if (byBuckets && buckets.count(bucketOf(name, changes.BucketCount)) == 0)
         continue;
-      remove(into, object, changes.As);
+      remove(into, object, changes.UpTo);
       changed.push_back(object);
     }
   // Guards against a removed object that lives on at a peer: a listing does not
   // tell what was removed before it, so neither can its holder.
-  if (whole && changes.As > into.CompleteAs) {
-    into.ForgotUpTo = std::max(into.ForgotUpTo, changes.As);
-    into.LastChange = std::max(into.LastChange, changes.As);
+  if (whole && changes.UpTo > into.CompleteUpTo) {
+    into.HistoryFrom = std::max(into.HistoryFrom, changes.UpTo);
+    into.LastChange = std::max(into.LastChange, changes.UpTo);
   }
   // A list of changes that begins after what is held leaves a gap, so it does
   // not complete the section.
-  if (whole || (!byBuckets && changes.After <= into.CompleteAs))
-    into.CompleteAs = std::max(into.CompleteAs, changes.As);
-  forgetOldest(into);
+  if (whole || (!byBuckets && changes.After <= into.CompleteUpTo))
+    into.CompleteUpTo = std::max(into.CompleteUpTo, changes.UpTo);
+  dropOldTombstones(into);
   return changed;
 }
 
-bool PublishedStore::completeUpTo(PublishedSection section, Revision lastChange,
-                                  Revision as, uint64_t presentHash) {
-  Part &into = Parts[static_cast<size_t>(section)];
-  if (into.CompleteAs == Revision{} || into.CompleteAs < lastChange) {
-    if (presentHash != into.Present)
+bool PublishedStore::extendCompleteness(PublishedSection section,
+                                        Revision lastChange, Revision as,
+                                        uint64_t presentHash) {
+  SectionContent &into = Sections[static_cast<size_t>(section)];
+  if (into.CompleteUpTo == Revision{} || into.CompleteUpTo < lastChange) {
+    if (presentHash != into.PresentHash)
       return false;
     // The same objects exist, but what came and went in between is not known.
-    into.ForgotUpTo = std::max(into.ForgotUpTo, as);
+    into.HistoryFrom = std::max(into.HistoryFrom, as);
     into.LastChange = std::max(into.LastChange, lastChange);
   }
-  into.CompleteAs = std::max(into.CompleteAs, as);
+  into.CompleteUpTo = std::max(into.CompleteUpTo, as);
   return true;
 }
 
-bool PublishedStore::complete() const {
-  return std::all_of(Parts.begin(), Parts.end(), [](const Part &it) {
-    return it.CompleteAs != Revision{};
-  });
+bool PublishedStore::isComplete() const {
+  return std::all_of(
+      Sections.begin(), Sections.end(),
+      [](const SectionContent &it) { return it.CompleteUpTo != Revision{}; });
 }
 
 PublishedChanges PublishedStore::changesAfter(PublishedSection section,
                                               Revision after) const {
-  const Part &from = part(section);
-  bool whole = after < from.ForgotUpTo || after == Revision{};
+  const SectionContent &from = contentOf(section);
+  bool whole = after < from.HistoryFrom || after == Revision{};
   PublishedChanges changes{
-      section, whole ? Revision{} : after, from.CompleteAs, {}};
+      section, whole ? Revision{} : after, from.CompleteUpTo, {}};
   for (const auto &[name, object] : from.Objects)
-    if (whole ? !object.gone() : object.At > after)
+    if (whole ? !object.isDeleted() : object.At > after)
       changes.Objects.push_back(object);
   return changes;
 }
@@ -154,7 +160,7 @@
   std::vector<uint32_t> hashes(count);
   for (uint32_t i = 0; i < MaxBuckets; ++i)
     hashes[i / (MaxBuckets / count)] ^=
-        static_cast<uint32_t>(part(section).Buckets[i]);
+        static_cast<uint32_t>(contentOf(section).BucketHashes[i]);
   return hashes;
 }
 
@@ -162,14 +168,14 @@
 PublishedStore::differencesFrom(PublishedSection section,
                                 const std::vector<uint32_t> &theirs,
                                 uint32_t first, size_t most) const {
-  const Part &from = part(section);
+  const SectionContent &from = contentOf(section);
   auto count = static_cast<uint32_t>(theirs.size());
   std::vector<uint32_t> ours = bucketHashes(section, count);
   std::vector<std::vector<const PublishedObject *>> contents(count);
   for (const auto &[name, object] : from.Objects)
-    if (!object.gone())
+    if (!object.isDeleted())
       contents[bucketOf(name, count)].push_back(&object);
-  PublishedChanges changes{section, from.CompleteAs, from.CompleteAs, {}};
+  PublishedChanges changes{section, from.CompleteUpTo, from.CompleteUpTo, {}};
   changes.BucketCount = count;
   for (uint32_t i = 0; i < count && changes.Objects.size() < most; ++i) {
     uint32_t bucket = (first + i) % count;
@@ -185,8 +191,8 @@
 std::vector<PublishedObject>
 PublishedStore::objects(PublishedSection section) const {
   std::vector<PublishedObject> all;
-  for (const auto &[name, object] : part(section).Objects)
-    if (!object.gone())
+  for (const auto &[name, object] : contentOf(section).Objects)
+    if (!object.isDeleted())
       all.push_back(object);
   return all;
 }
--- a/Balsamrack/Published/StateExchange.cpp
+++ b/Balsamrack/Published/StateExchange.cpp
@@ -10,16 +10,16 @@
 namespace {
 
 /// Daemons of each other domain that hear of a change at once.
-constexpr size_t ElsewhereFanout = 2;
+constexpr size_t OtherDomainFanout = 2;
 /// Daemons of each other domain that hear of a proof at once: one that is lost
 /// is made up for by the next.
-constexpr size_t ProofElsewhereFanout = 1;
+constexpr size_t OtherDomainDigestFanout = 1;
 /// The wait before a takeover doubles so many times at most.
-constexpr size_t MostDoublings = 6;
+constexpr size_t MaxTakeoverDoublings = 6;
 /// Peers that get a digest of a first listing.
-constexpr size_t StartFanout = 2;
+constexpr size_t FirstListingFanout = 2;
 /// Peers asked for updates after a pause.
-constexpr size_t WakeupFanout = 2;
+constexpr size_t PauseRequestFanout = 2;
 
 } // namespace
 
@@ -32,64 +32,64 @@
   // By hash, so that no VM is special by its name; the same order everywhere.
   uint64_t own = Self.Id.hash();
   uint64_t ownDomain = Self.Domain.hash();
-  Place = 0;
+  RankInDomain = 0;
   std::set<uint64_t> before;
   for (const EntryVm &vm : Peers) {
     if (vm.Leaving)
       continue;
     if (vm.Domain == Self.Domain)
-      Place += vm.Id.hash() < own ? 1 : 0;
+      RankInDomain += vm.Id.hash() < own ? 1 : 0;
     else if (vm.Domain.hash() < ownDomain)
       before.insert(vm.Domain.hash());
   }
-  DomainPlace = before.size();
+  RankOfDomain = before.size();
 }
 
-bool StateExchange::waitsForOther(PublishedSection section) const {
+bool StateExchange::isLeftToOtherSection(PublishedSection section) const {
   // While the service is away one section finds out when it is back.
-  return std::any_of(AllSections.begin(), AllSections.end(),
-                     [&](PublishedSection other) {
-                       return other != section && at(other).Away &&
-                              (!at(section).Away || other < section);
-                     });
+  return std::any_of(
+      AllSections.begin(), AllSections.end(), [&](PublishedSection other) {
+        return other != section && at(other).ServiceUnavailable &&
+               (!at(section).ServiceUnavailable || other < section);
+      });
 }
 
-bool StateExchange::wantsRead(TimePoint now, PublishedSection section) const {
+bool StateExchange::shouldRead(TimePoint now, PublishedSection section) const {
   const SectionState &state = at(section);
-  if (state.Reading || now < state.NextRead || waitsForOther(section))
+  if (state.Reading || now < state.NextRead || isLeftToOtherSection(section))
     return false;
-  if (Store.completeAs(section) == Revision{} || state.TakenOver ||
-      state.ListNext)
+  if (Store.completeRevision(section) == Revision{} || state.TakenOver ||
+      state.ListingRequired)
     return true;
-  if (reads() && !young(now))
+  if (isRegularReader() && !isStarting(now))
     return true;
-  int steps = (1 << std::min(Place, MostDoublings)) - 1;
-  return now - state.ProvedAt >
+  int steps = (1 << std::min(RankInDomain, MaxTakeoverDoublings)) - 1;
+  return now - state.VerifiedAt >
          Settings.TakeoverAge + Settings.TakeoverStep * steps;
 }
 
-Duration StateExchange::periodOf(PublishedSection section) const {
+Duration StateExchange::readPeriodOf(PublishedSection section) const {
   return section == PublishedSection::Servers ? Settings.ServersPeriod
                                               : Settings.OperatorsPeriod;
 }
 
-void StateExchange::readIfWanted(TimePoint now, PublishedSection section) {
-  if (!wantsRead(now, section))
+void StateExchange::startReadIfDue(TimePoint now, PublishedSection section) {
+  if (!shouldRead(now, section))
     return;
   SectionState &state = at(section);
   state.Reading = true;
-  state.TakenOver = state.ProvedAt != TimePoint{} && !reads();
-  Revision held = Store.completeAs(section);
+  state.TakenOver = state.VerifiedAt != TimePoint{} && !isRegularReader();
+  Revision held = Store.completeRevision(section);
   PublishedRead read;
   read.Section = section;
-  bool list = state.ListNext || held == Revision{};
+  bool list = state.ListingRequired || held == Revision{};
   if (!list) {
     read.After = held;
-    read.Wait = Settings.Watch;
+    read.Wait = Settings.WatchTimeout;
   }
   // A first listing may be old: the watch that follows, or a peer, brings it up
   // to date.
-  read.MayBeOld = list && held == Revision{} && state.Failures == 0;
+  read.AllowStale = list && held == Revision{} && state.Failures == 0;
   Actions.emplace_back(StartRead{read});
 }
 
@@ -97,41 +97,41 @@
   if (StartedAt == TimePoint{})
     StartedAt = now;
   for (PublishedSection section : AllSections)
-    readIfWanted(now, section);
+    startReadIfDue(now, section);
   if (now >= NextDigest) {
     NextDigest = now + Settings.DigestPeriod;
-    sendDigestToOne(now);
+    sendDigestToRandomPeer(now);
   }
-  return take();
+  return takeActions();
 }
 
 std::vector<StateExchangeAction>
 StateExchange::requestAfterPause(TimePoint now) {
   for (bool ownDomain : {true, false})
-    send(pick(ownDomain, WakeupFanout), requestByRevision());
+    send(pickPeers(ownDomain, PauseRequestFanout), requestByRevision());
   for (PublishedSection section : AllSections)
-    readIfWanted(now, section);
-  return take();
+    startReadIfDue(now, section);
+  return takeActions();
 }
 
 std::vector<StateExchangeAction>
-StateExchange::readEnded(TimePoint now, const PublishedRead &read,
-                         absl::StatusOr<PublishedChanges> result) {
+StateExchange::handleReadResult(TimePoint now, const PublishedRead &read,
+                                absl::StatusOr<PublishedChanges> result) {
   SectionState &state = at(read.Section);
   state.Reading = false;
   if (!result.ok()) {
-    failed(now, read, result.status());
-    return take();
+    onReadFailed(now, read, result.status());
+    return takeActions();
   }
-  if (state.Failures > 0 || state.ProvedAt == TimePoint{})
+  if (state.Failures > 0 || state.VerifiedAt == TimePoint{})
     Actions.emplace_back(SourceChanged{read.Section, true, ""});
   state.Failures = 0;
-  state.Away = false;
-  state.ListNext = false;
-  state.NextRead = nextReadAfter(now, read);
-  if (!read.MayBeOld)
-    setProved(read.Section, now, Self.Id.hash(), readerRank());
-  Revision before = Store.completeAs(read.Section);
+  state.ServiceUnavailable = false;
+  state.ListingRequired = false;
+  state.NextRead = nextReadTime(now, read);
+  if (!read.AllowStale)
+    setVerified(read.Section, now, Self.Id.hash(), readerRank());
+  Revision before = Store.completeRevision(read.Section);
   std::vector<PublishedObject> changed = merge(*result, VmId());
   // What a daemon lists first is no update to those that run; whoever lacks it
   // asks. Told to all, it would cost each daemon of a fleet that starts two
@@ -141,32 +141,32 @@
                      read.After == Revision{}
                          ? changesOfListing(read.Section, std::move(changed))
                          : Store.changesAfter(read.Section, before));
-  else if (!read.MayBeOld)
-    broadcastProof(now);
+  else if (!read.AllowStale)
+    broadcastVerification(now);
   else if (!changed.empty())
-    sendDigestToDomain(now, StartFanout);
+    sendDigestToDomain(now, FirstListingFanout);
   for (PublishedSection section : AllSections)
-    readIfWanted(now, section);
-  return take();
+    startReadIfDue(now, section);
+  return takeActions();
 }
 
-void StateExchange::setProved(PublishedSection section, TimePoint at,
-                              uint64_t prover, uint32_t rank) {
+void StateExchange::setVerified(PublishedSection section, TimePoint at,
+                                uint64_t prover, uint32_t rank) {
   SectionState &state = this->at(section);
-  if (at <= state.ProvedAt)
+  if (at <= state.VerifiedAt)
     return;
-  state.ProvedAt = at;
-  state.Prover = prover;
-  state.ProverRank = rank;
+  state.VerifiedAt = at;
+  state.VerifiedBy = prover;
+  state.VerifierRank = rank;
 }
 
 bool StateExchange::yieldsTo(const SectionDigest &theirs) const {
   uint64_t own = Self.Id.hash();
-  if (theirs.Prover == own || theirs.Age > Settings.TakeoverAge)
+  if (theirs.VerifiedBy == own || theirs.Age > Settings.TakeoverAge)
     return false;
   uint32_t rank = readerRank();
-  return theirs.ProverRank != rank ? theirs.ProverRank < rank
-                                   : theirs.Prover < own;
+  return theirs.VerifierRank != rank ? theirs.VerifierRank < rank
+                                     : theirs.VerifiedBy < own;
 }
 
 PublishedChanges
@@ -176,14 +176,14 @@
   // each listing in place of a watch would go to the whole fleet as it is. A
   // list that begins where it ends completes nobody; the hash of all objects,
   // which comes with it, does.
-  Revision as = Store.completeAs(section);
+  Revision as = Store.completeRevision(section);
   return {section, as, as, std::move(changed)};
 }
 
-TimePoint StateExchange::nextReadAfter(TimePoint now,
-                                       const PublishedRead &read) {
-  if (!read.MayBeOld)
-    return now + periodOf(read.Section);
+TimePoint StateExchange::nextReadTime(TimePoint now,
+                                      const PublishedRead &read) {
+  if (!read.AllowStale)
+    return now + readPeriodOf(read.Section);
   // Guards against a fleet that starts: each daemon that does not know the
   // others yet would take itself for the reader. The first that reads proves
   // the state of all.
@@ -192,12 +192,12 @@
          Duration(static_cast<int64_t>(Random.below(span)));
 }
 
-void StateExchange::failed(TimePoint now, const PublishedRead &read,
-                           const absl::Status &status) {
+void StateExchange::onReadFailed(TimePoint now, const PublishedRead &read,
+                                 const absl::Status &status) {
   SectionState &state = at(read.Section);
   if (status.code() == absl::StatusCode::kOutOfRange) {
     // The service has dropped the history that we would need.
-    state.ListNext = true;
+    state.ListingRequired = true;
     state.NextRead = now + Settings.OperatorsPeriod;
     return;
   }
@@ -205,11 +205,11 @@
     Actions.emplace_back(
         SourceChanged{read.Section, false, std::string(status.message())});
   ++state.Failures;
-  state.Away = status.code() == absl::StatusCode::kUnavailable;
+  state.ServiceUnavailable = status.code() == absl::StatusCode::kUnavailable;
   // The first daemon of a domain finds out for the others when the service is
   // back.
-  bool first = Place == 0;
-  Duration most = first ? Settings.MaxBackoff : Settings.MaxBackoffOfOthers;
+  bool first = RankInDomain == 0;
+  Duration most = first ? Settings.MaxBackoff : Settings.MaxBackoffOfLaterRanks;
   Duration wait = first ? Settings.MinBackoff : most / 2;
   for (uint32_t i = 1; i < state.Failures && wait < most; ++i)
     wait *= 2;
@@ -228,7 +228,7 @@
   return changed;
 }
 
-std::vector<EntryVm> StateExchange::pick(bool ownDomain, size_t most) {
+std::vector<EntryVm> StateExchange::pickPeers(bool ownDomain, size_t most) {
   std::vector<EntryVm> chosen;
   size_t seen = 0;
   for (const EntryVm &vm : Peers) {
@@ -247,8 +247,8 @@
   return chosen;
 }
 
-std::vector<EntryVm> StateExchange::pickOfOtherDomains(size_t ofEach) {
-  std::vector<EntryVm> others = pick(false, Peers.size());
+std::vector<EntryVm> StateExchange::pickFromOtherDomains(size_t ofEach) {
+  std::vector<EntryVm> others = pickPeers(false, Peers.size());
   for (size_t i = others.size(); i > 1; --i)
     std::swap(others[i - 1], others[Random.below(i)]);
   std::map<DomainId, size_t> chosenOf;
@@ -260,29 +260,29 @@
 }
 
 void StateExchange::send(std::vector<EntryVm> to,
-                         decltype(SendStateMessage::What) what) {
+                         decltype(SendStateMessage::Message) what) {
   if (!to.empty())
     Actions.emplace_back(SendStateMessage{std::move(to), std::move(what)});
 }
 
-bool StateExchange::isBroadcast(const PublishedChanges &changes) const {
+bool StateExchange::shouldBroadcast(const PublishedChanges &changes) const {
   return changes.Section == PublishedSection::Operators ||
-         changes.Objects.size() <= Settings.MostBroadcast ||
-         Peers.size() <= Settings.WholeFleetFanout;
+         changes.Objects.size() <= Settings.MaxBroadcastObjects ||
+         Peers.size() <= Settings.FullBroadcastFleetSize;
 }
 
 void StateExchange::advertise(TimePoint now) {
-  sendDigestToDomain(now, Settings.PullFanout);
-  send(pickOfOtherDomains(ElsewhereFanout),
+  sendDigestToDomain(now, Settings.AdvertiseFanout);
+  send(pickFromOtherDomains(OtherDomainFanout),
        PublishedDigest{digests(now), true, false});
 }
 
 void StateExchange::broadcastToDomain(const PublishedUpdate &update) {
-  send(pick(true, Settings.DomainFanout), update);
+  send(pickPeers(true, Settings.DomainFanout), update);
 }
 
 void StateExchange::broadcastToFleet(TimePoint now, PublishedChanges changes) {
-  if (!isBroadcast(changes)) {
+  if (!shouldBroadcast(changes)) {
     advertise(now);
     return;
   }
@@ -290,8 +290,9 @@
   update.Changes.push_back(std::move(changes));
   update.Digests = digests(now);
   broadcastToDomain(update);
-  bool all = Peers.size() <= Settings.WholeFleetFanout;
-  send(all ? pick(false, Peers.size()) : pickOfOtherDomains(ElsewhereFanout),
+  bool all = Peers.size() <= Settings.FullBroadcastFleetSize;
+  send(all ? pickPeers(false, Peers.size())
+           : pickFromOtherDomains(OtherDomainFanout),
        std::move(update));
 }
 
@@ -300,22 +301,22 @@
   send({peer}, PublishedDigest{digests(now), answer, false});
 }
 
-void StateExchange::sendDigestToOne(TimePoint now) {
-  DomainTurn = !DomainTurn;
-  std::vector<EntryVm> chosen = pick(DomainTurn, 1);
+void StateExchange::sendDigestToRandomPeer(TimePoint now) {
+  OwnDomainNext = !OwnDomainNext;
+  std::vector<EntryVm> chosen = pickPeers(OwnDomainNext, 1);
   if (chosen.empty())
-    chosen = pick(!DomainTurn, 1);
+    chosen = pickPeers(!OwnDomainNext, 1);
   if (!chosen.empty())
     sendDigest(now, chosen.front(), false);
 }
 
 void StateExchange::sendDigestToDomain(TimePoint now, size_t most) {
-  send(pick(true, most), PublishedDigest{digests(now), true, false});
+  send(pickPeers(true, most), PublishedDigest{digests(now), true, false});
 }
 
-void StateExchange::broadcastProof(TimePoint now) {
+void StateExchange::broadcastVerification(TimePoint now) {
   sendDigestToDomain(now, Settings.DomainFanout);
-  send(pickOfOtherDomains(ProofElsewhereFanout),
+  send(pickFromOtherDomains(OtherDomainDigestFanout),
        PublishedDigest{digests(now), true, true});
 }
 
@@ -324,12 +325,12 @@
   TimePoint next = NextDigest;
   for (PublishedSection section : AllSections) {
     const SectionState &state = at(section);
-    if (state.Reading || waitsForOther(section))
+    if (state.Reading || isLeftToOtherSection(section))
       continue;
-    bool unknown = Store.completeAs(section) == Revision{};
-    if (unknown || state.TakenOver || state.ListNext)
+    bool unknown = Store.completeRevision(section) == Revision{};
+    if (unknown || state.TakenOver || state.ListingRequired)
       next = std::min(next, state.NextRead);
-    else if (reads())
+    else if (isRegularReader())
       next = std::min(next,
                       std::max(state.NextRead, StartedAt + Settings.StartSpan));
   }
--- a/Balsamrack/Published/StateExchange.h
+++ b/Balsamrack/Published/StateExchange.h
@@ -19,7 +19,7 @@
 struct StateExchangeSettings {
   /// How long a watch of the publishing service waits. Its answer proves that
   /// the service still speaks to its reader.
-  Duration Watch{2'000'000};
+  Duration WatchTimeout{2'000'000};
   /// Failure domains whose first daemon reads all the time. Two, so that one
   /// that fails or is cut off delays nothing.
   size_t RegularReaders = 2;
@@ -44,7 +44,7 @@
   Duration MaxBackoff{2'000'000}; ///< After many failures, for the first
                                   ///< daemon of a domain.
   /// As MaxBackoff, for the others: the first one's digest ends their wait.
-  Duration MaxBackoffOfOthers{8'000'000};
+  Duration MaxBackoffOfLaterRanks{8'000'000};
   /// Between reads of the operators' section, whatever the service answers.
   Duration OperatorsPeriod{20'000};
   /// As above, of the servers' section: a release changes several servers a
@@ -56,20 +56,20 @@
   /// Most changes of servers that go to a whole domain at once. Of more, the
   /// reader only advertises, and daemons copy them from each other: else the
   /// reader's link fills.
-  size_t MostBroadcast = 32;
-  size_t PullFanout = 3; ///< Peers that are advertised to.
+  size_t MaxBroadcastObjects = 32;
+  size_t AdvertiseFanout = 3; ///< Peers that are advertised to.
   /// A fleet up to this size gets every change at once.
-  size_t WholeFleetFanout = 16;
+  size_t FullBroadcastFleetSize = 16;
 };
 
 /// Send some peers the same message.
 struct SendStateMessage {
   std::vector<EntryVm> To; ///< Whom; at least one.
-  std::variant<PublishedDigest, PublishedRequest, PublishedUpdate> What;
+  std::variant<PublishedDigest, PublishedRequest, PublishedUpdate> Message;
 };
-/// Read the publishing service; answer by readEnded().
+/// Read the publishing service; answer by handleReadResult().
 struct StartRead {
-  PublishedRead What; ///< See there.
+  PublishedRead Read; ///< See there.
 };
 /// Something changed in a section.
 struct StateChanged {
@@ -80,8 +80,8 @@
 /// The service became, or ceased to be, readable from here.
 struct SourceChanged {
   PublishedSection Section = PublishedSection::Servers; ///< By which reads.
-  bool Good = false; ///< It answered; else it failed.
-  std::string Error; ///< Why, when it failed.
+  bool Readable = false; ///< It answered; else it failed.
+  std::string Error;     ///< Why, when it failed.
 };
 
 /// All that a StateExchange asks for, in order.
@@ -94,10 +94,11 @@
 /// domain and to one or two daemons of each other one, which relay them; of
 /// many changes they advertise a digest. By anti-entropy all daemons compare
 /// digests with one random peer a quarter second, and whoever is behind copies
-/// what it lacks (StateCopies.cpp). A daemon without a proof of freshness for
-/// some seconds reads by itself, so updates depend neither on its own path to
-/// the service nor on any single daemon. The load of the service grows neither
-/// with the fleet nor with its failure domains. Deterministic. Not thread-safe.
+/// what it lacks (StateExchangeSync.cpp). A daemon without a proof of freshness
+/// for some seconds reads by itself, so updates depend neither on its own path
+/// to the service nor on any single daemon. The load of the service grows
+/// neither with the fleet nor with its failure domains. Deterministic. Not
+/// thread-safe.
 class StateExchange {
 public:
   /// An exchange for \p self that holds nothing. Precondition: \p random
@@ -108,12 +109,12 @@
   /// What is held.
   const PublishedStore &store() const { return Store; }
   /// Since when \p section was last proved to be the newest; zero: never.
-  TimePoint provedAt(PublishedSection section) const {
-    return at(section).ProvedAt;
+  TimePoint verifiedAt(PublishedSection section) const {
+    return at(section).VerifiedAt;
   }
   /// True when this daemon is a regular reader.
-  bool reads() const {
-    return Place == 0 && DomainPlace < Settings.RegularReaders;
+  bool isRegularReader() const {
+    return RankInDomain == 0 && RankOfDomain < Settings.RegularReaders;
   }
 
   /// These daemons live, this one left out.
@@ -124,8 +125,8 @@
   std::vector<StateExchangeAction> requestAfterPause(TimePoint now);
   /// A read that was asked for has ended.
   std::vector<StateExchangeAction>
-  readEnded(TimePoint now, const PublishedRead &read,
-            absl::StatusOr<PublishedChanges> result);
+  handleReadResult(TimePoint now, const PublishedRead &read,
+                   absl::StatusOr<PublishedChanges> result);
   /// A peer's message came in.
   std::vector<StateExchangeAction> handleDigest(TimePoint now,
                                                 const EntryVm &from,
@@ -144,16 +145,17 @@
 private:
   /// What is known and under way for one section.
   struct SectionState {
-    TimePoint ProvedAt;      ///< See provedAt().
-    uint64_t Prover = 0;     ///< As in SectionDigest, of that proof.
-    uint32_t ProverRank = 0; ///< As above.
-    bool Reading = false;    ///< A read is under way.
-    bool ListNext = false;   ///< The history that a watch needs is gone.
-    bool TakenOver = false;  ///< Reads although it is no regular reader, until
-                             ///< one of a lower rank does.
-    bool Away = false;       ///< The last read failed as the service was away.
-    TimePoint NextRead;      ///< Not before.
-    uint32_t Failures = 0;   ///< In a row.
+    TimePoint VerifiedAt;         ///< See verifiedAt().
+    uint64_t VerifiedBy = 0;      ///< As in SectionDigest, of that proof.
+    uint32_t VerifierRank = 0;    ///< As above.
+    bool Reading = false;         ///< A read is under way.
+    bool ListingRequired = false; ///< The history that a watch needs is gone.
+    bool TakenOver = false; ///< Reads although it is no regular reader, until
+                            ///< one of a lower rank does.
+    bool ServiceUnavailable =
+        false;             ///< The last read failed as the service was away.
+    TimePoint NextRead;    ///< Not before.
+    uint32_t Failures = 0; ///< In a row.
   };
 
   SectionState &at(PublishedSection section) {
@@ -162,21 +164,21 @@
   const SectionState &at(PublishedSection section) const {
     return Sections[static_cast<size_t>(section)];
   }
-  bool young(TimePoint now) const {
+  bool isStarting(TimePoint now) const {
     return now < StartedAt + Settings.StartSpan;
   }
   uint32_t readerRank() const {
-    return reads() ? 0 : 1 + static_cast<uint32_t>(Place);
+    return isRegularReader() ? 0 : 1 + static_cast<uint32_t>(RankInDomain);
   }
-  void setProved(PublishedSection section, TimePoint at, uint64_t prover,
-                 uint32_t rank);
+  void setVerified(PublishedSection section, TimePoint at, uint64_t prover,
+                   uint32_t rank);
   bool yieldsTo(const SectionDigest &theirs) const;
-  bool waitsForOther(PublishedSection section) const;
-  bool wantsRead(TimePoint now, PublishedSection section) const;
-  Duration periodOf(PublishedSection section) const;
-  void readIfWanted(TimePoint now, PublishedSection section);
-  void failed(TimePoint now, const PublishedRead &read,
-              const absl::Status &status);
+  bool isLeftToOtherSection(PublishedSection section) const;
+  bool shouldRead(TimePoint now, PublishedSection section) const;
+  Duration readPeriodOf(PublishedSection section) const;
+  void startReadIfDue(TimePoint now, PublishedSection section);
+  void onReadFailed(TimePoint now, const PublishedRead &read,
+                    const absl::Status &status);
   std::vector<SectionDigest> digests(TimePoint now) const;
   PublishedRequest requestFor(const std::vector<SectionDigest> &theirs) const;
   PublishedRequest requestByRevision() const;
@@ -185,24 +187,26 @@
   void answerSection(const SectionRequest &request, PublishedSection section,
                      PublishedUpdate &answer);
   bool mergeDigests(TimePoint now, const std::vector<SectionDigest> &digests);
-  TimePoint nextReadAfter(TimePoint now, const PublishedRead &read);
+  TimePoint nextReadTime(TimePoint now, const PublishedRead &read);
   bool isBehind(const std::vector<SectionDigest> &theirs) const;
   std::vector<PublishedObject> merge(const PublishedChanges &changes,
                                      const VmId &from);
   PublishedChanges changesOfListing(PublishedSection section,
                                     std::vector<PublishedObject> changed) const;
-  bool isBroadcast(const PublishedChanges &changes) const;
+  bool shouldBroadcast(const PublishedChanges &changes) const;
   void advertise(TimePoint now);
   void broadcastToDomain(const PublishedUpdate &update);
   void broadcastToFleet(TimePoint now, PublishedChanges changes);
   void sendDigest(TimePoint now, const EntryVm &peer, bool answer);
-  void sendDigestToOne(TimePoint now);
+  void sendDigestToRandomPeer(TimePoint now);
   void sendDigestToDomain(TimePoint now, size_t most);
-  void broadcastProof(TimePoint now);
-  std::vector<EntryVm> pick(bool ownDomain, size_t most);
-  std::vector<EntryVm> pickOfOtherDomains(size_t ofEach);
-  void send(std::vector<EntryVm> to, decltype(SendStateMessage::What) what);
-  std::vector<StateExchangeAction> take() { return std::exchange(Actions, {}); }
+  void broadcastVerification(TimePoint now);
+  std::vector<EntryVm> pickPeers(bool ownDomain, size_t most);
+  std::vector<EntryVm> pickFromOtherDomains(size_t ofEach);
+  void send(std::vector<EntryVm> to, decltype(SendStateMessage::Message) what);
+  std::vector<StateExchangeAction> takeActions() {
+    return std::exchange(Actions, {});
+  }
 
   const StateExchangeSettings Settings;
   const EntryVm Self;
@@ -210,13 +214,13 @@
   PublishedStore Store;                                 ///< What is held.
   std::array<SectionState, PublishedSections> Sections; ///< By section.
   std::vector<EntryVm> Peers;                           ///< Who lives.
-  size_t Place = 0;       ///< In the order of the own domain's daemons.
-  size_t DomainPlace = 0; ///< Of the own domain in the order of all domains.
-  TimePoint StartedAt;    ///< Of the first tick.
-  TimePoint NextRequest;  ///< Not before; see RequestTimeout.
-  VmId AskedPeer;         ///< Who got the last request.
-  TimePoint NextDigest;   ///< Of one random peer.
-  bool DomainTurn = true; ///< Whose turn the next digest is.
+  size_t RankInDomain = 0;   ///< In the order of the own domain's daemons.
+  size_t RankOfDomain = 0;   ///< Of the own domain in the order of all domains.
+  TimePoint StartedAt;       ///< Of the first tick.
+  TimePoint NextRequest;     ///< Not before; see RequestTimeout.
+  VmId AskedPeer;            ///< Who got the last request.
+  TimePoint NextDigest;      ///< Of one random peer.
+  bool OwnDomainNext = true; ///< Whose turn the next digest is.
   std::vector<StateExchangeAction> Actions; ///< Of the call under way.
 };
 
--- a/Balsamrack/Published/StateCopies.cpp
+++ b/Balsamrack/Published/StateExchangeSync.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 /// A proof of this age or more proves nothing; keeps sums of ages in range.
-constexpr Duration NeverProved{3'600'000'000};
+constexpr Duration MaxVerificationAge{3'600'000'000};
 /// A proof that is newer than the last by less is not passed on.
-constexpr Duration LeastNewer{500'000};
+constexpr Duration MinRelayInterval{500'000};
 /// Objects a bucket: more make answers longer, fewer make requests longer.
 constexpr size_t ObjectsPerBucket = 4;
 
@@ -30,18 +30,19 @@
 std::vector<SectionDigest> StateExchange::digests(TimePoint now) const {
   std::vector<SectionDigest> all;
   for (PublishedSection section : AllSections) {
-    TimePoint proved = at(section).ProvedAt;
-    Duration age = proved == TimePoint{} ? NeverProved
-                                         : std::min(now - proved, NeverProved);
+    TimePoint proved = at(section).VerifiedAt;
+    Duration age = proved == TimePoint{}
+                       ? MaxVerificationAge
+                       : std::min(now - proved, MaxVerificationAge);
     SectionDigest digest;
-    digest.As = Store.completeAs(section);
+    digest.CompleteUpTo = Store.completeRevision(section);
     digest.LastChange = Store.lastChange(section);
-    digest.Present = Store.presentHash(section);
+    digest.PresentHash = Store.presentHash(section);
     digest.HistoryFrom = Store.historyFrom(section);
-    digest.Objects = static_cast<uint32_t>(Store.objectCount(section));
+    digest.ObjectCount = static_cast<uint32_t>(Store.objectCount(section));
     digest.Age = age;
-    digest.Prover = at(section).Prover;
-    digest.ProverRank = at(section).ProverRank;
+    digest.VerifiedBy = at(section).VerifiedBy;
+    digest.VerifierRank = at(section).VerifierRank;
     all.push_back(digest);
   }
   return all;
@@ -50,7 +51,7 @@
 PublishedRequest StateExchange::requestByRevision() const {
   PublishedRequest request;
   for (PublishedSection section : AllSections)
-    request.Sections.push_back({Store.completeAs(section), {}});
+    request.Sections.push_back({Store.completeRevision(section), {}});
   return request;
 }
 
@@ -60,10 +61,11 @@
   for (size_t i = 0; i < std::min(theirs.size(), AllSections.size()); ++i) {
     PublishedSection section = AllSections[i];
     SectionRequest &wanted = request.Sections[i];
-    if (theirs[i].As <= wanted.After || wanted.After >= theirs[i].HistoryFrom)
+    if (theirs[i].CompleteUpTo <= wanted.After ||
+        wanted.After >= theirs[i].HistoryFrom)
       continue;
     size_t objects =
-        std::max<size_t>(Store.objectCount(section), theirs[i].Objects);
+        std::max<size_t>(Store.objectCount(section), theirs[i].ObjectCount);
     wanted.BucketHashes = Store.bucketHashes(section, bucketCountFor(objects));
   }
   return request;
@@ -86,26 +88,27 @@
   for (size_t i = 0; i < std::min(digests.size(), AllSections.size()); ++i) {
     const SectionDigest &theirs = digests[i];
     PublishedSection section = AllSections[i];
-    if (theirs.As > Store.completeAs(section))
-      Store.completeUpTo(section, theirs.LastChange, theirs.As, theirs.Present);
+    if (theirs.CompleteUpTo > Store.completeRevision(section))
+      Store.extendCompleteness(section, theirs.LastChange, theirs.CompleteUpTo,
+                               theirs.PresentHash);
     // What they had proved to be the newest is no newer than what is held.
-    bool held =
-        theirs.As != Revision{} && theirs.As <= Store.completeAs(section);
-    if (!held || theirs.Age >= NeverProved)
+    bool held = theirs.CompleteUpTo != Revision{} &&
+                theirs.CompleteUpTo <= Store.completeRevision(section);
+    if (!held || theirs.Age >= MaxVerificationAge)
       continue;
     SectionState &state = at(section);
     TimePoint proved = now - theirs.Age;
     if (yieldsTo(theirs))
       state.TakenOver = false;
-    newer = newer || proved > state.ProvedAt + LeastNewer;
-    setProved(section, proved, theirs.Prover, theirs.ProverRank);
+    newer = newer || proved > state.VerifiedAt + MinRelayInterval;
+    setVerified(section, proved, theirs.VerifiedBy, theirs.VerifierRank);
   }
   return newer;
 }
 
 bool StateExchange::isBehind(const std::vector<SectionDigest> &theirs) const {
   for (size_t i = 0; i < std::min(theirs.size(), AllSections.size()); ++i)
-    if (theirs[i].As > Store.completeAs(AllSections[i]))
+    if (theirs[i].CompleteUpTo > Store.completeRevision(AllSections[i]))
       return true;
   return false;
 }
@@ -119,11 +122,11 @@
   bool theyLack = false;
   size_t n = std::min(digest.Digests.size(), AllSections.size());
   for (size_t i = 0; i < n; ++i)
-    theyLack =
-        theyLack || digest.Digests[i].As < Store.completeAs(AllSections[i]);
+    theyLack = theyLack || digest.Digests[i].CompleteUpTo <
+                               Store.completeRevision(AllSections[i]);
   if (theyLack && !digest.Answer)
     sendDigest(now, from, true);
-  return take();
+  return takeActions();
 }
 
 std::vector<StateExchangeAction>
@@ -136,13 +139,13 @@
   answer.Digests = digests(now);
   answer.Relayed = true;
   send({from}, std::move(answer));
-  return take();
+  return takeActions();
 }
 
 void StateExchange::answerSection(const SectionRequest &request,
                                   PublishedSection section,
                                   PublishedUpdate &answer) {
-  if (Store.completeAs(section) <= request.After)
+  if (Store.completeRevision(section) <= request.After)
     return;
   if (request.After >= Store.historyFrom(section)) {
     answer.Changes.push_back(Store.changesAfter(section, request.After));
@@ -151,7 +154,7 @@
   // Without hashes the digest that goes with the answer has to do: the peer
   // learns from it that it needs to send them.
   size_t count = request.BucketHashes.size();
-  if (!PublishedStore::validBucketCount(count))
+  if (!PublishedStore::isValidBucketCount(count))
     return;
   // From a random bucket on, so that daemons that start together learn of
   // different servers first.
@@ -172,7 +175,7 @@
     NextRequest = now;
     AskedPeer = VmId();
     if (changed && !isBehind(update.Digests))
-      sendDigestToDomain(now, Settings.PullFanout);
+      sendDigestToDomain(now, Settings.AdvertiseFanout);
   }
   requestIfBehind(now, from, update.Digests);
   if (changed && !update.Relayed && from.Domain != Self.Domain) {
@@ -181,7 +184,7 @@
     relay.Digests = digests(now);
     broadcastToDomain(relay);
   }
-  return take();
+  return takeActions();
 }
 
 } // namespace balsamrack
--- a/PerformanceTest/ControlMeasure.cpp
+++ b/PerformanceTest/ControlMeasure.cpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "Balsamrack/Peers/PeerCodec.h"
-#include "UnitTests/Membership/FleetLoop.h"
+#include "UnitTests/Membership/FleetSimulation.h"
 
 namespace balsamrack {
 
@@ -35,11 +35,11 @@
 }
 
 /// A settled fleet of \p count daemons.
-std::unique_ptr<FleetLoop> makeFleet(size_t count, double loss) {
-  FleetLoop::Options how;
+std::unique_ptr<FleetSimulation> makeFleet(size_t count, double loss) {
+  FleetSimulation::Options how;
   how.Loss = loss;
   how.Tick = Duration(100'000);
-  auto fleet = std::make_unique<FleetLoop>(how);
+  auto fleet = std::make_unique<FleetSimulation>(how);
   std::vector<EntryVm> vms;
   for (size_t i = 0; i < count; ++i)
     vms.push_back({VmId(vmName(i)), DomainId(domainName(i)),
@@ -50,7 +50,7 @@
     for (size_t i = 0; i < count * ServersPerDaemon / Domains; ++i)
       servers.push_back("server-" + std::to_string(d) + "-" +
                         std::to_string(i));
-    fleet->place("domain-" + std::to_string(d), servers);
+    fleet->setServers("domain-" + std::to_string(d), servers);
   }
   for (const EntryVm &vm : vms)
     fleet->start(vm.Id.str(), vm.Domain.str());
@@ -58,7 +58,7 @@
   return fleet;
 }
 
-void countBytes(FleetLoop &fleet) {
+void countBytes(FleetSimulation &fleet) {
   fleet.setSizeOf([](const PeerMessage &message) {
     return encodePeerMessage(message).size() + FrameBytes;
   });
@@ -72,7 +72,7 @@
 
 double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
 
-double worstSecond(FleetLoop &fleet, TimePoint from) {
+double worstSecond(FleetSimulation &fleet, TimePoint from) {
   uint64_t worst = 0;
   for (const auto &node : fleet.nodes())
     for (const auto &[second, bytes] : node->BytesOfSecond)
@@ -121,8 +121,8 @@
 }
 
 /// Time until a ticket, read by one daemon, is in force at all that run.
-void measureTicket(FleetLoop &fleet, const std::string &name, double paused,
-                   Figures &figures) {
+void measureTicket(FleetSimulation &fleet, const std::string &name,
+                   double paused, Figures &figures) {
   auto &nodes = fleet.nodes();
   size_t asleep =
       static_cast<size_t>(paused * static_cast<double>(nodes.size()));
@@ -158,7 +158,7 @@
       fleet.resume(i);
 }
 
-size_t ownedCount(FleetLoop &fleet, const std::string &domain) {
+size_t ownedCount(FleetSimulation &fleet, const std::string &domain) {
   size_t owned = 0;
   for (const auto &node : fleet.nodes())
     if (node->Running && node->Vm.Domain.str() == domain)
--- a/UnitTests/Membership/FleetLoop.cpp
+++ b/UnitTests/Membership/FleetSimulation.cpp
@@ -1,4 +1,4 @@
-#include "UnitTests/Membership/FleetLoop.h"
+#include "UnitTests/Membership/FleetSimulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,26 +10,29 @@
 /// Bytes of one message with state.
 constexpr size_t StateBytes = 16'384;
 
-template <class T> T must(absl::StatusOr<T> made) {
+template <class T> T valueOrDie(absl::StatusOr<T> made) {
   return std::move(made).value();
 }
 
 } // namespace
 
-FleetLoop::FleetLoop(const Options &options)
-    : How(options), Random(options.Seed) {}
+FleetSimulation::FleetSimulation(const Options &options)
+    : SimulationOptions(options), Random(options.Seed) {}
 
-size_t FleetLoop::start(const std::string &vm, const std::string &domain) {
+size_t FleetSimulation::start(const std::string &vm,
+                              const std::string &domain) {
   auto node = std::make_unique<Node>();
   uint64_t index = Nodes.size();
   node->Vm = {VmId(vm), DomainId(domain),
               Address{"10.0.0.1", static_cast<uint16_t>(index + 1)}, false};
   node->Run = {++LastRun};
-  node->Members = must(Membership::create(How.Settings, node->Vm, node->Run,
-                                          How.Seed * 7919 + LastRun));
-  node->Fence = must(OwnershipFence::create(How.Settings, Now));
-  node->Tracker =
-      must(OwnershipTracker::create(How.Settings, node->Vm, node->Run, Now));
+  node->Members = valueOrDie(
+      Membership::create(SimulationOptions.Settings, node->Vm, node->Run,
+                         SimulationOptions.Seed * 7919 + LastRun));
+  node->Fence =
+      valueOrDie(OwnershipFence::create(SimulationOptions.Settings, Now));
+  node->Tracker = valueOrDie(OwnershipTracker::create(
+      SimulationOptions.Settings, node->Vm, node->Run, Now));
   node->Store = ConfigurationStore::create();
   node->Servers = Placed[domain];
   size_t i = Nodes.size();
@@ -39,13 +42,13 @@
   step(i, OwnershipEvent(ListedPeers{Nodes[i]->Members->listedDomainPeers()}));
   step(i, OwnershipEvent(DomainServersChanged{Nodes[i]->Servers}));
   // Ticks of different daemons don't fall together.
-  at(Now + Duration(static_cast<int64_t>(
-               Random.below(static_cast<uint64_t>(How.Tick.count())))),
+  at(Now + Duration(static_cast<int64_t>(Random.below(
+               static_cast<uint64_t>(SimulationOptions.Tick.count())))),
      [this, i] { tick(i); });
   return i;
 }
 
-void FleetLoop::list(const std::vector<EntryVm> &vms) {
+void FleetSimulation::list(const std::vector<EntryVm> &vms) {
   Listed = vms;
   for (size_t i = 0; i < Nodes.size(); ++i) {
     if (!Nodes[i]->Running)
@@ -56,8 +59,8 @@
   }
 }
 
-void FleetLoop::place(const std::string &domain,
-                      const std::vector<std::string> &servers) {
+void FleetSimulation::setServers(const std::string &domain,
+                                 const std::vector<std::string> &servers) {
   Placed[domain].clear();
   for (const std::string &name : servers)
     Placed[domain].push_back(ServerId(name));
@@ -69,26 +72,27 @@
   }
 }
 
-void FleetLoop::resume(size_t i) {
+void FleetSimulation::resume(size_t i) {
   Nodes[i]->Paused = false;
   auto inbox = std::exchange(Nodes[i]->Inbox, {});
   for (const auto &what : inbox)
     what();
 }
 
-void FleetLoop::leave(size_t i) {
+void FleetSimulation::leave(size_t i) {
   step(i, MembershipEvent(MembershipLeaving{}));
 }
 
-void FleetLoop::at(TimePoint when, std::function<void()> what) {
+void FleetSimulation::at(TimePoint when, std::function<void()> what) {
   Events.push({when, ++Turns, std::move(what)});
 }
 
-void FleetLoop::run(Duration span) {
+void FleetSimulation::run(Duration span) {
   runUntil([] { return false; }, span);
 }
 
-bool FleetLoop::runUntil(const std::function<bool()> &done, Duration limit) {
+bool FleetSimulation::runUntil(const std::function<bool()> &done,
+                               Duration limit) {
   TimePoint end = Now + limit;
   while (!done()) {
     if (Events.empty() || Events.top().At > end) {
@@ -105,12 +109,12 @@
   return true;
 }
 
-void FleetLoop::tick(size_t i) {
+void FleetSimulation::tick(size_t i) {
   Node &node = *Nodes[i];
   if (!node.Running)
     return;
   if (!node.Paused) {
-    node.Fence->ticked(Now);
+    node.Fence->onTick(Now);
     step(i, MembershipEvent(MembershipTicked{}));
     if (node.Fence->state(Now) == AuthorityState::Renewed) {
       step(i, OwnershipEvent(AuthorityExpired{}));
@@ -118,39 +122,42 @@
     }
     step(i, OwnershipEvent(OwnershipTicked{}));
   }
-  TimePoint next = Now + How.Tick;
+  TimePoint next = Now + SimulationOptions.Tick;
   if (auto due = node.Members->nextWakeup(); due && *due > Now)
     next = std::min(next, *due);
   at(next, [this, i] { tick(i); });
 }
 
-void FleetLoop::post(size_t from, const EntryVm &to, PeerMessage message) {
+void FleetSimulation::post(size_t from, const EntryVm &to,
+                           PeerMessage message) {
   Node &node = *Nodes[from];
   size_t bytes = SizeOf ? SizeOf(message) : 0;
   ++node.SentMessages;
   node.SentBytes += bytes;
   node.BytesOfSecond[Now.time_since_epoch().count() / 1'000'000] += bytes;
   auto it = ByVm.find(to.Id);
-  bool lost =
-      it == ByVm.end() || Random.unit() < How.Loss || (Cut && Cut(node.Vm, to));
+  bool lost = it == ByVm.end() || Random.unit() < SimulationOptions.Loss ||
+              (Cut && Cut(node.Vm, to));
   if (lost)
     return;
   // Answers go back on the connection on which the question came.
   auto reply = ReplyTo.find(to.Id);
   size_t receiver = reply != ReplyTo.end() ? reply->second : it->second;
-  at(Now + How.Latency, [this, receiver, from, message = std::move(message)] {
-    Node &there = *Nodes[receiver];
-    auto handle = [this, receiver, from, message] {
-      deliver(receiver, from, message);
-    };
-    if (there.Running && there.Paused)
-      there.Inbox.push_back(handle);
-    else if (there.Running)
-      handle();
-  });
-}
-
-void FleetLoop::deliver(size_t to, size_t sender, const PeerMessage &message) {
+  at(Now + SimulationOptions.Latency,
+     [this, receiver, from, message = std::move(message)] {
+       Node &there = *Nodes[receiver];
+       auto handle = [this, receiver, from, message] {
+         deliver(receiver, from, message);
+       };
+       if (there.Running && there.Paused)
+         there.Inbox.push_back(handle);
+       else if (there.Running)
+         handle();
+     });
+}
+
+void FleetSimulation::deliver(size_t to, size_t sender,
+                              const PeerMessage &message) {
   const EntryVm from = Nodes[sender]->Vm;
   ReplyTo = {{from.Id, sender}};
   if (const auto *ping = std::get_if<Ping>(&message))
@@ -169,69 +176,70 @@
   ReplyTo.clear();
 }
 
-void FleetLoop::merge(size_t i, const std::vector<ObjectState> &objects) {
+void FleetSimulation::merge(size_t i, const std::vector<ObjectState> &objects) {
   mergeInto(i, objects);
 }
 
-void FleetLoop::mergeInto(size_t i, const std::vector<ObjectState> &objects) {
+void FleetSimulation::mergeInto(size_t i,
+                                const std::vector<ObjectState> &objects) {
   if (!Nodes[i]->Store->merge(objects).Changed.empty())
     step(i, MembershipEvent(DigestChanged{Nodes[i]->Store->digest()}));
 }
 
-void FleetLoop::step(size_t i, const MembershipEvent &event) {
+void FleetSimulation::step(size_t i, const MembershipEvent &event) {
   for (const auto &action : Nodes[i]->Members->step(Now, event))
     act(i, action);
   // Once a step: the first answer to a starter carries a whole domain's
   // updates.
-  if (std::exchange(Nodes[i]->MembersMoved, false))
-    tellMembers(i);
+  if (std::exchange(Nodes[i]->MembersChangePending, false))
+    publishMembers(i);
 }
 
-void FleetLoop::step(size_t i, const OwnershipEvent &event) {
+void FleetSimulation::step(size_t i, const OwnershipEvent &event) {
   for (const auto &action : Nodes[i]->Tracker->step(Now, event))
     act(i, action);
 }
 
-void FleetLoop::tellMembers(size_t i) {
+void FleetSimulation::publishMembers(size_t i) {
   Node &node = *Nodes[i];
-  node.Fence->peersChanged(node.Members->liveDomainPeers(), Now);
+  node.Fence->setPeers(node.Members->liveDomainPeers(), Now);
   step(i, OwnershipEvent(MembersChanged{node.Members->members()}));
 }
 
-void FleetLoop::act(size_t i, const MembershipAction &action) {
+void FleetSimulation::act(size_t i, const MembershipAction &action) {
   Node &node = *Nodes[i];
   if (const auto *send = std::get_if<SendTo>(&action)) {
     std::visit([&](const auto &m) { post(i, send->To, m); }, send->Content);
   } else if (const auto *change = std::get_if<MemberChanged>(&action)) {
     node.Changes.push_back(change->Record);
     if (change->Record.Vm.Domain == node.Vm.Domain)
-      node.MembersMoved = true;
+      node.MembersChangePending = true;
   } else if (const auto *newer = std::get_if<PeerHasNewer>(&action)) {
     post(i, newer->Peer, node.Store->request());
   } else if (const auto *renewed = std::get_if<LeaseRenewed>(&action)) {
-    node.Fence->heard(renewed->Peer, renewed->SentAt, Now);
-  } else if (std::holds_alternative<HeldForDead>(action)) {
+    node.Fence->renewLease(renewed->Peer, renewed->SentAt, Now);
+  } else if (std::holds_alternative<DeclaredDead>(action)) {
     step(i, OwnershipEvent(AuthorityExpired{}));
   } else if (std::holds_alternative<Superseded>(action)) {
     node.Running = false;
-  } else if (const auto *heard = std::get_if<ConditionHeard>(&action)) {
-    step(i, OwnershipEvent(ConditionNoted{heard->Condition}));
+  } else if (const auto *heard = std::get_if<ConditionReceived>(&action)) {
+    step(i, OwnershipEvent(PeerConditionReceived{heard->Condition}));
   }
 }
 
-void FleetLoop::act(size_t i, const OwnershipAction &action) {
+void FleetSimulation::act(size_t i, const OwnershipAction &action) {
   if (const auto *send = std::get_if<SendHandOver>(&action)) {
     post(i, send->To, send->Message);
-  } else if (const auto *gain = std::get_if<Gain>(&action)) {
+  } else if (const auto *gain = std::get_if<ServerAcquired>(&action)) {
     Nodes[i]->Gains.push_back(*gain);
-  } else if (const auto *lose = std::get_if<Lose>(&action)) {
-    HandedServer server;
+  } else if (const auto *lose = std::get_if<StopDispatching>(&action)) {
+    HandedOverServer server;
     server.Condition.Server = lose->Server;
-    step(i, OwnershipEvent(ServerStopped{server}));
+    step(i, OwnershipEvent(DispatchStopped{server}));
   }
 }
 
-std::vector<VmId> FleetLoop::dispatchers(const ServerId &server) const {
+std::vector<VmId> FleetSimulation::dispatchers(const ServerId &server) const {
   std::vector<VmId> list;
   for (const auto &node : Nodes)
     if (node->Running && !node->Paused && node->Tracker->owns(server) &&
--- a/UnitTests/Membership/FleetLoop.h
+++ b/UnitTests/Membership/FleetSimulation.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_UNITTESTS_MEMBERSHIP_FLEETLOOP_H
-#define BALSAMRACK_UNITTESTS_MEMBERSHIP_FLEETLOOP_H
+#ifndef BALSAMRACK_UNITTESTS_MEMBERSHIP_FLEETSIMULATION_H
+#define BALSAMRACK_UNITTESTS_MEMBERSHIP_FLEETSIMULATION_H
 
 #include <functional>
 #include <map>
@@ -21,7 +21,7 @@
 /// wired as the daemon wires them, and a queue of messages between them that
 /// can lose and delay. For tests and for the slopes of docs/CAPACITY.md. Not
 /// thread-safe.
-class FleetLoop {
+class FleetSimulation {
 public:
   /// How messages travel.
   struct Options {
@@ -43,15 +43,15 @@
     bool Running = true;                       ///< False: killed.
     bool Paused = false;                       ///< SIGSTOP.
     std::vector<std::function<void()>> Inbox;  ///< Came while paused.
-    bool MembersMoved = false;                 ///< Not told on yet.
-    std::vector<Gain> Gains;                   ///< All of this run.
+    bool MembersChangePending = false;         ///< Not told on yet.
+    std::vector<ServerAcquired> Gains;         ///< All of this run.
     std::vector<MemberRecord> Changes;         ///< All of this run.
     uint64_t SentMessages = 0;                 ///< Since the start.
     uint64_t SentBytes = 0;                    ///< By SizeOf.
     std::map<int64_t, uint64_t> BytesOfSecond; ///< Sent, by virtual second.
   };
 
-  explicit FleetLoop(const Options &options);
+  explicit FleetSimulation(const Options &options);
 
   /// Starts a daemon; a VM that ran before runs anew under a higher run. Not
   /// thread-safe.
@@ -59,8 +59,8 @@
   /// The platform shows \p vms to every daemon. Not thread-safe.
   void list(const std::vector<EntryVm> &vms);
   /// All daemons know \p servers in \p domain. Not thread-safe.
-  void place(const std::string &domain,
-             const std::vector<std::string> &servers);
+  void setServers(const std::string &domain,
+                  const std::vector<std::string> &servers);
   /// SIGKILL. Not thread-safe.
   void kill(size_t i) { Nodes[i]->Running = false; }
   /// SIGSTOP. Not thread-safe.
@@ -114,9 +114,9 @@
   void act(size_t i, const MembershipAction &action);
   void act(size_t i, const OwnershipAction &action);
   void mergeInto(size_t i, const std::vector<ObjectState> &objects);
-  void tellMembers(size_t i);
+  void publishMembers(size_t i);
 
-  const Options How;                        ///< How messages travel.
+  const Options SimulationOptions;          ///< How messages travel.
   SeededRandom Random;                      ///< Of losses.
   TimePoint Now{Duration(1'000'000)};       ///< Virtual time.
   uint64_t Turns = 0;                       ///< Counts events.
@@ -134,4 +134,4 @@
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_UNITTESTS_MEMBERSHIP_FLEETLOOP_H
+#endif // BALSAMRACK_UNITTESTS_MEMBERSHIP_FLEETSIMULATION_H
--- a/UnitTests/Membership/MembershipTest.cpp
+++ b/UnitTests/Membership/MembershipTest.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "Balsamrack/Membership/MemberTable.h"
-#include "UnitTests/Membership/FleetLoop.h"
+#include "UnitTests/Membership/FleetSimulation.h"
 #include <gtest/gtest.h>
 
 namespace balsamrack {
@@ -45,7 +45,7 @@
     return Fleet.nodes()[by]->Members->domainReachable(DomainId(domain));
   }
 
-  FleetLoop Fleet{FleetLoop::Options()}; ///< Under test.
+  FleetSimulation Fleet{FleetSimulation::Options()}; ///< Under test.
 };
 
 // Story: a daemon leaves and Announces that it leaves to one that has just
@@ -160,7 +160,7 @@
   auto actions = (*made)->step(TimePoint(Second),
                                MessageReceived{vm("vm-2", "bern-a"), ping});
   ASSERT_FALSE(actions.empty());
-  EXPECT_TRUE(std::holds_alternative<HeldForDead>(actions.front()));
+  EXPECT_TRUE(std::holds_alternative<DeclaredDead>(actions.front()));
 }
 
 // The answer of a peer that holds us for dead or for another run proves that
--- a/UnitTests/Membership/OwnershipFenceTest.cpp
+++ b/UnitTests/Membership/OwnershipFenceTest.cpp
@@ -16,12 +16,12 @@
   /// Ticks every 50 ms, as a running process does.
   void tickFor(Duration span) {
     for (TimePoint end = Now + span; Now < end; Now += Duration(50'000))
-      Fence->ticked(Now);
+      Fence->onTick(Now);
   }
   void tickAndHearFor(Duration span) {
     for (TimePoint end = Now + span; Now < end; Now += Duration(50'000)) {
-      Fence->ticked(Now);
-      Fence->heard(Peer, Now, Now);
+      Fence->onTick(Now);
+      Fence->renewLease(Peer, Now, Now);
     }
   }
   bool may() const { return Fence->mayDispatch(Now); }
@@ -32,7 +32,7 @@
 };
 
 TEST_F(OwnershipFenceTest, HoldsWhilePeersRenew) {
-  Fence->peersChanged({Peer}, Now);
+  Fence->setPeers({Peer}, Now);
   tickAndHearFor(60 * Second);
   EXPECT_TRUE(may());
   EXPECT_EQ(Fence->expiries(), 0U);
@@ -42,7 +42,7 @@
 // its lease has ended; from that moment on it must not dispatch, though nobody
 // tells it anything.
 TEST_F(OwnershipFenceTest, StopsWhenNoPeerRenews) {
-  Fence->peersChanged({Peer}, Now);
+  Fence->setPeers({Peer}, Now);
   tickAndHearFor(Second);
   TimePoint last = Now - Duration(50'000);
   Now = last + Settings.LeaseTime - Duration(1);
@@ -63,15 +63,15 @@
 // After the pause it reads the answer to a probe from before it. That answer
 // says that the peer held us for alive an hour ago, which proves nothing now.
 TEST_F(OwnershipFenceTest, AnswerFromBeforeThePauseDoesNotCount) {
-  Fence->peersChanged({Peer}, Now);
+  Fence->setPeers({Peer}, Now);
   tickAndHearFor(Second);
   TimePoint before = Now;
   Now += 3600 * Second;
-  Fence->heard(Peer, before, Now);
+  Fence->renewLease(Peer, before, Now);
   EXPECT_EQ(Fence->state(Now), AuthorityState::Expired);
   TimePoint sent = Now;
   Now += Duration(10'000);
-  Fence->heard(Peer, sent, Now);
+  Fence->renewLease(Peer, sent, Now);
   EXPECT_EQ(Fence->state(Now), AuthorityState::Renewed);
   EXPECT_FALSE(may());
   Fence->restart(Fence->expiries(), Now);
@@ -81,14 +81,14 @@
 // The ownership is put back for one expiry while the next one has begun: the
 // restart of the first must not end the second.
 TEST_F(OwnershipFenceTest, RestartOfAnEarlierExpiryDoesNothing) {
-  Fence->peersChanged({Peer}, Now);
+  Fence->setPeers({Peer}, Now);
   Now += 10 * Second;
-  Fence->ticked(Now);
+  Fence->onTick(Now);
   uint64_t expiry = Fence->expiries();
-  Fence->heard(Peer, Now, Now);
+  Fence->renewLease(Peer, Now, Now);
   Now += 10 * Second;
-  Fence->ticked(Now);
-  Fence->heard(Peer, Now, Now);
+  Fence->onTick(Now);
+  Fence->renewLease(Peer, Now, Now);
   EXPECT_GT(Fence->expiries(), expiry);
   Fence->restart(expiry, Now);
   EXPECT_FALSE(may());
@@ -109,10 +109,10 @@
 // The other daemon of a domain of two dies. The survivor serves on without a
 // expiry: death is found within its lease.
 TEST_F(OwnershipFenceTest, SurvivorOfTwoServesOn) {
-  Fence->peersChanged({Peer}, Now);
+  Fence->setPeers({Peer}, Now);
   tickAndHearFor(Second);
   tickFor(Settings.LeaseTime - Duration(200'000));
-  Fence->peersChanged({}, Now);
+  Fence->setPeers({}, Now);
   tickFor(10 * Second);
   EXPECT_TRUE(may());
   EXPECT_EQ(Fence->expiries(), 0U);
--- a/UnitTests/Membership/OwnershipFleetTest.cpp
+++ b/UnitTests/Membership/OwnershipFleetTest.cpp
@@ -1,6 +1,6 @@
 #include <set>
 
-#include "UnitTests/Membership/FleetLoop.h"
+#include "UnitTests/Membership/FleetSimulation.h"
 #include <gtest/gtest.h>
 
 namespace balsamrack {
@@ -12,8 +12,9 @@
 /// After each event no server may have two daemons that would dispatch to it.
 class OwnershipFleetTest : public testing::Test {
 protected:
-  void startFleet(size_t own, size_t others, const FleetLoop::Options &how) {
-    Fleet = std::make_unique<FleetLoop>(how);
+  void startFleet(size_t own, size_t others,
+                  const FleetSimulation::Options &how) {
+    Fleet = std::make_unique<FleetSimulation>(how);
     std::vector<EntryVm> vms;
     for (size_t i = 0; i < own + others; ++i) {
       std::string name = "vm-" + std::to_string(i);
@@ -22,7 +23,7 @@
     }
     for (int i = 0; i < 14; ++i)
       Names.push_back("booking-" + std::to_string(i));
-    Fleet->place("bern-a", Names);
+    Fleet->setServers("bern-a", Names);
     Fleet->list(vms);
     Fleet->setCheck([this] { checkOwners(); });
     for (size_t i = 0; i < vms.size(); ++i)
@@ -55,9 +56,9 @@
   }
   void TearDown() override { EXPECT_EQ(TwoOwners, 0U); }
 
-  std::unique_ptr<FleetLoop> Fleet; ///< Under test.
-  std::vector<std::string> Names;   ///< Servers of bern-a.
-  size_t TwoOwners = 0;             ///< Times that a server had two owners.
+  std::unique_ptr<FleetSimulation> Fleet; ///< Under test.
+  std::vector<std::string> Names;         ///< Servers of bern-a.
+  size_t TwoOwners = 0; ///< Times that a server had two owners.
 };
 
 struct Size {
@@ -70,7 +71,7 @@
                           public testing::WithParamInterface<Size> {
 protected:
   void SetUp() override {
-    FleetLoop::Options how;
+    FleetSimulation::Options how;
     how.Loss = GetParam().Loss;
     startFleet(GetParam().Own, GetParam().Others, how);
   }
@@ -148,8 +149,8 @@
   EXPECT_LE(unserved.count(), GetParam().Loss > 0 ? 1'000'000 : 60'000);
   bool handedOver = false;
   for (const auto &node : Fleet->nodes())
-    for (const Gain &gain : node->Gains)
-      handedOver = handedOver || gain.How == GainedHow::HandedOver;
+    for (const ServerAcquired &gain : node->Gains)
+      handedOver = handedOver || gain.Kind == AcquisitionKind::HandedOver;
   EXPECT_TRUE(handedOver);
 }
 
@@ -198,7 +199,7 @@
                            public testing::WithParamInterface<uint64_t> {};
 
 TEST_P(OwnershipChaosTest, PausesLossAndRestartsNeverGiveTwoOwners) {
-  FleetLoop::Options how;
+  FleetSimulation::Options how;
   how.Loss = 0.05;
   how.Seed = GetParam();
   startFleet(3, 4, how);
--- a/UnitTests/Membership/OwnershipTrackerTest.cpp
+++ b/UnitTests/Membership/OwnershipTrackerTest.cpp
@@ -54,8 +54,8 @@
     answer.Run = {1};
     answer.Sequence = question.Sequence;
     answer.LiveHash = question.LiveHash;
-    answer.QuietFor = 3600 * Second;
-    HandedServer released;
+    answer.TimeSinceDeadLease = 3600 * Second;
+    HandedOverServer released;
     released.Condition.Server = Server;
     answer.Servers = {released};
     return answer;
@@ -72,9 +72,9 @@
   OwnershipHandOver question = meet();
   ASSERT_EQ(question.Wanted.size(), 1U);
   EXPECT_FALSE(Tracker->owns(Server));
-  auto gains = of<Gain>(step(HandOverReceived{answerTo(question)}));
+  auto gains = of<ServerAcquired>(step(HandOverReceived{answerTo(question)}));
   ASSERT_EQ(gains.size(), 1U);
-  EXPECT_EQ(gains[0].How, GainedHow::Founded);
+  EXPECT_EQ(gains[0].Kind, AcquisitionKind::FirstOwner);
 }
 
 struct BadAnswer {
@@ -102,14 +102,15 @@
         BadAnswer{"OtherView", [](auto &a) { ++a.LiveHash; }},
         BadAnswer{"OldRun", [](auto &a) { a.Run = {7}; }},
         BadAnswer{"Unknown", [](auto &a) { a.From = VmId("nobody"); }},
-        BadAnswer{"LeaseRuns", [](auto &a) { a.QuietFor = Duration(0); }}),
+        BadAnswer{"LeaseRuns",
+                  [](auto &a) { a.TimeSinceDeadLease = Duration(0); }}),
     [](const auto &item) { return item.param.Name; });
 
 // The peer renewed the lease of a daemon that it holds for dead a second ago.
 // The server is ours only once that lease has ended for sure.
 TEST_F(OwnershipTrackerTest, WaitsForTheLeaseOfTheDead) {
   OwnershipHandOver answer = answerTo(meet());
-  answer.QuietFor = Second;
+  answer.TimeSinceDeadLease = Second;
   step(HandOverReceived{answer});
   Now += Settings.takeoverWait() - Second - Duration(1);
   step(OwnershipTicked{});
@@ -126,10 +127,10 @@
   held.Held = {Server};
   step(HandOverReceived{held});
   EXPECT_EQ(Tracker->holderOf(Server), Other.Id);
-  Now += Settings.AskPeriod;
+  Now += Settings.OwnershipRequestPeriod;
   auto sent = of<SendHandOver>(step(OwnershipTicked{}));
   ASSERT_EQ(sent.size(), 1U);
-  EXPECT_TRUE(sent[0].Message.Last);
+  EXPECT_TRUE(sent[0].Message.AllOthersReleased);
 }
 
 // We own a server and a daemon asks for it that holds us for dead (or another
@@ -140,7 +141,7 @@
   ASSERT_TRUE(Tracker->owns(Server));
   OwnershipHandOver theirs = question;
   theirs.From = Other.Id;
-  theirs.Last = true;
+  theirs.AllOthersReleased = true;
   EXPECT_TRUE(step(HandOverReceived{theirs}).empty());
   ++theirs.LiveHash;
   ServerId unknown("unknown");
@@ -164,14 +165,14 @@
   ASSERT_EQ(held.size(), 1U);
   EXPECT_EQ(held[0].Message.Held.size(), 1U);
   EXPECT_TRUE(Tracker->owns(Server));
-  theirs.Last = true;
+  theirs.AllOthersReleased = true;
   auto stopping = step(HandOverReceived{theirs});
-  EXPECT_EQ(of<Lose>(stopping).size(), 1U);
+  EXPECT_EQ(of<StopDispatching>(stopping).size(), 1U);
   EXPECT_TRUE(of<SendHandOver>(stopping).empty());
-  HandedServer stopped;
+  HandedOverServer stopped;
   stopped.Condition.Server = Server;
   stopped.InProgress = 2;
-  auto released = of<SendHandOver>(step(ServerStopped{stopped}));
+  auto released = of<SendHandOver>(step(DispatchStopped{stopped}));
   ASSERT_EQ(released.size(), 1U);
   EXPECT_EQ(released[0].Message.Sequence, 77U);
   EXPECT_EQ(released[0].Message.Servers[0].InProgress, 2U);
@@ -181,7 +182,7 @@
 TEST_F(OwnershipTrackerTest, ExpiryGivesEverythingBack) {
   step(HandOverReceived{answerTo(meet())});
   auto actions = step(AuthorityExpired{});
-  EXPECT_EQ(of<Lose>(actions).size(), 1U);
+  EXPECT_EQ(of<StopDispatching>(actions).size(), 1U);
   EXPECT_FALSE(Tracker->owns(Server));
 }
 
--- a/UnitTests/Packets/PacketBench.h
+++ b/UnitTests/Packets/PacketBench.h
@@ -87,7 +87,7 @@
     Operators.push_back({PublishedSection::Operators,
                          "evacuate/" + domain,
                          {++Revisions},
-                         DomainOut{DomainId(domain)}});
+                         DomainOutOfService{DomainId(domain)}});
     publishOperators();
   }
   /// Publishes servers, new or changed.
--- a/UnitTests/Peers/PeerSamples.cpp
+++ b/UnitTests/Peers/PeerSamples.cpp
@@ -84,7 +84,7 @@
   PublishedObject out{PublishedSection::Operators,
                       "evacuate/bern-a",
                       {10},
-                      DomainOut{DomainId("bern-a")}};
+                      DomainOutOfService{DomainId("bern-a")}};
   PublishedObject gone{
       PublishedSection::Servers, "i-80", {11}, std::monostate()};
   return {{{PublishedSection::Operators, {5}, {12}, {configuration(), out}},
--- a/UnitTests/Published/ExchangeFleet.h
+++ b/UnitTests/Published/ExchangeSimulation.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_UNITTESTS_PUBLISHED_EXCHANGEFLEET_H
-#define BALSAMRACK_UNITTESTS_PUBLISHED_EXCHANGEFLEET_H
+#ifndef BALSAMRACK_UNITTESTS_PUBLISHED_EXCHANGESIMULATION_H
+#define BALSAMRACK_UNITTESTS_PUBLISHED_EXCHANGESIMULATION_H
 
 #include <algorithm>
 #include <deque>
@@ -16,7 +16,7 @@
 
 /// Exchanges of updates in one process under virtual time, a publishing service
 /// that fails as it is told to, and messages that can be cut.
-class ExchangeFleet {
+class ExchangeSimulation {
 public:
   enum class Source { Good, Refuses, Silent };
   struct Node {
@@ -32,7 +32,7 @@
     uint64_t BytesSent = 0; ///< Of messages, as encoded.
   };
 
-  ExchangeFleet(size_t domains, size_t perDomain, uint64_t seed)
+  ExchangeSimulation(size_t domains, size_t perDomain, uint64_t seed)
       : Random(seed) {
     for (size_t d = 0; d < domains; ++d)
       for (size_t i = 0; i < perDomain; ++i) {
@@ -49,17 +49,17 @@
   /// Starts node \p i anew, with nothing held.
   void restart(size_t i) {
     startEmpty(i);
-    meet();
+    updatePeers();
   }
   /// Starts all nodes anew at once.
   void restartAll() {
     for (size_t i = 0; i < Nodes.size(); ++i)
       startEmpty(i);
-    meet();
+    updatePeers();
   }
   void kill(size_t i) {
     Nodes[i].Running = false;
-    meet();
+    updatePeers();
   }
   /// Operators publish a new configuration.
   void publish() {
@@ -83,7 +83,7 @@
     answerWatches();
   }
   /// A server publishes a change.
-  void serverChanges(const std::string &id = "i-1") {
+  void changeServer(const std::string &id = "i-1") {
     auto made = std::make_shared<PublishedServer>();
     made->Server.Id = ServerId(id);
     Revisions += 3;
@@ -115,7 +115,7 @@
                              {Revisions},
                              std::shared_ptr<const PublishedServer>(made)});
     }
-    all.As = {Revisions};
+    all.UpTo = {Revisions};
     Truth.merge(all);
     answerWatches();
   }
@@ -129,7 +129,7 @@
                              {Revisions},
                              {}});
     }
-    all.As = {Revisions};
+    all.UpTo = {Revisions};
     Truth.merge(all);
     answerWatches();
   }
@@ -146,8 +146,8 @@
   bool allHoldServers() const {
     return std::all_of(Nodes.begin(), Nodes.end(), [this](const Node &it) {
       return !it.Running ||
-             (it.Exchange->store().completeAs(PublishedSection::Servers) !=
-                  Revision{} &&
+             (it.Exchange->store().completeRevision(
+                  PublishedSection::Servers) != Revision{} &&
               it.Exchange->store().presentHash(PublishedSection::Servers) ==
                   Truth.presentHash(PublishedSection::Servers));
     });
@@ -176,7 +176,7 @@
         return (*c)->Version;
     return 0;
   }
-  bool allHold(uint64_t version) const {
+  bool allHoldVersion(uint64_t version) const {
     for (size_t i = 0; i < Nodes.size(); ++i)
       if (Nodes[i].Running && versionAt(i) != version)
         return false;
@@ -228,14 +228,14 @@
       Snapshots.pop_front();
   }
   const PublishedStore &listed(const PublishedRead &read) {
-    return read.MayBeOld && !Snapshots.empty()
+    return read.AllowStale && !Snapshots.empty()
                ? Snapshots[Random.below(Snapshots.size())].second
                : Truth;
   }
   void after(Duration wait, std::function<void()> what) {
     Events.push({Now + wait, ++Orders, std::move(what)});
   }
-  void meet() {
+  void updatePeers() {
     for (Node &node : Nodes) {
       std::vector<EntryVm> peers;
       for (const Node &other : Nodes)
@@ -258,34 +258,36 @@
         for (const EntryVm &to : send->To)
           deliver(i, to, *send);
       } else if (const auto *read = std::get_if<StartRead>(&action))
-        begin(i, read->What);
+        begin(i, read->Read);
     }
   }
   void countBytes(size_t from, const SendStateMessage &send) {
-    uint64_t bytes = std::visit(
-        [](const auto &it) { return encodePeerMessage(it).size(); }, send.What);
+    uint64_t bytes =
+        std::visit([](const auto &it) { return encodePeerMessage(it).size(); },
+                   send.Message);
     BytesSent += bytes * send.To.size();
     Nodes[from].BytesSent += bytes * send.To.size();
     LongestMessage = std::max(LongestMessage, bytes);
   }
   void deliver(size_t from, const EntryVm &peer, const SendStateMessage &send) {
     ++Nodes[from].Messages;
-    if (const auto *update = std::get_if<PublishedUpdate>(&send.What))
+    if (const auto *update = std::get_if<PublishedUpdate>(&send.Message))
       for (const PublishedChanges &it : update->Changes)
         ObjectsTold += it.Objects.size();
     size_t to = indexOf(peer.Id);
-    SendStateMessage copy{{}, send.What};
+    SendStateMessage copy{{}, send.Message};
     after(Duration(2'000), [this, from, to, copy] {
       if (!Nodes[to].Running || Nodes[from].CutOff || Nodes[to].CutOff ||
           !Reaches(Nodes[from], Nodes[to]))
         return;
       StateExchange &at = *Nodes[to].Exchange;
       const EntryVm &sender = Nodes[from].Vm;
-      if (const auto *offer = std::get_if<PublishedDigest>(&copy.What))
+      if (const auto *offer = std::get_if<PublishedDigest>(&copy.Message))
         act(to, at.handleDigest(Now, sender, *offer));
-      else if (const auto *request = std::get_if<PublishedRequest>(&copy.What))
+      else if (const auto *request =
+                   std::get_if<PublishedRequest>(&copy.Message))
         act(to, at.handleRequest(Now, sender, *request));
-      else if (const auto *update = std::get_if<PublishedUpdate>(&copy.What))
+      else if (const auto *update = std::get_if<PublishedUpdate>(&copy.Message))
         act(to, at.handleUpdate(Now, sender, *update));
     });
   }
@@ -339,7 +341,7 @@
     PublishedRead read = watch.Read;
     after(Duration(2'000), [this, i, read, result = std::move(result)] {
       if (Nodes[i].Running)
-        act(i, Nodes[i].Exchange->readEnded(Now, read, result));
+        act(i, Nodes[i].Exchange->handleReadResult(Now, read, result));
     });
   }
 
@@ -358,4 +360,4 @@
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_UNITTESTS_PUBLISHED_EXCHANGEFLEET_H
+#endif // BALSAMRACK_UNITTESTS_PUBLISHED_EXCHANGESIMULATION_H
--- a/UnitTests/Published/PublishedStoreTest.cpp
+++ b/UnitTests/Published/PublishedStoreTest.cpp
@@ -38,7 +38,7 @@
   EXPECT_EQ(held(store),
             (std::map<std::string, uint64_t>{{"b", 4}, {"c", 15}}));
   ASSERT_EQ(changed.size(), 2U);
-  EXPECT_EQ(store.completeAs(Section), Revision{20});
+  EXPECT_EQ(store.completeRevision(Section), Revision{20});
 }
 
 // Story: a daemon that was cut off comes back and tells of a server that left
@@ -49,17 +49,17 @@
   EXPECT_TRUE(fresh.merge({Section, {}, {10}, {server("a", 3), server("b", 4)}})
                   .empty());
   EXPECT_EQ(held(fresh).count("a"), 0U);
-  EXPECT_EQ(fresh.completeAs(Section), Revision{20});
+  EXPECT_EQ(fresh.completeRevision(Section), Revision{20});
 }
 
 TEST(PublishedStoreTest, AGapDoesNotComplete) {
   PublishedStore store;
   store.merge({Section, {}, {10}, {server("a", 3)}});
   store.merge({Section, {15}, {20}, {server("c", 18)}});
-  EXPECT_EQ(store.completeAs(Section), Revision{10});
+  EXPECT_EQ(store.completeRevision(Section), Revision{10});
   EXPECT_EQ(held(store).count("c"), 1U);
   store.merge({Section, {10}, {20}, {goneServer("a", 12), server("c", 18)}});
-  EXPECT_EQ(store.completeAs(Section), Revision{20});
+  EXPECT_EQ(store.completeRevision(Section), Revision{20});
   EXPECT_EQ(held(store).count("a"), 0U);
 }
 
@@ -71,7 +71,7 @@
   peer.merge({Section, {}, {10}, {server("a", 3), server("b", 4)}});
   peer.merge(store.changesAfter(Section, {10}));
   EXPECT_EQ(held(peer), held(store));
-  EXPECT_EQ(peer.completeAs(Section), Revision{12});
+  EXPECT_EQ(peer.completeRevision(Section), Revision{12});
 }
 
 // Story: operators drop a route. A machine that was cut off from the store
@@ -86,7 +86,7 @@
   fresh.merge({Section, {}, {20}, {server("b", 4)}});
   cutOff.merge(fresh.changesAfter(Section, {10}));
   EXPECT_EQ(held(cutOff), (std::map<std::string, uint64_t>{{"b", 4}}));
-  EXPECT_EQ(cutOff.completeAs(Section), Revision{20});
+  EXPECT_EQ(cutOff.completeRevision(Section), Revision{20});
 }
 
 // Story: as above, but the two only compare their newest changes. What was
@@ -97,9 +97,9 @@
   cutOff.merge({Section, {4}, {10}, {server("b", 5)}});
   PublishedStore fresh;
   fresh.merge({Section, {}, {20}, {server("b", 5)}});
-  EXPECT_FALSE(cutOff.completeUpTo(Section, fresh.lastChange(Section), {20},
-                                   fresh.presentHash(Section)));
-  EXPECT_EQ(cutOff.completeAs(Section), Revision{10});
+  EXPECT_FALSE(cutOff.extendCompleteness(Section, fresh.lastChange(Section),
+                                         {20}, fresh.presentHash(Section)));
+  EXPECT_EQ(cutOff.completeRevision(Section), Revision{10});
 }
 
 // Load: a daemon starts and lists the store; its peers lag behind its listing
@@ -112,9 +112,9 @@
   PublishedStore fresh;
   fresh.merge({Section, {}, {20}, {server("b", 4), server("c", 11)}});
   EXPECT_EQ(store.presentHash(Section), fresh.presentHash(Section));
-  EXPECT_TRUE(store.completeUpTo(Section, fresh.lastChange(Section), {20},
-                                 fresh.presentHash(Section)));
-  EXPECT_EQ(store.completeAs(Section), Revision{20});
+  EXPECT_TRUE(store.extendCompleteness(Section, fresh.lastChange(Section), {20},
+                                       fresh.presentHash(Section)));
+  EXPECT_EQ(store.completeRevision(Section), Revision{20});
   // What came and went between 12 and 20 is not known, so it isn't told.
   EXPECT_EQ(store.changesAfter(Section, {15}).After, Revision{});
 }
@@ -126,7 +126,7 @@
   PublishedStore store;
   store.merge({Section, {}, {10}, {server("a", 3)}});
   PublishedChanges far{Section, {2000}, {4000}, {goneServer("a", 2500)}};
-  for (uint64_t i = 0; i <= PublishedStore::MaxGone; ++i) {
+  for (uint64_t i = 0; i <= PublishedStore::MaxTombstones; ++i) {
     std::string id = "s" + std::to_string(i);
     far.Objects.push_back(server(id, 2501 + i));
     far.Objects.push_back(goneServer(id, 4001 + i));
@@ -140,7 +140,7 @@
   PublishedStore store;
   store.merge({Section, {}, {10}, {server("kept", 1)}});
   uint64_t at = 10;
-  for (size_t i = 0; i < PublishedStore::MaxGone + 50; ++i) {
+  for (size_t i = 0; i < PublishedStore::MaxTombstones + 50; ++i) {
     std::string id = "s" + std::to_string(i);
     store.merge({Section, {at}, {at + 1}, {server(id, at + 1)}});
     store.merge({Section, {at + 1}, {at + 2}, {goneServer(id, at + 2)}});
@@ -155,12 +155,12 @@
 TEST(PublishedStoreTest, SameNewestChangeCompletesWithoutATransfer) {
   PublishedStore store;
   store.merge({Section, {}, {10}, {server("a", 3)}});
-  EXPECT_FALSE(store.completeUpTo(Section, {11}, {30}, 0));
-  EXPECT_EQ(store.completeAs(Section), Revision{10});
-  EXPECT_TRUE(store.completeUpTo(Section, {3}, {20}, 0));
+  EXPECT_FALSE(store.extendCompleteness(Section, {11}, {30}, 0));
+  EXPECT_EQ(store.completeRevision(Section), Revision{10});
+  EXPECT_TRUE(store.extendCompleteness(Section, {3}, {20}, 0));
   // A change that the listing at 10 has seen, such as a removal.
-  EXPECT_TRUE(store.completeUpTo(Section, {5}, {30}, 0));
-  EXPECT_EQ(store.completeAs(Section), Revision{30});
+  EXPECT_TRUE(store.extendCompleteness(Section, {5}, {30}, 0));
+  EXPECT_EQ(store.completeRevision(Section), Revision{30});
 }
 
 // Story: daemons hear of changes in any order, twice, in lists and in parts.
@@ -181,7 +181,7 @@
         change.Objects.push_back(random.below(3) == 0 ? goneServer(id, at)
                                                       : server(id, at));
       }
-      change.As = {at};
+      change.UpTo = {at};
       truth.merge(change);
       updates.push_back(change);
       if (random.below(5) == 0)
@@ -196,7 +196,7 @@
         seen[object.Name] = object.At.Value;
       }
     }
-    store.merge(truth.changesAfter(Section, store.completeAs(Section)));
+    store.merge(truth.changesAfter(Section, store.completeRevision(Section)));
     EXPECT_EQ(held(store), held(truth)) << "seed " << seed;
   }
 }
@@ -205,7 +205,7 @@
 PublishedChanges differences(const PublishedStore &asker,
                              const PublishedStore &peer, uint32_t buckets) {
   return peer.differencesFrom(Section, asker.bucketHashes(Section, buckets), 0,
-                              PublishedStore::MaxGone);
+                              PublishedStore::MaxTombstones);
 }
 
 class EachBucketCount : public testing::TestWithParam<uint32_t> {};
@@ -221,7 +221,7 @@
   asker.merge(differences(asker, peer, GetParam()));
   EXPECT_EQ(held(asker), (std::map<std::string, uint64_t>{
                              {"b", 4}, {"c", 15}, {"new", 25}}));
-  EXPECT_EQ(asker.completeAs(Section), Revision{10});
+  EXPECT_EQ(asker.completeRevision(Section), Revision{10});
 }
 
 // Guards against a daemon that starts, learns of all servers by buckets, and
@@ -231,9 +231,9 @@
   peer.merge({Section, {}, {20}, {server("b", 4), server("c", 15)}});
   PublishedStore starter;
   starter.merge(differences(starter, peer, GetParam()));
-  EXPECT_EQ(starter.completeAs(Section), Revision{});
-  EXPECT_TRUE(starter.completeUpTo(Section, peer.lastChange(Section), {20},
-                                   peer.presentHash(Section)));
+  EXPECT_EQ(starter.completeRevision(Section), Revision{});
+  EXPECT_TRUE(starter.extendCompleteness(Section, peer.lastChange(Section),
+                                         {20}, peer.presentHash(Section)));
   EXPECT_EQ(held(starter), held(peer));
   // It does not know what came and went before.
   EXPECT_EQ(starter.historyFrom(Section), Revision{20});
@@ -269,9 +269,9 @@
           Section, asker.bucketHashes(Section, GetParam()), first, Most));
     }
     EXPECT_EQ(held(asker), held(peer)) << "seed " << seed;
-    EXPECT_TRUE(asker.completeUpTo(Section, peer.lastChange(Section),
-                                   peer.completeAs(Section),
-                                   peer.presentHash(Section)));
+    EXPECT_TRUE(asker.extendCompleteness(Section, peer.lastChange(Section),
+                                         peer.completeRevision(Section),
+                                         peer.presentHash(Section)));
   }
 }
 
--- a/UnitTests/Published/StateExchangeLoadTest.cpp
+++ b/UnitTests/Published/StateExchangeLoadTest.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "UnitTests/Published/ExchangeFleet.h"
+#include "UnitTests/Published/ExchangeSimulation.h"
 
 namespace balsamrack {
 namespace {
@@ -24,13 +24,13 @@
 // Guards against daemons that list at different revisions and then send each
 // other everything.
 TEST_P(EachFleet, AStartOfAllCostsLittleAndEndsInOneState) {
-  ExchangeFleet fleet(GetParam().Domains, GetParam().PerDomain, 1);
+  ExchangeSimulation fleet(GetParam().Domains, GetParam().PerDomain, 1);
   fleet.addServers(GetParam().Servers);
   fleet.ListingAge = Second * 2;
   auto release = [&](int changes, Duration period) {
     for (int i = 0; i < changes; ++i) {
       if (i % 2 == 0)
-        fleet.serverChanges("i-" + std::to_string(i));
+        fleet.changeServer("i-" + std::to_string(i));
       else
         fleet.removeServer("i-" + std::to_string(i));
       fleet.run(period);
@@ -61,11 +61,11 @@
 // peers would each send it everything in one message.
 TEST(StateExchangeLoadTest, AStarterWithoutTheStoreCopiesTheStateOnce) {
   constexpr size_t Servers = 3000;
-  ExchangeFleet fleet(4, 8, 1);
+  ExchangeSimulation fleet(4, 8, 1);
   fleet.addServers(Servers);
   fleet.run(Second * 4);
   ASSERT_TRUE(fleet.allHoldServers());
-  fleet.Nodes[0].Reads = ExchangeFleet::Source::Refuses;
+  fleet.Nodes[0].Reads = ExchangeSimulation::Source::Refuses;
   fleet.restart(0);
   fleet.ObjectsTold = fleet.LongestMessage = 0;
   fleet.run(Second);
@@ -80,7 +80,7 @@
   constexpr size_t Servers = 3000, OfDomain = 750, Batch = 250;
   // A tenth of a link of 10 Mbit/s.
   constexpr double LinkBytesPerSecond = 125'000;
-  ExchangeFleet fleet(4, 75, 1);
+  ExchangeSimulation fleet(4, 75, 1);
   fleet.addServers(Servers);
   fleet.run(Second * 4);
   ASSERT_TRUE(fleet.allHoldServers());
