--- a/UnitTests/Published/StateExchangeTest.cpp
+++ b/UnitTests/Published/StateExchangeTest.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "UnitTests/Published/ExchangeFleet.h"
+#include "UnitTests/Published/ExchangeSimulation.h"
 
 namespace balsamrack {
 namespace {
@@ -9,12 +9,12 @@
 /// A change must be in force everywhere within this.
 constexpr Duration InForce{3'000'000};
 
-using Source = ExchangeFleet::Source;
+using Source = ExchangeSimulation::Source;
 
 /// Who can't do what while the change is made.
 struct Trouble {
   const char *Name;
-  std::function<void(ExchangeFleet &)> Begin;
+  std::function<void(ExchangeSimulation &)> Begin;
 };
 
 class EachTrouble : public testing::TestWithParam<Trouble> {};
@@ -23,62 +23,63 @@
 // publish, or has just lost its reader. No daemon may go on with old routes.
 TEST_P(EachTrouble, AChangeIsInForceEverywhereInTime) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    ExchangeFleet fleet(4, 2, seed);
+    ExchangeSimulation fleet(4, 2, seed);
     fleet.run(Second * 3);
-    ASSERT_TRUE(fleet.allHold(1)) << "seed " << seed;
+    ASSERT_TRUE(fleet.allHoldVersion(1)) << "seed " << seed;
     GetParam().Begin(fleet);
     fleet.run(Second / 2);
     fleet.publish();
     fleet.run(InForce);
-    EXPECT_TRUE(fleet.allHold(2)) << "seed " << seed;
+    EXPECT_TRUE(fleet.allHoldVersion(2)) << "seed " << seed;
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Troubles, EachTrouble,
-    testing::Values(Trouble{"None", [](ExchangeFleet &) {}},
+    testing::Values(Trouble{"None", [](ExchangeSimulation &) {}},
                     Trouble{"AThirdIsTurnedAway",
-                            [](ExchangeFleet &f) {
+                            [](ExchangeSimulation &f) {
                               for (size_t i : {0, 3, 5})
                                 f.Nodes[i].Reads = Source::Refuses;
                             }},
                     Trouble{"AThirdHearsNothing",
-                            [](ExchangeFleet &f) {
+                            [](ExchangeSimulation &f) {
                               for (size_t i : {1, 2, 7})
                                 f.Nodes[i].Reads = Source::Silent;
                             }},
                     Trouble{"OnlyOneReads",
-                            [](ExchangeFleet &f) {
+                            [](ExchangeSimulation &f) {
                               for (size_t i = 1; i < f.Nodes.size(); ++i)
                                 f.Nodes[i].Reads = Source::Refuses;
                             }},
                     Trouble{"TheReadersDie",
-                            [](ExchangeFleet &f) {
+                            [](ExchangeSimulation &f) {
                               for (size_t i = 0; i < f.Nodes.size(); ++i)
-                                if (f.Nodes[i].Exchange->reads())
+                                if (f.Nodes[i].Exchange->isRegularReader())
                                   f.kill(i);
                             }},
                     Trouble{"TheReadersAreTurnedAway",
-                            [](ExchangeFleet &f) {
+                            [](ExchangeSimulation &f) {
                               for (auto &node : f.Nodes)
-                                if (node.Exchange->reads())
+                                if (node.Exchange->isRegularReader())
                                   node.Reads = Source::Refuses;
                             }},
                     Trouble{"TheReadersHearNothing",
-                            [](ExchangeFleet &f) {
+                            [](ExchangeSimulation &f) {
                               for (auto &node : f.Nodes)
-                                if (node.Exchange->reads())
+                                if (node.Exchange->isRegularReader())
                                   node.Reads = Source::Silent;
                             }},
-                    Trouble{
-                        "OneIsCutOffFromItsPeers",
-                        [](ExchangeFleet &f) { f.Nodes[0].CutOff = true; }}),
+                    Trouble{"OneIsCutOffFromItsPeers",
+                            [](ExchangeSimulation &f) {
+                              f.Nodes[0].CutOff = true;
+                            }}),
     [](const auto &info) { return std::string(info.param.Name); });
 
 // Story: a machine is replaced while the publishing service turns it away. It
 // learns all from its peers.
 TEST(StateExchangeTest, AFreshDaemonLearnsFromItsPeers) {
-  ExchangeFleet fleet(2, 2, 1);
+  ExchangeSimulation fleet(2, 2, 1);
   fleet.run(Second * 3);
   fleet.Nodes[0].Reads = Source::Refuses;
   fleet.restart(0);
@@ -89,12 +90,12 @@
 // Load: a release replaces servers, ten changes a second. Each reader would
 // come back for each of them, at the price of a call.
 TEST(StateExchangeTest, ManyChangesOfServersCostFewReads) {
-  ExchangeFleet fleet(5, 4, 1);
+  ExchangeSimulation fleet(5, 4, 1);
   fleet.run(Second * 4);
   for (auto &node : fleet.Nodes)
     node.Calls = 0;
   for (int i = 0; i < 50; ++i) {
-    fleet.serverChanges();
+    fleet.changeServer();
     fleet.run(Second / 10);
   }
   uint64_t calls = 0;
@@ -109,7 +110,7 @@
 // and some others a copy of everything, which grows with the fleet and with
 // what is published.
 TEST(StateExchangeTest, StartsCostFewCopiesOfEverything) {
-  ExchangeFleet fleet(5, 17, 1);
+  ExchangeSimulation fleet(5, 17, 1);
   fleet.run(Second * 5);
   EXPECT_LE(fleet.ObjectsTold, fleet.Nodes.size() * 2);
   fleet.ObjectsTold = 0;
@@ -134,7 +135,7 @@
 
 // Load: the fleet grows, the store's rate does not.
 TEST_P(EachSize, CostsADaemonTheSame) {
-  ExchangeFleet fleet(GetParam().Domains, GetParam().PerDomain, 1);
+  ExchangeSimulation fleet(GetParam().Domains, GetParam().PerDomain, 1);
   fleet.run(Second * 5);
   uint64_t calls = 0, messages = 0;
   for (auto &node : fleet.Nodes)
@@ -163,7 +164,7 @@
 
 /// Calls of all daemons of a fleet in calm times.
 uint64_t callsOfFleet(size_t domains, size_t perDomain) {
-  ExchangeFleet fleet(domains, perDomain, 1);
+  ExchangeSimulation fleet(domains, perDomain, 1);
   fleet.run(Second * 8);
   for (auto &node : fleet.Nodes)
     node.Calls = 0;
@@ -183,7 +184,7 @@
 // Guards against a fleet that starts as a whole, in which each daemon takes
 // itself for the reader until it knows the others.
 TEST(StateExchangeTest, AStartOfAllCostsFewWatches) {
-  ExchangeFleet fleet(6, 49, 1);
+  ExchangeSimulation fleet(6, 49, 1);
   fleet.run(Second * 3);
   uint64_t watches = 0;
   for (auto &node : fleet.Nodes)
@@ -194,7 +195,8 @@
 /// Which messages do not pass.
 struct Cut {
   const char *Name;
-  std::function<bool(const ExchangeFleet::Node &, const ExchangeFleet::Node &)>
+  std::function<bool(const ExchangeSimulation::Node &,
+                     const ExchangeSimulation::Node &)>
       Reaches;
 };
 
@@ -204,15 +206,15 @@
 // the publishing service still answers it.
 TEST_P(EachCut, AChangeIsInForceOnAllSides) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
-    ExchangeFleet fleet(6, 4, seed);
+    ExchangeSimulation fleet(6, 4, seed);
     fleet.run(Second * 5);
-    ASSERT_TRUE(fleet.allHold(1)) << "seed " << seed;
+    ASSERT_TRUE(fleet.allHoldVersion(1)) << "seed " << seed;
     fleet.Reaches = GetParam().Reaches;
     for (uint64_t version = 2; version <= 4; ++version) {
       fleet.run(Duration(100'000 + 300'000 * static_cast<int64_t>(version)));
       fleet.publish();
       fleet.run(InForce);
-      EXPECT_TRUE(fleet.allHold(version))
+      EXPECT_TRUE(fleet.allHoldVersion(version))
           << "seed " << seed << " version " << version;
     }
   }
@@ -254,18 +256,18 @@
 /// Calls of all daemons of a fleet in an outage of eight seconds and a release
 /// of ten after it.
 uint64_t callsInOutage(size_t domains, size_t perDomain, bool ofAll) {
-  ExchangeFleet fleet(domains, perDomain, 1);
+  ExchangeSimulation fleet(domains, perDomain, 1);
   fleet.run(Second * 8);
   for (auto &node : fleet.Nodes) {
     node.Calls = 0;
-    if (ofAll || node.Exchange->reads())
+    if (ofAll || node.Exchange->isRegularReader())
       node.Reads = Source::Refuses;
   }
   fleet.run(Second * 8);
   for (auto &node : fleet.Nodes)
     node.Reads = Source::Good;
   for (int i = 0; i < 40; ++i) {
-    fleet.serverChanges();
+    fleet.changeServer();
     fleet.run(Second / 4);
   }
   uint64_t calls = 0;
@@ -296,14 +298,14 @@
   constexpr int Servers = 200, Changes = 8;
   // Two readers, each to two relays of a domain, and twice for answers.
   constexpr size_t CopiesOfAll = 8;
-  ExchangeFleet fleet(4, 8, 1);
+  ExchangeSimulation fleet(4, 8, 1);
   for (int i = 0; i < Servers; ++i)
-    fleet.serverChanges("i-" + std::to_string(i));
+    fleet.changeServer("i-" + std::to_string(i));
   fleet.run(Second * 6);
   fleet.ObjectsTold = 0;
   fleet.HistoryDropped = true;
   for (int i = 0; i < Changes; ++i) {
-    fleet.serverChanges("i-" + std::to_string(i));
+    fleet.changeServer("i-" + std::to_string(i));
     fleet.run(Second / 2);
   }
   fleet.HistoryDropped = false;
@@ -326,7 +328,7 @@
 // Guards against daemons that spin while they wait: for the service to come
 // back, or to know who else is there.
 TEST_P(EachStart, ADaemonRests) {
-  ExchangeFleet fleet(2, 2, 1);
+  ExchangeSimulation fleet(2, 2, 1);
   for (size_t i = 0; i < fleet.Nodes.size(); ++i) {
     fleet.Nodes[i].Reads = GetParam().Reads;
     fleet.restart(i);
--- a/UnitTests/UsersPlatform/StorePagesTest.cpp
+++ b/UnitTests/UsersPlatform/StorePagesTest.cpp
@@ -112,7 +112,7 @@
                                       {ServiceId("wuno"), 10}}));
   EXPECT_DOUBLE_EQ(c.Services[0].ColdPerSecond, 1.5);
   EXPECT_EQ(c.IdleTimeout, Duration(15'000'000));
-  EXPECT_EQ(std::get<DomainOut>(page->Objects[1].Content).Domain.str(),
+  EXPECT_EQ(std::get<DomainOutOfService>(page->Objects[1].Content).Domain.str(),
             "bern-a");
 }
 
@@ -134,8 +134,8 @@
   ASSERT_TRUE(page.ok());
   EXPECT_EQ(unreadable, 1U);
   ASSERT_EQ(page->Objects.size(), 2U);
-  EXPECT_TRUE(page->Objects[0].gone());
-  EXPECT_FALSE(page->Objects[1].gone());
+  EXPECT_TRUE(page->Objects[0].isDeleted());
+  EXPECT_FALSE(page->Objects[1].isDeleted());
 }
 
 std::string with(const std::string &from, const std::string &to) {
@@ -208,9 +208,9 @@
       unreadable);
   ASSERT_TRUE(changes.ok());
   ASSERT_EQ(changes->Objects.size(), 1U);
-  EXPECT_TRUE(changes->Objects[0].gone());
+  EXPECT_TRUE(changes->Objects[0].isDeleted());
   EXPECT_EQ(changes->After, Revision{411});
-  EXPECT_EQ(changes->As, Revision{413});
+  EXPECT_EQ(changes->UpTo, Revision{413});
 }
 
 // Any change of a good page is read or refused, and never crashes.
