--- a/Balsamrack/Daemon/PacketControlPlane.cpp
+++ b/Balsamrack/Daemon/PacketControlPlane.cpp
@@ -33,7 +33,7 @@
 /// no lease to keep.
 MembershipSettings packetMembership() {
   MembershipSettings settings;
-  settings.HintRetryMax = Duration(4'000'000);
+  settings.MaxHintRetryPeriod = Duration(4'000'000);
   // After a loss of power all daemons start within some hundred milliseconds,
   // and until they know each other each takes all slots for its own.
   settings.StartPeriod = Duration(100'000);
@@ -116,7 +116,7 @@
   TimePoint now = Time.now();
   TimePoint until =
       std::min({now + MaxPollWait, Exchange.nextWakeup(), Book.nextChange()});
-  if (RoutesDue && Exchange.store().complete())
+  if (RoutesDue && Exchange.store().isComplete())
     until = std::min(until, NextRoutesAt);
   if (MembersDue)
     until = std::min(until, NextMembersAt);
@@ -295,21 +295,21 @@
     TimePoint now, const std::vector<StateExchangeAction> &actions) {
   for (const StateExchangeAction &action : actions) {
     if (const auto *to = std::get_if<SendStateMessage>(&action)) {
-      std::visit([&](const auto &what) { sendAll(to->To, what); }, to->What);
+      std::visit([&](const auto &what) { sendAll(to->To, what); }, to->Message);
     } else if (const auto *read = std::get_if<StartRead>(&action)) {
-      startRead(read->What);
+      startRead(read->Read);
     } else if (const auto *changed = std::get_if<StateChanged>(&action)) {
       handleStateChange(now, *changed);
     } else if (const auto *source = std::get_if<SourceChanged>(&action)) {
       TelemetrySink.log(
           LogLine(Part::Platform,
-                  source->Good ? Severity::Info : Severity::Warning,
-                  source->Good ? "source-regained" : "source-lost")
+                  source->Readable ? Severity::Info : Severity::Warning,
+                  source->Readable ? "source-regained" : "source-lost")
               .text("section", sectionName(source->Section))
               .text("error", source->Error));
     }
   }
-  Complete = Exchange.store().complete();
+  Complete = Exchange.store().isComplete();
 }
 
 void PacketControlPlane::startRead(const PublishedRead &read) {
@@ -331,7 +331,7 @@
                            result.status());
   if (result.ok())
     notifyIfRefreshed();
-  runExchange(now, Exchange.readEnded(now, read, result));
+  runExchange(now, Exchange.handleReadResult(now, read, result));
 }
 
 void PacketControlPlane::logChange(const PublishedObject &object,
@@ -355,20 +355,20 @@
                            : "draining")
         .millis("cold_ms", (*server)->ColdLeft);
   else
-    line.text("state", object.gone() ? "gone" : "domain-out");
+    line.text("state", object.isDeleted() ? "gone" : "domain-out");
   TelemetrySink.log(line);
 }
 
 void PacketControlPlane::logChanges(const StateChanged &changed) {
   auto gone = std::count_if(changed.Changed.begin(), changed.Changed.end(),
-                            [](const auto &it) { return it.gone(); });
+                            [](const auto &it) { return it.isDeleted(); });
   TelemetrySink.log(
       LogLine(Part::Reader, Severity::Info, "many-published-changed")
           .text("section", sectionName(changed.Section))
           .number("objects", changed.Changed.size())
           .number("gone", static_cast<uint64_t>(gone))
           .number("revision",
-                  Exchange.store().completeAs(changed.Section).Value)
+                  Exchange.store().completeRevision(changed.Section).Value)
           .text("from", changed.From.empty() ? "source" : changed.From.str()));
 }
 
@@ -388,7 +388,7 @@
 
 void PacketControlPlane::publishRoutes(TimePoint now) {
   bool due = (RoutesDue && now >= NextRoutesAt) || now >= Book.nextChange();
-  if (!due || !Exchange.store().complete())
+  if (!due || !Exchange.store().isComplete())
     return;
   RoutesDue = false;
   NextRoutesAt = now + UpdatePeriod;
@@ -401,7 +401,7 @@
   NextMetricsAt = now + MetricsPeriod;
   TelemetrySink.setPeerMetrics(Peers->counters(), LivePeers);
   for (auto section : {PublishedSection::Operators, PublishedSection::Servers})
-    TelemetrySink.setPublishedAge(section, now - Exchange.provedAt(section));
+    TelemetrySink.setPublishedAge(section, now - Exchange.verifiedAt(section));
 }
 
 } // namespace balsamrack
