--- a/Balsamrack/Decisions/DrainTracker.h
+++ b/Balsamrack/Decisions/DrainTracker.h
@@ -26,8 +26,8 @@
 public:
   /// Result for a request that must not be served.
   struct Refusal {
-    Ending How; ///< NotRun for a new flow, GivenUp for an established one.
-    Reason Why; ///< ServerDraining or DomainOut.
+    OutcomeKind How; ///< NotRun for a new flow, GivenUp for an established one.
+    Reason Why;      ///< ServerDraining or DomainOut.
   };
 
   /// Applies the ticket's state of the server. Returns true if it changed.
--- a/Balsamrack/Decisions/OwnerEvents.h
+++ b/Balsamrack/Decisions/OwnerEvents.h
@@ -57,8 +57,8 @@
 
 /// Result of a StartDispatch as reported by the link, exactly once for each.
 struct DispatchEnded {
-  RequestId Request;                     ///< Id of the dispatched request.
-  DispatchEnd How = DispatchEnd::Failed; ///< Result of the dispatch.
+  RequestId Request; ///< Id of the dispatched request.
+  DispatchOutcome How = DispatchOutcome::Failed; ///< Result of the dispatch.
   /// Instance of the server process that answered, if known.
   InstanceId Instance;
   Duration Took{0};        ///< Time from sending to the end of the dispatch.
--- a/Balsamrack/Decisions/OwnerOutput.h
+++ b/Balsamrack/Decisions/OwnerOutput.h
@@ -16,10 +16,10 @@
 
 /// How a request ends.
 struct RequestEnd {
-  Ending How = Ending::NotRun; ///< Result reported to the caller.
-  Reason Why = Reason::None;   ///< Reason for the result.
-  Duration RetryAfter{0};      ///< Delay before a retry.
-  Step At = Step::Admit;       ///< Step at which it ended.
+  OutcomeKind How = OutcomeKind::NotRun; ///< Result reported to the caller.
+  Reason Why = Reason::None;             ///< Reason for the result.
+  Duration RetryAfter{0};                ///< Delay before a retry.
+  Step At = Step::Admit;                 ///< Step at which it ended.
 };
 
 /// Collects the actions of one step together with their explanations, so that
--- a/Balsamrack/Decisions/ServerAdmission.cpp
+++ b/Balsamrack/Decisions/ServerAdmission.cpp
@@ -68,7 +68,7 @@
 
 void ServerAdmission::relinquish(TimePoint now) {
   Owned = false;
-  endQueued(now, Ending::NotRun, Reason::NotOwner);
+  endQueued(now, OutcomeKind::NotRun, Reason::NotOwner);
 }
 
 void ServerAdmission::handleArrival(TimePoint now,
@@ -113,7 +113,7 @@
     return how;
   }
   if (event.Head.Remaining <= Duration(0))
-    return RequestEnd{Ending::NotRun, Reason::DeadlinePassed};
+    return RequestEnd{OutcomeKind::NotRun, Reason::DeadlinePassed};
   if (Pause.isUnreachable() && now < Pause.until())
     return makeNotRun(now, Reason::ServerUnreachable, Pause.until() - now);
   auto unsure = Context.authorityWaitEnd();
@@ -191,7 +191,7 @@
   Slots.start(RunningRequest{std::move(what), now});
 }
 
-void ServerAdmission::endQueued(TimePoint now, Ending how, Reason why) {
+void ServerAdmission::endQueued(TimePoint now, OutcomeKind how, Reason why) {
   for (const QueuedRequest &what : Queue.removeAll()) {
     RequestEnd ending = makeNotRun(now, why, Duration(0));
     ending.How = how;
@@ -209,18 +209,18 @@
   Duration queued = Waits.waitFor(Queue.size(), Ramp.limit());
   Duration after = Waits.scheduleRetry(now, std::max(backlog, queued),
                                        Ramp.limit(), Context.Random);
-  return RequestEnd{Ending::NotRun, why, after};
+  return RequestEnd{OutcomeKind::NotRun, why, after};
 }
 
 RequestEnd ServerAdmission::makeRetryElsewhere(Reason why) const {
   // Another server or daemon may accept the request at once.
-  return RequestEnd{Ending::NotRun, why,
+  return RequestEnd{OutcomeKind::NotRun, why,
                     Context.Settings.Waits.LeastRetryAfter};
 }
 
 bool ServerAdmission::cancel(TimePoint now, RequestId request) {
   if (auto what = Queue.remove(request)) {
-    endRequest(*what, RequestEnd{Ending::NotRun, Reason::CallerGone});
+    endRequest(*what, RequestEnd{OutcomeKind::NotRun, Reason::CallerGone});
     processQueue(now);
     return true;
   }
@@ -267,7 +267,7 @@
     endQueued(now, out->How, out->Why);
   auto unsure = Context.authorityWaitEnd();
   if (unsure && now >= *unsure)
-    endQueued(now, Ending::NotRun, Reason::OwnerUnsure);
+    endQueued(now, OutcomeKind::NotRun, Reason::OwnerUnsure);
   // Ends requests that can no longer be answered in time, including when work
   // that was not known to be long occupies all slots.
   Duration block = longWorkBlockedFor(now);
--- a/Balsamrack/Decisions/ServerAdmission.h
+++ b/Balsamrack/Decisions/ServerAdmission.h
@@ -64,7 +64,7 @@
   bool canStart(TimePoint now, const QueuedRequest &what) const;
   void enqueue(TimePoint now, const QueuedRequest &what);
   void dispatch(TimePoint now, QueuedRequest what);
-  void endQueued(TimePoint now, Ending how, Reason why);
+  void endQueued(TimePoint now, OutcomeKind how, Reason why);
   void endRequest(const QueuedRequest &what, RequestEnd how);
   RequestEnd makeNotRun(TimePoint now, Reason why, Duration backlog);
   RequestEnd makeRetryElsewhere(Reason why) const;
--- a/Balsamrack/Decisions/ServerDispatchEnds.cpp
+++ b/Balsamrack/Decisions/ServerDispatchEnds.cpp
@@ -22,7 +22,7 @@
   Ramp.recordDispatchEnd(now);
   updateInstance(now, event.Instance);
   recordDispatchEnd(now, *run, event);
-  if (event.How == DispatchEnd::Failed)
+  if (event.How == DispatchOutcome::Failed)
     run->What.MayHaveRun = true;
   if (!retry(now, *run, event))
     endRequest(run->What, makeRequestEnd(now, *run, event));
@@ -34,11 +34,11 @@
 void ServerAdmission::recordDispatchEnd(TimePoint now,
                                         const RunningRequest &run,
                                         const DispatchEnded &event) {
-  if (event.How == DispatchEnd::Failed) {
+  if (event.How == DispatchOutcome::Failed) {
     recordFailedDispatch(now, run, event);
     return;
   }
-  if (event.How != DispatchEnd::Answered) {
+  if (event.How != DispatchOutcome::Answered) {
     recordUndelivered(now, event);
     return;
   }
@@ -63,7 +63,7 @@
 
 void ServerAdmission::recordUndelivered(TimePoint now,
                                         const DispatchEnded &event) {
-  bool shed = event.How == DispatchEnd::Shed;
+  bool shed = event.How == DispatchOutcome::Shed;
   // Without authority the daemon itself did not send the request, which is no
   // fault of the server.
   if (!shed && !Context.MayDispatch)
@@ -78,7 +78,7 @@
   explainRamp(
       Ramp.recordFailure(now, shed ? "server-shed" : "server-unreachable"));
   if (Pause.isUnreachable())
-    endQueued(now, Ending::NotRun, Reason::ServerUnreachable);
+    endQueued(now, OutcomeKind::NotRun, Reason::ServerUnreachable);
 }
 
 void ServerAdmission::recordFailedDispatch(TimePoint now,
@@ -103,7 +103,7 @@
   const QueuedRequest &what = run.What;
   // Never dispatches a RunOnce request twice, whatever the result was.
   if (what.Head.Kind != Semantics::Idempotent || run.Cancelled ||
-      event.How == DispatchEnd::Answered ||
+      event.How == DispatchOutcome::Answered ||
       what.Attempts >= Context.Settings.Retries.MostAttempts)
     return false;
   if (!Owned || Drain.checkRefusal(now, false) ||
@@ -118,15 +118,16 @@
 RequestEnd ServerAdmission::makeRequestEnd(TimePoint now,
                                            const RunningRequest &run,
                                            const DispatchEnded &event) {
-  if (event.How == DispatchEnd::Answered)
-    return {Ending::Answered, Reason::None, Duration(0), Step::AwaitAnswer};
+  if (event.How == DispatchOutcome::Answered)
+    return {OutcomeKind::Answered, Reason::None, Duration(0),
+            Step::AwaitAnswer};
   RequestEnd how = makeNotRun(now, Reason::ServerShed, dispatchBlockedFor(now));
   how.At = Step::Dispatch;
-  if (event.How == DispatchEnd::Unreachable)
+  if (event.How == DispatchOutcome::Unreachable)
     how.Why =
         Context.MayDispatch ? Reason::ServerUnreachable : Reason::OwnerUnsure;
-  if (event.How == DispatchEnd::Failed)
-    how = {Ending::OutcomeUnknown,
+  if (event.How == DispatchOutcome::Failed)
+    how = {OutcomeKind::OutcomeUnknown,
            run.Cancelled ? Reason::CallerGone : Reason::ServerFailed,
            Duration(0), Step::AwaitAnswer};
   return how;
--- a/Balsamrack/Peers/PeerFields.h
+++ b/Balsamrack/Peers/PeerFields.h
@@ -54,7 +54,7 @@
 }
 
 template <class Ar>
-void fields(Ar &ar, typename Ar::template Ref<HandedServer> m) {
+void fields(Ar &ar, typename Ar::template Ref<HandedOverServer> m) {
   ar("c", m.Condition);
   ar("p", m.InProgress);
   ar("o", m.Owned);
@@ -148,7 +148,7 @@
 
 template <class Ar> void fields(Ar &ar, typename Ar::template Ref<Outcome> m) {
   ar("r", m.Request);
-  ar.oneOf("h", m.How, Ending::GivenUp);
+  ar.oneOf("h", m.How, OutcomeKind::GivenUp);
   ar.oneOf("w", m.Why, Reason::UnknownService);
   ar("a", m.RetryAfter);
   ar("s", m.Server);
@@ -216,10 +216,10 @@
   ar("s", m.Servers);
   ar("h", m.Held);
   ar("w", m.Wanted);
-  ar("l", m.Last);
+  ar("l", m.AllOthersReleased);
   ar("n", m.Sequence);
   ar("v", m.LiveHash);
-  ar("q", m.QuietFor);
+  ar("q", m.TimeSinceDeadLease);
 }
 
 template <class Ar> void fields(Ar &ar, typename Ar::template Ref<Forward> m) {
@@ -278,7 +278,7 @@
 void fields(Ar &ar, typename Ar::template Ref<KeySettled> m) {
   ar("k", m.Key);
   ar("r", m.Request);
-  ar.oneOf("h", m.How, Ending::GivenUp);
+  ar.oneOf("h", m.How, OutcomeKind::GivenUp);
 }
 
 template <class Ar>
@@ -288,8 +288,8 @@
   ar("r", m.Run);
   ar("c", m.Complete);
   ar("n", m.Total);
-  ar("v", m.Vouches);
-  ar("a", m.Among);
+  ar("v", m.SenderHasFullHistory);
+  ar("a", m.KnownDaemons);
 }
 
 } // namespace balsamrack
--- a/UnitTests/Flows/RouterHelp.h
+++ b/UnitTests/Flows/RouterHarness.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_UNITTESTS_FLOWS_ROUTERHELP_H
-#define BALSAMRACK_UNITTESTS_FLOWS_ROUTERHELP_H
+#ifndef BALSAMRACK_UNITTESTS_FLOWS_ROUTERHARNESS_H
+#define BALSAMRACK_UNITTESTS_FLOWS_ROUTERHARNESS_H
 
 #include <string>
 #include <utility>
@@ -23,7 +23,7 @@
 }
 
 /// A view of one service: server i stands in domain i and vm i owns it.
-inline RoutingView parts(size_t servers, size_t vms = 0) {
+inline RoutingView makeView(size_t servers, size_t vms = 0) {
   RoutingView v;
   v.Ticket = TicketNumber{10};
   v.Self = {vmId(0), DomainId("d-0"), {}, false};
@@ -39,22 +39,22 @@
     route.Servers.push_back(s);
   }
   for (size_t i = 0; i < (vms == 0 ? servers : vms); ++i)
-    v.Guardians.Members.push_back(
+    v.KeyReplicas.Members.push_back(
         {vmId(i), DomainId(absl::StrCat("d-", i)), {}, false});
   return v;
 }
 
 /// A router under a view, with its actions by kind.
-class RouterBench {
+class RouterHarness {
 public:
-  explicit RouterBench(const RoutingView &view,
-                       const EntrySettings &settings = {})
+  explicit RouterHarness(const RoutingView &view,
+                         const EntrySettings &settings = {})
       : Settings(settings), Router(*EntryRouter::create(settings, 1)) {
-    use(view);
+    setView(view);
   }
 
   /// Puts a view into force.
-  void use(const RoutingView &view) {
+  void setView(const RoutingView &view) {
     View = *RoutingView::create(view);
     step(ViewChanged{View});
   }
@@ -76,7 +76,7 @@
     step(PacketArrived{head, token});
   }
   /// The owner of the last Forward tells an ending.
-  void reply(Ending how, Reason why, const ServerId &server) {
+  void reply(OutcomeKind how, Reason why, const ServerId &server) {
     Outcome o;
     o.Request = RequestId{1};
     o.How = how;
@@ -112,14 +112,14 @@
       return "-";
     EXPECT_EQ(found.size(), 1U);
     End = found[0];
-    return absl::StrCat(endingName(End.Result.How), "/",
+    return absl::StrCat(outcomeKindName(End.Result.How), "/",
                         reasonName(End.Result.Why));
   }
   /// The flow's candidates under the view.
   std::vector<ServerId> candidates() const {
     const ServiceRoute &route = *View->findService(Booking);
     std::vector<ServerId> ids;
-    for (size_t i : route.Rank.order(Flow, route.Servers.size()))
+    for (size_t i : route.Rank.topCandidates(Flow, route.Servers.size()))
       ids.push_back(route.Servers[i].Server.Id);
     return ids;
   }
@@ -145,4 +145,4 @@
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_UNITTESTS_FLOWS_ROUTERHELP_H
+#endif // BALSAMRACK_UNITTESTS_FLOWS_ROUTERHARNESS_H
