--- a/Balsamrack/Decisions/OwnerSettings.h
+++ b/Balsamrack/Decisions/OwnerSettings.h
@@ -36,7 +36,8 @@
   Duration LeastStepTime{1'000'000}; ///< Minimum duration of a step.
   /// Minimum duration of a step until warm answers of the server were seen.
   Duration UnmeasuredStepTime{5'000'000};
-  Duration MostStepTime{16'000'000}; ///< Upper bound of the doubled value.
+  /// Upper bound of the step time, which doubles.
+  Duration MostStepTime{16'000'000};
   /// After this long without an answer, a warm server must answer one request
   /// first.
   Duration IdleSuspicion{2'000'000};
@@ -70,7 +71,8 @@
   double MostEjected = 0.5; ///< Maximum fraction of the owned servers that may
                             ///< be ejected, at least one server.
   Duration FirstHold{5'000'000}; ///< Hold time before the first probe.
-  Duration MostHold{60'000'000}; ///< Upper bound of the doubled value.
+  /// Upper bound of the hold time, which doubles.
+  Duration MostHold{60'000'000};
   /// Consecutive good probes that readmit a server.
   uint32_t ProbesToReturn = 3;
 };
