--- a/Balsamrack/Decisions/DrainTracker.cpp
+++ b/Balsamrack/Decisions/DrainTracker.cpp
@@ -5,8 +5,8 @@
 bool DrainTracker::update(TimePoint now, const BackendServer &server,
                           bool domainInService) {
   bool drains = server.Mode == ServerMode::Draining;
-  bool changed = drains != draining() || DomainOut == domainInService;
-  // A repeated ticket must not move the limit.
+  bool changed = drains != isDraining() || DomainOut == domainInService;
+  // A repeated ticket must not restart the limit.
   if (drains && !Since)
     Since = now;
   if (!drains)
@@ -16,8 +16,8 @@
   return changed;
 }
 
-std::optional<DrainTracker::Refusal> DrainTracker::refuses(TimePoint now,
-                                                           bool newFlow) const {
+std::optional<DrainTracker::Refusal>
+DrainTracker::checkRefusal(TimePoint now, bool newFlow) const {
   OutcomeKind how = newFlow ? OutcomeKind::NotRun : OutcomeKind::GivenUp;
   if (DomainOut)
     return Refusal{how, Reason::DomainOut};
--- a/Balsamrack/Decisions/WaitEstimate.cpp
+++ b/Balsamrack/Decisions/WaitEstimate.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-constexpr double FastShare = 0.1;   ///< See fast().
-constexpr double SlowShare = 0.9;   ///< See slow().
-constexpr double JitterShare = 0.5; ///< Random part of a return time.
+constexpr double FastShare = 0.1; ///< See fast().
+constexpr double SlowShare = 0.9; ///< See slow().
+/// Maximum random part, as a fraction of the delay.
+constexpr double JitterShare = 0.5;
 
 } // namespace
 
@@ -19,40 +20,40 @@
   return mean() * turns / static_cast<int64_t>(std::max(slots, 1U));
 }
 
-Duration WaitEstimate::mostWait(Duration left) const {
+Duration WaitEstimate::maxWait(Duration left) const {
   auto share = static_cast<double>(left.count()) * Settings.MostWaitShare;
   return std::min(left - fast(), Duration(static_cast<int64_t>(share)));
 }
 
 Duration WaitEstimate::remaining(Duration age) const {
-  return known() ? typical() - age : age;
+  return hasSamples() ? typical() - age : age;
 }
 
 Duration WaitEstimate::mean() const {
-  return known() ? Times.mean() : Expected;
+  return hasSamples() ? Times.mean() : Expected;
 }
 
 Duration WaitEstimate::fast() const {
-  return known() ? Times.quantile(FastShare) : Expected / 2;
+  return hasSamples() ? Times.quantile(FastShare) : Expected / 2;
 }
 
 Duration WaitEstimate::slow() const {
-  return known() ? Times.quantile(SlowShare) : Expected * 2;
+  return hasSamples() ? Times.quantile(SlowShare) : Expected * 2;
 }
 
 Duration WaitEstimate::typical() const {
-  return known() ? Times.quantile(0.5) : Expected;
+  return hasSamples() ? Times.quantile(0.5) : Expected;
 }
 
-Duration WaitEstimate::bookReturn(TimePoint now, Duration backlog,
-                                  uint32_t slots, RandomSource &random) {
+Duration WaitEstimate::scheduleRetry(TimePoint now, Duration backlog,
+                                     uint32_t slots, RandomSource &random) {
   Duration pace = mean() / static_cast<int64_t>(std::max(slots, 1U));
-  // Bookings reach no further than the longest return time, so that callers who
-  // never come back can't push the others away for good.
+  // Retry times are reserved no further ahead than the maximum delay, so that
+  // callers that never return cannot delay the others indefinitely.
   TimePoint first = now + std::max(backlog, Settings.LeastRetryAfter);
-  NextReturn = std::clamp(NextReturn + pace, first,
-                          std::max(first, now + Settings.MostRetryAfter));
-  Duration base = NextReturn - now;
+  NextRetry = std::clamp(NextRetry + pace, first,
+                         std::max(first, now + Settings.MostRetryAfter));
+  Duration base = NextRetry - now;
   double jitter = static_cast<double>(base.count()) * JitterShare;
   base += Duration(static_cast<int64_t>(jitter * random.unit()));
   return std::clamp(base, Settings.LeastRetryAfter, Settings.MostRetryAfter);
