--- a/Balsamrack/World/Request.h
+++ b/Balsamrack/World/Request.h
@@ -11,123 +11,125 @@
 
 namespace balsamrack {
 
-/// May a request run more than once?
+/// Whether a request may be executed more than once.
 enum class Semantics {
-  Idempotent, ///< Running it again does no harm (GET, HEAD, OPTIONS, PUT,
-              ///< DELETE).
-  RunOnce,    ///< A second run would charge a deposit twice or engrave a second
-              ///< bottle (POST, PATCH, others).
+  Idempotent, ///< Safe to execute again (GET, HEAD, OPTIONS, PUT, DELETE).
+  RunOnce,    ///< Must execute at most once, such as charging a deposit (POST,
+              ///< PATCH and others).
 };
 
-/// How one attempt ended for its caller. Exactly one of them is told, and it is
-/// always true.
+/// Outcome of one attempt as reported to its caller. Exactly one is reported
+/// per attempt, and it must never claim more than is known.
 enum class OutcomeKind {
-  Answered,       ///< The backend server's whole answer is passed on.
-  NotRun,         ///< Provably no backend server ran it.
-  OutcomeUnknown, ///< It left towards a backend server, and no answer came; or
-                  ///< an earlier run of its key is unknown.
-  GivenUp, ///< Not run, and its flow has ended: its backend server or failure
-           ///< domain is gone for good.
+  Answered, ///< The complete response of the backend server was forwarded.
+  NotRun,   ///< Provably not executed by any backend server.
+  OutcomeUnknown, ///< It was sent to a backend server that did not answer, or
+                  ///< it is unknown whether an earlier attempt with its key was
+                  ///< executed.
+  GivenUp, ///< Not executed, and its flow is closed because its backend server
+           ///< or failure domain is permanently gone.
 };
 
-/// Why an attempt ended as it did.
+/// Reason for the outcome of an attempt.
 enum class Reason {
-  None,              ///< Answered, nothing to explain.
-  QueueFull,         ///< The server's queue is full.
-  DeadlineTooShort,  ///< The expected wait is longer than the remaining time.
-  DeadlinePassed,    ///< The remaining time ran out while it waited.
-  CallerShare,       ///< This caller already holds its share of the queue.
-  ServerCold,        ///< The ramp of a cold server lets nothing more in.
-  ServerFull,        ///< The server holds as many flows as it can.
-  ServerDraining,    ///< A new flow for a server that drains.
-  ServerEjected,     ///< A new flow for a server that fails or is slow.
-  ServerShed,        ///< The server said that it did not run the request.
-  ServerUnreachable, ///< No connection to the server came about.
+  None,             ///< Answered; no reason needed.
+  QueueFull,        ///< The server's queue is full.
+  DeadlineTooShort, ///< The expected queueing time exceeds the remaining time.
+  DeadlinePassed,   ///< The remaining time expired in the queue.
+  CallerShare,      ///< The caller already uses its fair share of the queue.
+  ServerCold,       ///< The ramp-up limit of a cold server is reached.
+  ServerFull,       ///< The server has reached its flow limit.
+  ServerDraining,   ///< A new flow for a draining server.
+  ServerEjected, ///< A new flow for a server ejected for failures or slowness.
+  ServerShed,    ///< The server reported that it did not execute the request.
+  ServerUnreachable, ///< No connection to the server could be opened.
   ServerFailed, ///< The connection broke or timed out after the request left.
-  DomainOut,    ///< Operators took the failure domain out of service.
-  DomainUnreachable, ///< The owner's failure domain can't be reached.
-  NotOwner,    ///< The daemon asked is not the server's owner in its own view.
-  OwnerUnsure, ///< The owner's authority has expired, or it waits for an
-               ///< earlier owner's to expire.
-  OwnerUnreachable, ///< The owner could not be reached: not sent.
-  OwnerLost,        ///< The owner vanished after the request was sent to it.
-  FlowElsewhere,    ///< The flow is not known here and is established.
-  KeyInProgress,    ///< An attempt with the same key is under way.
-  KeyAnswered,      ///< An attempt with the same key was answered before.
-  KeyUnknown,       ///< Whether the same key ran before can't be known.
-  NoServer,         ///< The service has no backend server that may take it.
-  RetryBudget,      ///< Another try would exceed the service's retry budget.
-  ShuttingDown,     ///< The daemon is on its way out.
-  CallerGone,       ///< The caller has hung up.
-  BadRequest,       ///< The envelope could not be read.
-  UnknownService,   ///< No service has this port in the ticket in force.
+  DomainOut,    ///< The failure domain was taken out of service by operators.
+  DomainUnreachable, ///< The owner's failure domain is unreachable.
+  NotOwner,    ///< The daemon that received it does not consider itself the
+               ///< server's owner.
+  OwnerUnsure, ///< The owner's lease has expired, or it is waiting for the
+               ///< previous owner's lease to expire.
+  OwnerUnreachable, ///< The owner was unreachable; the request was not sent.
+  OwnerLost, ///< The owner became unreachable after the request was sent to it.
+  FlowElsewhere, ///< The flow is established but not known to this daemon.
+  KeyInProgress, ///< An attempt with the same key is in progress.
+  KeyAnswered,   ///< An attempt with the same key was already answered.
+  KeyUnknown,    ///< Unknown whether an attempt with the same key was executed.
+  NoServer,      ///< The service has no eligible backend server.
+  RetryBudget,   ///< Another retry would exceed the service's retry budget.
+  ShuttingDown,  ///< The daemon is shutting down.
+  CallerGone,    ///< The caller closed its connection.
+  BadRequest,    ///< The request envelope is malformed.
+  UnknownService, ///< The ticket in force assigns this port to no service.
 };
 
-/// What became of one dispatch, as far as the link can prove it.
+/// Result of sending one request to a backend server, as far as the connection
+/// can prove it.
 enum class DispatchOutcome {
-  Answered,    ///< The server's whole answer came.
-  Shed,        ///< The server said that it did not run the request (503 with
-               ///< "Balsamrack-Run: no", see PROTOCOLS).
-  Unreachable, ///< No connection came about: nothing left this process.
-  Failed, ///< The connection broke, timed out or was cancelled after something
-          ///< may have left.
+  Answered, ///< The complete response was received.
+  Shed, ///< The server reported that it did not execute the request (503 with
+        ///< "Balsamrack-Run: no", see PROTOCOLS).
+  Unreachable, ///< No connection could be opened; nothing was sent.
+  Failed, ///< The connection broke, timed out or was cancelled after data may
+          ///< have been sent.
 };
 
-/// Name of an ending in lower case with hyphens: "answered", "not-run",
+/// Name of an outcome in lower case with hyphens: "answered", "not-run",
 /// "unknown", "given-up". Thread-safe.
 const char *outcomeKindName(OutcomeKind ending);
 
 /// Name of a reason in lower case with hyphens. Thread-safe.
 const char *reasonName(Reason reason);
 
-/// Name of a dispatch end in lower case. Thread-safe.
+/// Name of a dispatch outcome in lower case. Thread-safe.
 const char *dispatchOutcomeName(DispatchOutcome end);
 
-/// Header fields in the order in which they came.
+/// Header fields in the order of arrival.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-/// The message of a caller, opaque but for its envelope.
+/// Request message of a caller. Only its envelope is interpreted.
 struct Message {
   std::string Method = "GET"; ///< HTTP method.
   std::string Target = "/";   ///< Path and query.
   HeaderList Headers;         ///< Without hop-by-hop fields.
-  std::string Body;           ///< Any bytes.
+  std::string Body;           ///< Arbitrary bytes.
 };
 
-/// The answer of a backend server.
+/// Response of a backend server.
 struct Answer {
   uint32_t Status = 200; ///< HTTP status code.
   HeaderList Headers;    ///< Without hop-by-hop fields.
-  std::string Body;      ///< Any bytes.
+  std::string Body;      ///< Arbitrary bytes.
 };
 
-/// The envelope of one attempt: all that decisions may look at.
+/// Envelope of one attempt: the only part of a request that decisions depend
+/// on.
 struct Envelope {
-  RequestId Request; ///< This attempt.
-  FlowId Flow;       ///< The flow that it belongs to.
-  CallerId Caller;   ///< Who sent it, for fairness.
+  RequestId Request; ///< Id of this attempt.
+  FlowId Flow;       ///< Flow that the attempt belongs to.
+  CallerId Caller;   ///< Sender, used for fair queueing.
   ServiceId
-      Service; ///< From the port that it came in on, never from its content.
-  bool FirstOfFlow = false;            ///< Opens the flow, like a SYN.
-  Semantics Kind = Semantics::RunOnce; ///< From the method.
-  KeyDigest Key;                       ///< From Idempotency-Key; may be empty.
-  Duration Remaining{0}; ///< Remaining time when it was handed over.
-  std::string
-      Trace; ///< W3C traceparent of the span that hands it over; may be empty.
+      Service; ///< Derived from the port it arrived on, never from its content.
+  bool FirstOfFlow = false; ///< First request of the flow, like a SYN.
+  Semantics Kind = Semantics::RunOnce; ///< Derived from the method.
+  KeyDigest Key;         ///< Digest of the Idempotency-Key field; may be empty.
+  Duration Remaining{0}; ///< Remaining time when it was forwarded.
+  std::string Trace; ///< W3C traceparent of the forwarding span; may be empty.
 };
 
-/// How an attempt ended, with all that the next hop needs to tell and to
-/// explain it.
+/// Outcome of an attempt, with everything that the next hop needs to report
+/// and explain it.
 struct Outcome {
-  RequestId Request;                     ///< The attempt.
-  OutcomeKind How = OutcomeKind::NotRun; ///< What the caller is told.
-  Reason Why = Reason::None;             ///< The rule behind it.
+  RequestId Request;                     ///< Id of the attempt.
+  OutcomeKind How = OutcomeKind::NotRun; ///< Outcome reported to the caller.
+  Reason Why = Reason::None;             ///< Reason for the outcome.
   Duration RetryAfter{
-      0};             ///< When to come back; zero when it makes no sense to.
-  ServerId Server;    ///< The server concerned; may be empty.
-  std::string AtStep; ///< Step at which it ended.
-  std::string AtPeer; ///< Peer at which it ended.
-  Answer Content;     ///< Set when Answered.
+      0};             ///< Delay before a retry; zero when a retry is pointless.
+  ServerId Server;    ///< Backend server concerned; may be empty.
+  std::string AtStep; ///< Processing step that determined the outcome.
+  std::string AtPeer; ///< Peer that determined the outcome.
+  Answer Content;     ///< Response; set only when Answered.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/World/ServerCondition.h
+++ b/Balsamrack/World/ServerCondition.h
@@ -7,20 +7,20 @@
 
 namespace balsamrack {
 
-/// What the owner of a backend server last saw of it, for whoever takes it
-/// over.
+/// Last state of a backend server as observed by its owner. Passed on to the
+/// next owner.
 struct ServerCondition {
-  ServerId Server;     ///< Which server.
-  InstanceId Instance; ///< Which run of its process.
-  bool Warm = false;   ///< True once it has been ramped up to all its slots.
-  uint64_t Version =
-      0; ///< Higher is later; made of the owner's incarnation and a counter.
+  ServerId Server;      ///< Id of the server.
+  InstanceId Instance;  ///< Id of the running process, new after each restart.
+  bool Warm = false;    ///< True once it has ramped up to all of its slots.
+  uint64_t Version = 0; ///< Increases with each change; composed of the owner's
+                        ///< incarnation and a counter.
 };
 
-/// An owned server's condition changed: worth telling to whoever may take it
-/// over.
+/// The condition of an owned server changed and should be sent to its possible
+/// next owners.
 struct ConditionLearned {
-  ServerCondition Condition; ///< The newest condition.
+  ServerCondition Condition; ///< Latest condition.
 };
 
 } // namespace balsamrack
