--- a/UnitTests/Packets/LongFlowsTest.cpp
+++ b/UnitTests/Packets/LongFlowsTest.cpp
@@ -245,28 +245,28 @@
                           {"b4", "bern-b"},
                           {"b5", "bern-b"}});
     for (uint16_t i = 0; i < Callers; ++i) {
-      All.emplace_back();
-      All.back().Next = Bench.Now + Millisecond * 10 * i;
+      ActiveCallers.emplace_back();
+      ActiveCallers.back().Next = Bench.Now + Millisecond * 10 * i;
     }
     TimePoint from = Bench.Now + Duration(2'000'000);
     TimePoint until = from + Duration(5'000'000);
     while (Bench.Now < until) {
-      IsCut = Bench.Now >= from;
+      IsPartitioned = Bench.Now >= from;
       Bench.advance(Millisecond * 5);
-      settleAttempts();
-      for (Caller &it : All)
-        step(it);
+      finishAttempts();
+      for (Caller &it : ActiveCallers)
+        advanceCaller(it);
     }
-    return Lost;
+    return LostRequests;
   }
 
 private:
   static constexpr uint16_t Callers = 40;
 
   struct Caller {
-    TimePoint Next;       ///< When it does its next step.
-    TimePoint Asked;      ///< When its request began; zero: none is open.
-    bool Arrived = false; ///< Its server works on it until Next.
+    TimePoint Next;             ///< When it does its next step.
+    TimePoint RequestStartedAt; ///< When its request began; zero: none is open.
+    bool Arrived = false;       ///< Its server works on it until Next.
     uint16_t Port = 0;
     uint32_t Token = 0;
     uint64_t Home = 0;
@@ -274,40 +274,40 @@
     int Copies = 0;
   };
 
-  bool reaches(uint64_t tag) const { return !IsCut || tag <= 2; }
-  void settleAttempts() {
+  bool isReachable(uint64_t tag) const { return !IsPartitioned || tag <= 2; }
+  void finishAttempts() {
     if (Bench.Now < NextAttempts)
       return;
     NextAttempts = Bench.Now + Millisecond * 50;
     Bench.finishAttempts(
-        [this](ServerIndex it) { return reaches(Bench.tagAt(it)); });
+        [this](ServerIndex it) { return isReachable(Bench.tagAt(it)); });
   }
-  void step(Caller &it) {
+  void advanceCaller(Caller &it) {
     handleReset(it);
     if (Bench.Now < it.Next)
       return;
     if (it.Arrived) {
       Bench.acknowledgeAnswer(it.Port, it.Token, it.Request++);
       it.Arrived = false;
-      it.Asked = {};
+      it.RequestStartedAt = {};
       it.Next = Bench.Now + Millisecond * 400;
       return;
     }
-    if (it.Asked == TimePoint{}) {
-      it.Asked = Bench.Now;
+    if (it.RequestStartedAt == TimePoint{}) {
+      it.RequestStartedAt = Bench.Now;
       it.Copies = 0;
     }
-    if (Bench.Now - it.Asked >= Millisecond * 1000) {
-      ++Lost;
+    if (Bench.Now - it.RequestStartedAt >= Millisecond * 1000) {
+      ++LostRequests;
       it = Caller();
       return;
     }
-    if (it.Port == 0 && !open(it))
+    if (it.Port == 0 && !openFlow(it))
       return;
     Bench.sendRequest(it.Port, it.Token, it.Request);
     if (handleReset(it))
       return;
-    if (reaches(it.Home)) {
+    if (isReachable(it.Home)) {
       it.Arrived = true;
       it.Next = Bench.Now + Millisecond * 100;
       return;
@@ -324,12 +324,12 @@
     it.Next = Bench.Now;
     return true;
   }
-  bool open(Caller &it) {
+  bool openFlow(Caller &it) {
     uint16_t port = ++LastPort;
     Bench.sendOpening(port);
-    for (int wait = 0; wait < 30 && !reaches(Bench.lastTag()); ++wait)
+    for (int wait = 0; wait < 30 && !isReachable(Bench.lastTag()); ++wait)
       Bench.advance(Millisecond * 5);
-    if (!reaches(Bench.lastTag()))
+    if (!isReachable(Bench.lastTag()))
       return false;
     it.Port = port;
     it.Token = Bench.lastToken();
@@ -339,13 +339,13 @@
   }
 
   PacketRouterHarness Bench;
-  std::vector<Caller> All;
+  std::vector<Caller> ActiveCallers;
   size_t SeenResets = 0;
   std::set<uint16_t> ResetPorts;
   uint16_t LastPort = 0;
-  bool IsCut = false;
+  bool IsPartitioned = false;
   TimePoint NextAttempts;
-  int Lost = 0;
+  int LostRequests = 0;
 };
 
 // Load: forty terminals, more than half of them with their flow on the other
--- a/UnitTests/Packets/PacketFlowTableTest.cpp
+++ b/UnitTests/Packets/PacketFlowTableTest.cpp
@@ -6,15 +6,15 @@
 namespace {
 
 constexpr TimePoint Start{Duration(1'000'000)};
-constexpr Duration OpenKeep{20'000'000};
-constexpr Duration OpeningKeep{2'000'000};
+constexpr Duration OpenRetention{20'000'000};
+constexpr Duration OpeningRetention{2'000'000};
 
 FlowKey key(uint16_t port) { return {{0x0a000001, port}, {0xc6120001, 443}}; }
 
-Duration quietOf(const TrackedFlow &) { return Duration(2'000'000); }
+Duration idleLimitOf(const TrackedFlow &) { return Duration(2'000'000); }
 
-Duration keepOf(const TrackedFlow &flow) {
-  return flow.Stage == FlowStage::Open ? OpenKeep : OpeningKeep;
+Duration retentionOf(const TrackedFlow &flow) {
+  return flow.Stage == FlowStage::Open ? OpenRetention : OpeningRetention;
 }
 
 // Story: a caller vanishes in the middle of an open flow, which is then kept
@@ -33,13 +33,13 @@
   };
   for (TimePoint now = Start; now < Start + Duration(3'000'000);
        now += Duration(100'000)) {
-    memory.processTimers(now, quietOf, keepOf, onQuiet);
+    memory.processTimers(now, idleLimitOf, retentionOf, onQuiet);
     if (now == Start + Duration(2'500'000))
       memory.add(now, key(2));
   }
   for (TimePoint now = Start + Duration(3'000'000);
        now < Start + Duration(6'000'000); now += Duration(100'000))
-    memory.processTimers(now, quietOf, keepOf, onQuiet);
+    memory.processTimers(now, idleLimitOf, retentionOf, onQuiet);
   EXPECT_EQ(quiet, 1);
   EXPECT_EQ(memory.find(key(2)), nullptr);
   EXPECT_NE(memory.find(key(1)), nullptr);
@@ -60,7 +60,7 @@
        now += Duration(500'000)) {
     memory.find(key(1))->LastSeen = now;
     memory.processTimers(
-        now, quietOf, keepOf,
+        now, idleLimitOf, retentionOf,
         [&](const FlowKey &, TrackedFlow &, bool) { ++quiet; });
     ASSERT_NE(memory.find(key(1)), nullptr);
   }
--- a/UnitTests/Packets/PacketLoadTest.cpp
+++ b/UnitTests/Packets/PacketLoadTest.cpp
@@ -25,10 +25,11 @@
     size_t Daemons = 9;
     size_t Servers = 14;
     double PerSecond = 440; ///< Requests of all callers.
-    bool Shares = true;     ///< Daemons know of each other.
-    bool LateWait = true;   ///< Late openings may be told from those in time.
-    Duration AwayFrom{0};   ///< All daemons are away from here ...
-    Duration AwayTo{0};     ///< ... to here, and forget everything.
+    bool UseShares = true;  ///< Daemons know of each other.
+    bool DelayLateOpenings =
+        true;                ///< Late openings may be told from those in time.
+    Duration OutageStart{0}; ///< All daemons are away from here ...
+    Duration OutageEnd{0};   ///< ... to here, and forget everything.
     uint64_t Seed = 1;
   };
   /// What callers got, of those that called after a moment.
@@ -40,20 +41,20 @@
   };
 
   explicit LoadedSite(const Options &options)
-      : Its(options), Random(options.Seed), Servers(options.Servers) {
-    for (size_t i = 0; i < Its.Daemons; ++i)
+      : Config(options), Random(options.Seed), Servers(options.Servers) {
+    for (size_t i = 0; i < Config.Daemons; ++i)
       startDaemon(i);
   }
 
-  Result play(Duration length, Duration countFrom, Duration countTo) {
+  Result run(Duration length, Duration countFrom, Duration countTo) {
     CountFrom = Start + countFrom;
     CountTo = Start + countTo;
     Until = Start + length;
-    at(Start, [this] { nextCaller(); });
-    at(Start, [this] { tickAll(); });
-    if (Its.AwayTo > Duration(0))
-      at(Start + Its.AwayTo, [this] {
-        for (size_t i = 0; i < Its.Daemons; ++i)
+    schedule(Start, [this] { nextCaller(); });
+    schedule(Start, [this] { tickAll(); });
+    if (Config.OutageEnd > Duration(0))
+      schedule(Start + Config.OutageEnd, [this] {
+        for (size_t i = 0; i < Config.Daemons; ++i)
           startDaemon(i);
       });
     while (!Events.empty() && Events.top().At < Until + Duration(3'000'000)) {
@@ -99,14 +100,14 @@
     std::deque<Job> Waiting;
   };
   /// Hands what a router forwards to the site's servers.
-  class Wire final : public PacketSink {
+  class ServerSink final : public PacketSink {
   public:
-    Wire(LoadedSite &site) : Site(site) {}
+    ServerSink(LoadedSite &site) : Site(site) {}
     void forward(const PacketTarget &to, const uint8_t *packet,
                  size_t) override {
       uint64_t call = 0;
       std::memcpy(&call, packet, sizeof call);
-      Site.arrives(to.Tag - 1, to.Token, call, packet[8] != 0);
+      Site.handleArrival(to.Tag - 1, to.Token, call, packet[8] != 0);
     }
     void reset(const PacketHeader &) override {}
     void report(const PacketEvent &) override {}
@@ -115,48 +116,48 @@
     LoadedSite &Site;
   };
 
-  void at(TimePoint when, std::function<void()> what) {
+  void schedule(TimePoint when, std::function<void()> what) {
     Events.push({when, ++Orders, std::move(what)});
   }
-  bool away() const {
-    return Now >= Start + Its.AwayFrom && Now < Start + Its.AwayTo;
+  bool areDaemonsDown() const {
+    return Now >= Start + Config.OutageStart && Now < Start + Config.OutageEnd;
   }
   void startDaemon(size_t i) {
-    if (Benches.size() <= i)
-      Benches.resize(i + 1);
-    Benches[i] = std::make_unique<PacketRouterHarness>(Its.Seed * 100 + i);
-    PacketRouterHarness &bench = *Benches[i];
+    if (Harnesses.size() <= i)
+      Harnesses.resize(i + 1);
+    Harnesses[i] = std::make_unique<PacketRouterHarness>(Config.Seed * 100 + i);
+    PacketRouterHarness &bench = *Harnesses[i];
     bench.Now = Now;
     bench.configure(1, {{443, "booking"}}, 0,
-                    Its.LateWait ? Objective : Duration(0));
+                    Config.DelayLateOpenings ? Objective : Duration(0));
     std::vector<PacketRouterHarness::ServerSpec> lines;
-    for (size_t s = 1; s <= Its.Servers; ++s)
+    for (size_t s = 1; s <= Config.Servers; ++s)
       lines.push_back({"b" + std::to_string(s), "bern-a"});
     bench.publishServers(lines);
-    if (Its.Shares)
-      bench.Router.setFleet(Its.Daemons, i);
+    if (Config.UseShares)
+      bench.Router.setFleet(Config.Daemons, i);
   }
   void tickAll() {
-    Wire wire(*this);
-    for (auto &bench : Benches)
-      if (!away())
+    ServerSink wire(*this);
+    for (auto &bench : Harnesses)
+      if (!areDaemonsDown())
         bench->Router.tick(Now, wire);
     if (Now < Until)
-      at(Now + Millisecond * 5, [this] { tickAll(); });
+      schedule(Now + Millisecond * 5, [this] { tickAll(); });
   }
   void nextCaller() {
-    begin(Now);
-    double gap = -std::log(1 - Random.unit()) / Its.PerSecond;
+    startCall(Now);
+    double gap = -std::log(1 - Random.unit()) / Config.PerSecond;
     TimePoint next = Now + Duration(static_cast<int64_t>(gap * 1e6));
     if (next < Until)
-      at(next, [this] { nextCaller(); });
+      schedule(next, [this] { nextCaller(); });
   }
-  void begin(TimePoint began) {
+  void startCall(TimePoint began) {
     uint64_t id = ++LastCall;
     Call &call = Calls[id];
     call.Began = began;
     call.Opened = Now;
-    call.Daemon = Random.below(Its.Daemons);
+    call.Daemon = Random.below(Config.Daemons);
     call.Key = {{static_cast<uint32_t>(id >> 16), static_cast<uint16_t>(id)},
                 {0xc6120001, 443}};
     if (began >= CountFrom && began < CountTo && began == Now)
@@ -164,19 +165,19 @@
     for (uint8_t copy : {0, 1, 2}) {
       Duration age =
           copy == 0 ? Duration(0) : Millisecond * (copy == 1 ? 200 : 600);
-      at(Now + age, [this, id, copy] { sendOpening(id, copy); });
+      schedule(Now + age, [this, id, copy] { sendOpening(id, copy); });
     }
-    at(Now + Millisecond * 1400, [this, id] {
+    schedule(Now + Millisecond * 1400, [this, id] {
       Call &it = Calls[id];
       if (it.Confirmed || it.Done || Now - it.Began >= Timeout)
         return;
       it.Done = true;
-      begin(it.Began);
+      startCall(it.Began);
     });
   }
   void sendOpening(uint64_t id, uint8_t copy) {
     Call &call = Calls[id];
-    if (call.Confirmed || call.Done || away())
+    if (call.Confirmed || call.Done || areDaemonsDown())
       return;
     PacketHeader head;
     head.Flow = call.Key;
@@ -191,37 +192,38 @@
     uint8_t packet[31] = {};
     std::memcpy(packet, &id, sizeof id);
     packet[8] = request ? 1 : 0;
-    Wire wire(*this);
-    Benches[daemon]->Router.handlePacket(Now, head, packet, sizeof packet,
-                                         wire);
-    Benches[daemon]->Router.tick(Now, wire);
+    ServerSink wire(*this);
+    Harnesses[daemon]->Router.handlePacket(Now, head, packet, sizeof packet,
+                                           wire);
+    Harnesses[daemon]->Router.tick(Now, wire);
   }
-  void arrives(size_t server, uint32_t token, uint64_t id, bool request) {
+  void handleArrival(size_t server, uint32_t token, uint64_t id, bool request) {
     if (!request) {
-      at(Now + Millisecond * 4, [this, token, id] { confirms(id, token); });
+      schedule(Now + Millisecond * 4,
+               [this, token, id] { confirmFlow(id, token); });
       return;
     }
     if (Calls[id].Done || Servers[server].Waiting.size() >= Queue)
       return;
     Servers[server].Waiting.push_back({id, Now});
-    work(server);
+    startJobs(server);
   }
-  void confirms(uint64_t id, uint32_t token) {
+  void confirmFlow(uint64_t id, uint32_t token) {
     Call &call = Calls[id];
-    if (call.Confirmed || call.Done || away())
+    if (call.Confirmed || call.Done || areDaemonsDown())
       return;
     call.Confirmed = true;
-    at(Now + Millisecond * 4, [this, id, token] {
+    schedule(Now + Millisecond * 4, [this, id, token] {
       PacketHeader head;
       head.Flow = Calls[id].Key;
       head.Acknowledges = true;
       head.Token = token;
       head.DataBytes = 100;
-      if (!away())
+      if (!areDaemonsDown())
         send(Calls[id].Daemon, head, id, true);
     });
   }
-  void work(size_t index) {
+  void startJobs(size_t index) {
     Server &server = Servers[index];
     while (server.Busy < Slots && !server.Waiting.empty()) {
       Job job = server.Waiting.front();
@@ -231,14 +233,14 @@
       WaitSum += static_cast<double>((Now - job.Since).count());
       // Mean 32 ms, between 16 and 48: what a mixture of lookups takes.
       Duration took(static_cast<int64_t>(16'000 + Random.unit() * 32'000));
-      at(Now + took, [this, index, job] {
+      schedule(Now + took, [this, index, job] {
         --Servers[index].Busy;
-        answered(job.Call);
-        work(index);
+        finishCall(job.Call);
+        startJobs(index);
       });
     }
   }
-  void answered(uint64_t id) {
+  void finishCall(uint64_t id) {
     Call &call = Calls[id];
     if (call.Done)
       return;
@@ -249,25 +251,25 @@
       ++Counts.InTime;
     else if (counted && took <= Timeout)
       ++Counts.Late;
-    at(Now + Millisecond * 8, [this, id] {
+    schedule(Now + Millisecond * 8, [this, id] {
       PacketHeader head;
       head.Flow = Calls[id].Key;
       head.Acknowledges = true;
       head.Ends = true;
-      if (!away())
+      if (!areDaemonsDown())
         send(Calls[id].Daemon, head, id, true);
       Calls.erase(id);
     });
   }
 
-  const Options Its;
+  const Options Config;
   SeededRandom Random;
   TimePoint Now = Start;
   TimePoint Until;
   TimePoint CountFrom;
   TimePoint CountTo;
   std::vector<Server> Servers;
-  std::vector<std::unique_ptr<PacketRouterHarness>> Benches;
+  std::vector<std::unique_ptr<PacketRouterHarness>> Harnesses;
   std::map<uint64_t, Call> Calls;
   std::priority_queue<Event, std::vector<Event>, std::greater<Event>> Events;
   uint64_t Orders = 0;
@@ -281,7 +283,7 @@
 struct SharesCase {
   const char *Name;
   double PerSecond;
-  double MostOfBaseline;
+  double MaxRatioToBaseline;
 };
 
 class EachLoad : public testing::TestWithParam<SharesCase> {};
@@ -296,19 +298,19 @@
     options.Seed = seed;
     with +=
         LoadedSite(options)
-            .play(Duration(6'000'000), Duration(1'000'000), Duration(6'000'000))
+            .run(Duration(6'000'000), Duration(1'000'000), Duration(6'000'000))
             .MeanWaitMillis;
-    options.Shares = false;
+    options.UseShares = false;
     without +=
         LoadedSite(options)
-            .play(Duration(6'000'000), Duration(1'000'000), Duration(6'000'000))
+            .run(Duration(6'000'000), Duration(1'000'000), Duration(6'000'000))
             .MeanWaitMillis;
   }
   RecordProperty("with_ms", std::to_string(with / 3));
   RecordProperty("without_ms", std::to_string(without / 3));
   printf("mean wait in queues: %.2f ms with shares, %.2f ms without\n",
          with / 3, without / 3);
-  EXPECT_LT(with, without * GetParam().MostOfBaseline);
+  EXPECT_LT(with, without * GetParam().MaxRatioToBaseline);
 }
 
 INSTANTIATE_TEST_SUITE_P(Loads, EachLoad,
@@ -328,16 +330,16 @@
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     LoadedSite::Options options;
     options.Seed = seed;
-    options.AwayFrom = Duration(1'000'000);
-    options.AwayTo = Duration(2'600'000);
+    options.OutageStart = Duration(1'000'000);
+    options.OutageEnd = Duration(2'600'000);
     auto play = [&] {
-      return LoadedSite(options).play(Duration(6'000'000), Duration(2'600'000),
-                                      Duration(4'600'000));
+      return LoadedSite(options).run(Duration(6'000'000), Duration(2'600'000),
+                                     Duration(4'600'000));
     };
     LoadedSite::Result result = play();
     asked += result.Asked;
     with += result.InTime;
-    options.Shares = false;
+    options.UseShares = false;
     without += play().InTime;
   }
   printf("two seconds after the return: asked %d, in time %d; without shares "
@@ -357,10 +359,10 @@
     LoadedSite::Options options;
     options.Seed = seed;
     options.PerSecond = 520;
-    options.AwayFrom = Duration(1'000'000);
-    options.AwayTo = Duration(2'300'000);
+    options.OutageStart = Duration(1'000'000);
+    options.OutageEnd = Duration(2'300'000);
     auto play = [&](LoadedSite::Result &sum, int &lost) {
-      LoadedSite::Result it = LoadedSite(options).play(
+      LoadedSite::Result it = LoadedSite(options).run(
           Duration(6'000'000), Duration(1'000'000), Duration(4'300'000));
       sum.Asked += it.Asked;
       sum.InTime += it.InTime;
@@ -368,7 +370,7 @@
       lost += it.Asked - it.InTime - it.Late;
     };
     play(first, lostWith);
-    options.LateWait = false;
+    options.DelayLateOpenings = false;
     play(second, lostWithout);
   }
   printf("asked %d: in time %d, late %d, lost %d; in order of arrival %d, %d, "
