--- a/Balsamrack/Packets/OpeningQueue.h
+++ b/Balsamrack/Packets/OpeningQueue.h
@@ -12,41 +12,42 @@
 
 namespace balsamrack {
 
-/// An opening with its bytes as they came.
+/// An opening packet, stored byte for byte.
 struct BufferedOpening {
-  /// Openings carry no data.
+  /// Largest opening that can be stored. Openings carry no data.
   static constexpr size_t MaxBytes = 48;
 
-  PacketHeader Head;                      ///< Of it.
+  PacketHeader Head;                      ///< Its decoded header.
   size_t Bytes = 0;                       ///< Length of Packet.
-  std::array<uint8_t, MaxBytes> Packet{}; ///< As it came.
+  std::array<uint8_t, MaxBytes> Packet{}; ///< The received bytes.
 
-  /// Keeps \p n bytes; false when there are too many.
+  /// Stores a packet of \p n bytes; false when it is longer than MaxBytes.
   bool assign(const PacketHeader &head, const uint8_t *bytes, size_t n);
 };
 
-/// Openings that wait: for the first updates after a start or a pause, or for
-/// free slots. Bounded. Not thread-safe.
+/// Bounded queue of openings that wait for the first routes after a start or a
+/// pause, or for free slots. Not thread-safe.
 class OpeningQueue {
 public:
-  /// Half a second of a small site's openings at a daemon.
+  /// Capacity: openings that one daemon of a small site receives in half a
+  /// second.
   static constexpr size_t MaxOpenings = 512;
 
-  /// One that waits.
+  /// One waiting opening.
   struct Item {
-    BufferedOpening Opening; ///< What waits.
-    TimePoint Deadline;      ///< It goes on then at the latest.
+    BufferedOpening Opening; ///< The opening.
+    TimePoint Deadline;      ///< Latest time to remove it from the queue.
   };
 
-  /// Takes one in; false when there is no room.
+  /// Appends an opening; false when the queue is full.
   bool push(const BufferedOpening &opening, TimePoint until);
-  /// Number of those that wait.
+  /// Number of waiting openings.
   size_t size() const { return Items.size(); }
-  /// True when nothing waits.
+  /// True when the queue is empty.
   bool empty() const { return Items.empty(); }
-  /// The next one in turn. Precondition: not empty().
+  /// The oldest opening. Precondition: not empty().
   const Item &front() const { return Items.front(); }
-  /// Takes the next one out. Precondition: not empty().
+  /// Removes and returns the oldest opening. Precondition: not empty().
   Item pop();
 
 private:
--- a/Balsamrack/Packets/OpeningTimeout.cpp
+++ b/Balsamrack/Packets/OpeningTimeout.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Weights of RFC 6298.
+// Smoothing weights and deviation factor of RFC 6298.
 constexpr double MeanWeight = 1.0 / 8;
 constexpr double DeviationWeight = 1.0 / 4;
 constexpr double DeviationFactor = 4;
--- a/Balsamrack/Packets/OpeningTimeout.h
+++ b/Balsamrack/Packets/OpeningTimeout.h
@@ -5,32 +5,32 @@
 
 namespace balsamrack {
 
-/// How long to wait for the answer to an opening before another server gets a
-/// copy of it: the usual time and four times its spread, as TCP reckons its
-/// retransmission timeout (RFC 6298). Openings that went to several servers are
-/// left out, since nobody knows which one was answered (Karn, Partridge 1987).
-/// Not thread-safe.
+/// Adaptive timeout after which an unanswered opening is sent to another
+/// server: the mean response time plus four times its deviation, computed like
+/// TCP's retransmission timeout (RFC 6298). Openings that were sent to several
+/// servers give no sample, since it is ambiguous which one was answered (Karn,
+/// Partridge 1987). Not thread-safe.
 class OpeningTimeout {
 public:
-  /// Before anything was measured. A handshake within a site takes some eight
-  /// milliseconds.
+  /// Timeout before the first sample. A handshake within a site takes about 8
+  /// ms.
   static constexpr Duration Initial{40'000};
-  /// Never shorter: a timer that fires late by some milliseconds must not make
-  /// a second copy of every opening.
+  /// Lower bound, so that delays of a few milliseconds in timers and processing
+  /// do not cause every opening to be sent twice.
   static constexpr Duration Min{20'000};
-  /// Never longer: callers send a copy of their own after 200 ms.
+  /// Upper bound, below the 200 ms after which callers retransmit.
   static constexpr Duration Max{150'000};
 
-  /// An opening was answered after \p took.
+  /// Adds a response time to the estimate.
   void addSample(Duration took);
-  /// The usual time from an opening to its answer; zero: nothing measured.
+  /// Smoothed time from an opening to its answer; zero before the first sample.
   Duration mean() const { return Duration(static_cast<int64_t>(Mean)); }
   /// The current timeout.
   Duration value() const;
 
 private:
-  double Mean = 0;      ///< In microseconds; zero: nothing measured.
-  double Deviation = 0; ///< Mean deviation, in microseconds.
+  double Mean = 0;      ///< In microseconds; zero before the first sample.
+  double Deviation = 0; ///< Smoothed mean deviation, in microseconds.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/PacketFailures.cpp
+++ b/Balsamrack/Packets/PacketFailures.cpp
@@ -3,28 +3,29 @@
 
 #include "Balsamrack/Packets/PacketRouter.h"
 
-// The part of PacketRouter that finds out which servers can be reached, and
-// gives up requests that can't be.
+// Detection of unreachable servers and reset of flows whose requests are lost:
+// part of PacketRouter.
 
 namespace balsamrack {
 
 namespace {
 
-/// An attempt to connect shorter than this would fail for a moment's stall of
-/// this process or the server.
+/// Shorter connection attempts would fail when this process or the server
+/// stalls briefly.
 constexpr Duration MinAttemptTimeout{50'000};
-/// Servers that need longer are asked again soon.
+/// Servers that take longer are probed again soon.
 constexpr Duration MaxAttemptTimeout{200'000};
 
 } // namespace
 
 bool PacketRouter::isRequestLost(const TrackedFlow &flow,
                                  const PacketHeader &head) const {
-  // Guards against callers that wait until their time is over for a server that
-  // is dead or cut off: told at once, they open anew elsewhere and are served.
-  // Only a packet that brings data is lost with its server; a request that has
-  // arrived there is answered directly. And only where callers may repeat what
-  // may have run: else a cut that heals in time still serves them.
+  // A caller whose server is dead or unreachable is told at once, so that it
+  // can open a new flow at another server instead of waiting until its timeout.
+  // Only packets with data count as lost: a request that has arrived is
+  // answered directly by the server. If the server is merely unreachable, only
+  // idempotent requests are given up, since others may have run and must not be
+  // repeated; they are still served if the network recovers in time.
   if (head.DataBytes == 0)
     return false;
   if (Servers.at(flow.Server).Backend.Presence == ServerPresence::Replaced)
@@ -92,7 +93,8 @@
 }
 
 std::vector<ConnectionAttempt> PacketRouter::dueAttempts(TimePoint now) {
-  // A handshake with the server alone; openings take one with the caller too.
+  // A probe needs only the handshake with the server, whereas the opening
+  // timeout also covers the caller's answer.
   Duration timeout =
       std::clamp(2 * Timeout.value(), MinAttemptTimeout, MaxAttemptTimeout);
   std::vector<size_t> servers = Detector.takeDueProbes(now);
@@ -105,7 +107,7 @@
   for (size_t server : servers) {
     auto index = static_cast<ServerIndex>(server);
     const RoutedBackend &is = Servers.at(index).Backend;
-    // Who answers there is another server.
+    // A different server answers at this address.
     if (is.Presence != ServerPresence::Replaced)
       attempts.push_back({index, is.At, timeout});
   }
--- a/Balsamrack/Packets/PacketPlacement.cpp
+++ b/Balsamrack/Packets/PacketPlacement.cpp
@@ -5,7 +5,7 @@
 
 #include "Balsamrack/Decisions/SlotShares.h"
 
-// The part of PacketRouter that places new flows.
+// Placement of new flows: part of PacketRouter.
 
 namespace balsamrack {
 
@@ -31,7 +31,8 @@
     total += target.Weight;
   if (total == 0)
     return nullptr;
-  // By the flow, so that every daemon picks the same service for its copies.
+  // Chosen by a hash of the flow, so that every daemon selects the same service
+  // for all copies of an opening.
   uint64_t point = combineHash(combineHash(key.Caller.Ip, key.Caller.Port),
                                combineHash(key.Service.Ip, key.Service.Port)) %
                    total;
@@ -50,9 +51,9 @@
     refuse(head, PacketReason::NoRoute, out);
     return;
   }
-  // Guards against callers that wait until their time is over for servers that
-  // are all out of reach: told at once, they can come back or go elsewhere. A
-  // later copy is no new call: another daemon may have opened its flow.
+  // Refuse at once when all servers of the service are unreachable, so that the
+  // caller can retry or go elsewhere instead of waiting until its timeout. Do
+  // not refuse later copies: the flow may be open through another daemon.
   if (head.CopyNumber == 0 && isServiceUnreachable(*service)) {
     updateReachability(now);
     if (isLeavingRotation(now))
@@ -77,8 +78,8 @@
   flow->CopiesSeen = copyBit(head.CopyNumber);
   sendOpening(now, *flow, static_cast<ServerIndex>(to->Server), head, bytes, n,
               out);
-  // A flow that has no room in the memory is not counted, or its count would
-  // stay for ever.
+  // A flow that does not fit in the table is not counted, since its count would
+  // never be removed.
   if (flow == &spare)
     uncountRequest(spare);
 }
@@ -123,10 +124,11 @@
 }
 
 bool PacketRouter::isLeavingRotation(TimePoint now) const {
-  // Guards against callers whose tries are all refused before the fabric has
-  // turned to other failure domains, which can serve them: what they send next
-  // reaches those. Where servers of the own domain take new flows, it is these
-  // that are dead, and others can't serve either.
+  // Until the fabric has switched to other failure domains, drop openings
+  // instead of refusing them: the callers' retransmissions reach daemons that
+  // can serve them, whereas refusals would use up all their tries. This does
+  // not apply when servers of the own domain accept new flows: then the servers
+  // themselves are dead, and other daemons cannot reach them either.
   return Reach.state() == ReachState::Lost &&
          now < Reach.lostAt() + Settings.FabricFailoverTime &&
          !ownDomainAcceptsNewFlows();
@@ -138,8 +140,8 @@
 }
 
 void PacketRouter::recordReached(ServerIndex server) {
-  // Servers of a failure domain that was taken out may still be in reach when
-  // all others are not.
+  // Servers of a failure domain that was taken out of service do not count:
+  // they may be reachable when all others are not.
   if (Servers.at(server).Backend.acceptsNewFlows())
     Reach.reportReached();
 }
@@ -147,7 +149,7 @@
 std::vector<ServerIndex> PacketRouter::serversToProbe(TimePoint now) {
   if (!Routes || !anyServerAcceptsNewFlows() || !Reach.startProbeIfDue(now))
     return {};
-  // Two, since one may be dead.
+  // Probe two servers, since one may be dead.
   std::vector<ServerIndex> all;
   for (const auto &[id, service] : Servers.services())
     all.insert(all.end(), service.AcceptingServers.begin(),
--- a/Balsamrack/Packets/PacketRouter.cpp
+++ b/Balsamrack/Packets/PacketRouter.cpp
@@ -11,14 +11,16 @@
 namespace {
 
 constexpr TimePoint Never = TimePoint(Duration::max());
-/// Callers send the opening and two copies of it.
+/// Callers send an opening and two copies of it; one bit for each.
 constexpr uint8_t AllCopies = 0b111;
-/// Copies may come earlier or later by so much for the network's and this
-/// process's own lateness; callers send them 200 and 400 ms apart.
+/// Tolerated deviation of the arrival of copies, due to delays in the network
+/// and in this process. Callers send the copies 200 and 400 ms apart.
 constexpr Duration CopyJitter{100'000};
-/// By then its caller has sent the same data again, with a head of its own.
+/// By this time the caller has retransmitted the data again, which adds a new
+/// record.
 constexpr Duration RetransmittedRetention{1'000'000};
-/// Older ones hear of it with their next repetition.
+/// When full, the oldest records are dropped. Their flows are reset at the next
+/// retransmission.
 constexpr size_t MaxRetransmitted = 4096;
 
 } // namespace
@@ -119,11 +121,11 @@
 void PacketRouter::placeLateOpenings(TimePoint now, PacketSink &out) {
   if (!Routes || Stale)
     return;
-  // Each is looked at once; those that wait on keep their order.
+  // Checks each opening once; those that keep waiting stay in order.
   for (size_t n = Late.size(); n > 0; --n) {
     OpeningQueue::Item held = Late.pop();
     const BufferedOpening &opening = held.Opening;
-    // A later copy may have gone on before it.
+    // A later copy may have been forwarded already.
     if (isTrackedOpening(opening.Head))
       continue;
     bool waits = now < held.Deadline && areSlotsTakenFor(now, opening.Head);
@@ -143,12 +145,12 @@
   while (Routes && !Stale && !Buffered.empty()) {
     OpeningQueue::Item held = Buffered.pop();
     const BufferedOpening &opening = held.Opening;
-    // A copy of one that went on before it.
+    // Another copy of it was forwarded already.
     if (isTrackedOpening(opening.Head))
       continue;
     place(now, opening.Head, opening.Packet.data(), opening.Bytes, out);
   }
-  // What has waited too long is sent again by its caller.
+  // Drops openings that waited too long; their callers retransmit them.
   while (!Buffered.empty() && now >= Buffered.front().Deadline)
     Buffered.pop();
 }
@@ -169,7 +171,8 @@
   }
   bool overdue = now - flow.LastSent >= Timeout.value();
   if (overdue && flow.Tries == TrackedFlow::MaxTries) {
-    // All have had their time; the round begins anew without the last one.
+    // All tries have timed out. Start another round that excludes only the last
+    // server.
     flow.Tried[0] = flow.Server;
     flow.Tries = 1;
   }
@@ -205,8 +208,8 @@
   ServerIndex home = NoServerIndex;
   PacketReason why = resolveToken(head, home);
   if (why != PacketReason::None) {
-    // Silence, not a reset: the flow may be open at a living server that is
-    // not known here yet, and its packets will be sent again.
+    // Drop the packet instead of sending a reset: the flow may be open at a
+    // live server that is not known here yet, and the caller retransmits.
     out.report(
         makeEvent(PacketEventKind::Dropped, why, head.Flow, NoServerIndex));
     return nullptr;
@@ -275,9 +278,9 @@
 
 void PacketRouter::confirm(TimePoint now, TrackedFlow &flow,
                            const PacketHeader &head, PacketSink &out) {
-  // The flow opens at the server that the caller answers, and its token is on
-  // this very packet. A second server's answer may change the token later, so
-  // the home is remembered from here on.
+  // The flow is open at the server that the caller answers, which is the one
+  // that the token of this packet identifies. The answer of a second server
+  // may change the token later, so the server is stored from now on.
   ServerIndex home = NoServerIndex;
   if (resolveToken(head, home) == PacketReason::None)
     countRequest(now, flow, home);
@@ -299,8 +302,8 @@
 void PacketRouter::processDueOpenings(TimePoint now,
                                       std::deque<UnansweredOpening> &waiting,
                                       PacketSink &out) {
-  // Most are answered long before they are due; dropping those here spares a
-  // wake-up for each.
+  // Most openings are answered long before they are due. Dropping those here
+  // saves one wake-up each.
   while (!waiting.empty() &&
          (waiting.front().Due <= now || !isUnanswered(waiting.front()))) {
     UnansweredOpening first = waiting.front();
@@ -351,7 +354,8 @@
 
 bool PacketRouter::isUnanswered(const UnansweredOpening &waiting) {
   const TrackedFlow *flow = Flows.find(waiting.Opening.Head.Flow);
-  // Else it was answered, ended, or sent again since: a later one waits for it.
+  // Otherwise it was answered, closed, or sent again, and a later element
+  // covers it.
   return flow && flow->Stage == FlowStage::Opening &&
          flow->LastSent == waiting.SentAt;
 }
@@ -362,9 +366,9 @@
   TrackedFlow *flow = Flows.find(waiting.Opening.Head.Flow);
   ServerIndex server = flow->Server;
   uint32_t caller = waiting.Opening.Head.Flow.Caller.Ip;
-  // Guards against a process that was frozen: what waited in its socket has
-  // been sent to another daemon too, and is answered there. Servers are not
-  // silent for that.
+  // After this process was suspended, packets that waited in its socket were
+  // retransmitted through another daemon and answered there. A missing answer
+  // to them does not make a server silent.
   if (!flow->CopiesDelayed &&
       Detector.reportUnanswered(now, server, waiting.SentAt, caller))
     reportSilentServer(server, waiting.Opening.Head.Flow, out);
@@ -374,15 +378,16 @@
                                   opening.Packet.data(), opening.Bytes, out);
   if (sent)
     return;
-  // It may have gone on through another daemon, and else nobody works on it.
+  // The opening may have been answered through another daemon; otherwise no
+  // server works on it.
   uncountRequest(*flow);
-  // The caller sends no more copies, and whoever could answer had its time: a
-  // reset lets it try anew at once. Only if all of its copies came here, each
-  // at its time: else its flow may have been opened through another daemon, and
-  // the reset would break it.
+  // The caller sends no more copies and all servers have timed out; a reset
+  // lets the caller retry at once. Reset only if all copies arrived here on
+  // time. Otherwise the flow may be open through another daemon, and the reset
+  // would break it.
   if (flow->CopiesSeen != AllCopies || flow->CopiesDelayed)
     return;
-  // And only when its first packet to a server has had time to come again.
+  // Also leave the caller time to retransmit its first packet to a server.
   if (now - flow->LastSeen < Settings.LastCopyTimeout) {
     UnansweredOpening again = waiting;
     again.Due = flow->LastSeen + Settings.LastCopyTimeout;
@@ -397,7 +402,8 @@
   TimePoint next = Unanswered.empty() ? Never : Unanswered.front().Due;
   if (!LastCopies.empty())
     next = std::min(next, LastCopies.front().Due);
-  // Slots get free as packets come in, and each packet is followed by a tick.
+  // Slots are freed by incoming packets, and each packet is followed by a tick,
+  // so only the deadline needs a wake-up.
   if (!Late.empty() && Routes)
     next = std::min(next, Late.front().Deadline);
   if (Routes && anyServerAcceptsNewFlows())
--- a/Balsamrack/Packets/PacketRouter.h
+++ b/Balsamrack/Packets/PacketRouter.h
@@ -23,123 +23,128 @@
 
 /// Limits of the packet router.
 struct PacketRouterSettings {
-  DomainId Domain;               ///< This daemon's failure domain.
-  Duration RefreshWait{300'000}; ///< An opening waits so long at most for the
-                                 ///< first updates after a start or a pause:
-                                 ///< callers send a copy after 200 ms.
-  size_t MaxFlows = 100'000;     ///< Flows remembered, some 100 bytes each.
-  Duration OpeningRetention{
-      2'000'000}; ///< An opening without an answer is
-                  ///< forgotten; callers give up after 1.4 s.
-  Duration LastCopyTimeout{450'000}; ///< From an opening's last copy to a reset
-                                     ///< for want of an answer: callers send a
-                                     ///< lost packet again after 200 ms, and
-                                     ///< give up 800 ms after that copy.
+  DomainId Domain; ///< This daemon's failure domain.
+  Duration RefreshWait{
+      300'000}; ///< Longest wait of an opening for the first routes after a
+                ///< start or a pause. Callers retransmit after 200 ms.
+  size_t MaxFlows =
+      100'000; ///< Capacity of the flow table, about 100 bytes per flow.
+  Duration OpeningRetention{2'000'000}; ///< Retention of an unanswered opening;
+                                        ///< callers give up after 1.4 s.
+  Duration LastCopyTimeout{
+      450'000}; ///< Time from the last copy of an unanswered opening to the
+                ///< reset. Callers retransmit a lost packet after 200 ms and
+                ///< give up 800 ms after the last copy.
   Duration ClosingRetention{
-      3'000'000};                     ///< Packets may follow the end of a flow:
-                                      ///< retransmissions wait 1.6 s at most.
-  Duration OpenRetention{20'000'000}; ///< A silent open flow is forgotten; its
-                                      ///< token still names its server.
-  Duration FabricFailoverTime{1'500'000}; ///< By then the fabric sends callers
-                                          ///< to others: it asks twice a
-                                          ///< second, and two misses count.
-  FailureDetectorSettings Detector;       ///< Of the failure detector.
+      3'000'000}; ///< Retention of a closed flow for late packets;
+                  ///< retransmissions are delayed by at most 1.6 s.
+  Duration OpenRetention{
+      20'000'000}; ///< Retention of an open flow without packets. Its token
+                   ///< still identifies its server afterwards.
+  Duration FabricFailoverTime{
+      1'500'000}; ///< Time until the fabric routes callers to other daemons: it
+                  ///< checks readiness twice a second and requires two failed
+                  ///< checks.
+  FailureDetectorSettings Detector; ///< Settings of the failure detector.
 };
 
-/// A server that should be asked by a connection attempt.
+/// A connection attempt to be made in order to probe a server.
 struct ConnectionAttempt {
-  ServerIndex Server = NoServerIndex; ///< For handleAttemptResult().
-  Endpoint At;                        ///< Where to connect to.
-  Duration Timeout{0};                ///< Failed when it takes longer.
+  ServerIndex Server = NoServerIndex; ///< Passed back to handleAttemptResult().
+  Endpoint At;                        ///< Address to connect to.
+  Duration Timeout{0}; ///< The attempt fails when it takes longer.
 };
 
-/// How a connection attempt ended.
+/// Result of a connection attempt.
 enum class ConnectionResult {
-  Connected,    ///< The server took the connection.
-  Failed,       ///< It refused it, or did not answer in time.
-  NotAttempted, ///< This daemon had no socket for it; nothing is known.
+  Connected,    ///< The server accepted the connection.
+  Failed,       ///< The connection was refused or timed out.
+  NotAttempted, ///< No socket was available; the server's state is unknown.
 };
 
-/// Where a packet goes. Takes heads of packets, gives actions to a PacketSink;
-/// clock and random numbers are handed in, so that the same input gives the
-/// same actions. Not thread-safe.
-///
-/// A flow's home is remembered in three places: in this daemon's memory, in the
-/// token that comes back on each packet, and, for new flows, nowhere: any
-/// server will do. An opening whose server stays silent is sent to another one
-/// after a few tens of milliseconds, on behalf of the caller and byte for byte;
-/// the flow opens at the server that the caller answers, so nothing can run
-/// twice.
+/// Decides where each packet is sent. Takes packet headers and passes actions
+/// to a PacketSink. Time and random numbers are parameters, so the same input
+/// gives the same actions. Not thread-safe.
+/// The server of an open flow is known from this daemon's flow table or from
+/// the token that each packet of the flow carries; a new flow may go to any
+/// server. An opening that its server leaves unanswered is resent, byte for
+/// byte, to another server after a few tens of milliseconds. The flow is open
+/// at the server that the caller answers, so no request can run twice.
 class PacketRouter {
 public:
   /// Precondition: \p random outlives the router.
   PacketRouter(const PacketRouterSettings &settings, RandomSource &random);
 
-  /// From now on \p routes are in force. Never null.
+  /// Replaces the routes in force. Precondition: \p routes is not null.
   void setRoutes(std::shared_ptr<const PacketRoutes> routes);
-  /// There are \p daemons in the fleet, and this one is number \p self in the
-  /// order of failure domain and id. Precondition: self < daemons.
+  /// Sets the number of daemons in the fleet and the index of this daemon in
+  /// the order of failure domain and id. Precondition: self < daemons.
   void setFleet(size_t daemons, size_t self);
-  /// What is held may be old: openings wait for setFresh().
+  /// Marks the routes as possibly outdated: openings wait for setFresh().
   void setStale() { Stale = true; }
-  /// What is held is new again.
+  /// Marks the routes as current again.
   void setFresh() { Stale = false; }
 
-  /// Takes one packet of \p n bytes.
+  /// Handles one packet of \p n bytes from a caller.
   void handlePacket(TimePoint now, const PacketHeader &head,
                     const uint8_t *bytes, size_t n, PacketSink &out);
-  /// Does what time alone asks for. Due by nextWakeup(), harmless otherwise.
+  /// Handles expired timers. Due by nextWakeup(), harmless at other times.
   void tick(TimePoint now, PacketSink &out);
-  /// When tick() is due; the far future for never. Remembered flows are looked
-  /// through by any call; one in a second will do.
+  /// When tick() is due; the far future for never. Does not include expiry of
+  /// tracked flows, which any call to tick() handles; once a second is enough.
   TimePoint nextWakeup() const;
 
-  /// Servers to be asked now. Each needs an handleAttemptResult().
+  /// Connection attempts to be started now. Each must be followed by a call to
+  /// handleAttemptResult().
   std::vector<ConnectionAttempt> dueAttempts(TimePoint now);
-  /// An attempt to connect to \p server has ended.
+  /// Handles the result of an attempt to connect to \p server.
   void handleAttemptResult(TimePoint now, ServerIndex server,
                            ConnectionResult how, PacketSink &out);
 
-  /// What is known of the flow \p key, and where a first opening of it would go
-  /// now. Changes nothing, and draws no random number.
+  /// Describes the state of the flow \p key and where its first opening would
+  /// be
+  /// sent now. Changes nothing and draws no random number.
   FlowExplanation explain(TimePoint now, const FlowKey &key);
-  /// Daemons of the fleet, as setFleet() said.
+  /// Number of daemons in the fleet, as set by setFleet().
   size_t daemons() const { return Daemons; }
-  /// True when the server at \p index, or its whole domain, is silent.
+  /// True when the server at \p index, or its whole failure domain, leaves
+  /// openings unanswered.
   bool isSilent(ServerIndex index) const { return Detector.isSilent(index); }
-  /// True when servers take new flows, and none of them, of whatever service,
-  /// can be reached from here: others may serve what this daemon can't.
+  /// True when at least one server accepts new flows, and this daemon can reach
+  /// none of those, in any service. Other daemons may still reach them.
   bool allServersUnreachable() const;
-  /// True when no server takes new flows, or one that does was reached; see
+  /// True when no server accepts new flows, or one that does was reached; see
   /// ReachMonitor.
   bool hasProvenReachability() const {
     return !anyServerAcceptsNewFlows() || Reach.state() == ReachState::Reached;
   }
-  /// What is known of the way to servers.
+  /// Whether servers that accept new flows were reached.
   ReachState reachState() const { return Reach.state(); }
-  /// Number of remembered flows.
+  /// Number of tracked flows.
   size_t flows() const { return Flows.size(); }
-  /// The servers with their counts.
+  /// The servers with their request counts.
   const ServerTable &servers() const { return Servers; }
-  /// Servers that are silent by themselves.
+  /// Number of servers that are silent individually, not counting the other
+  /// servers of silent failure domains.
   size_t silentServers() const { return Detector.silentServerCount(); }
   /// The snapshot in force; null before the first setRoutes().
   const std::shared_ptr<const PacketRoutes> &routes() const { return Routes; }
-  /// The current wait for the answer to an opening.
+  /// Current timeout for the answer to an opening.
   Duration openingTimeout() const { return Timeout.value(); }
 
 private:
-  /// An opening that waits for its answer.
+  /// An opening that was sent and has no answer yet.
   struct UnansweredOpening {
     TimePoint Due;           ///< When to try another server.
-    TimePoint SentAt;        ///< When the last copy was sent on.
-    BufferedOpening Opening; ///< What was sent; empty when it was too long.
+    TimePoint SentAt;        ///< When the last copy was forwarded.
+    BufferedOpening Opening; ///< The packet; empty when it was too long.
   };
 
-  /// A request whose data came again without a sign of having arrived.
+  /// A request that its caller retransmitted because the server has not
+  /// acknowledged it.
   struct RetransmittedRequest {
-    TimePoint At;      ///< When it came again.
-    PacketHeader Head; ///< Of that packet.
+    TimePoint At;      ///< Time of the retransmission.
+    PacketHeader Head; ///< Header of the retransmitted packet.
   };
 
   void handleOpening(TimePoint now, const PacketHeader &head,
@@ -213,21 +218,22 @@
   RandomSource &Random;
   std::shared_ptr<const PacketRoutes> Routes; ///< In force; null at first.
   ServerTable Servers;                        ///< Servers, counts and shares.
-  PacketFlowTable Flows;                      ///< Flows of this daemon.
-  ReachMonitor Reach;                         ///< Of any server.
-  FailureDetector Detector;                   ///< Who does not answer.
-  OpeningTimeout Timeout;                     ///< For openings.
-  OpeningQueue Buffered;                      ///< Wait for updates.
-  OpeningQueue Late;                          ///< Wait for a free slot.
-  std::deque<UnansweredOpening> Unanswered;   ///< Nearly in order of Due.
-  /// Last copies until a reset, in order of Due; apart, since they wait longer
-  /// and would hold up the others.
+  PacketFlowTable Flows;                      ///< Flows tracked by this daemon.
+  ReachMonitor Reach;       ///< Whether any server is reachable.
+  FailureDetector Detector; ///< Finds servers that do not answer.
+  OpeningTimeout Timeout;   ///< Timeout for answers to openings.
+  OpeningQueue Buffered;    ///< Openings waiting for routes.
+  OpeningQueue Late;        ///< Late openings waiting for a free slot.
+  std::deque<UnansweredOpening> Unanswered; ///< Approximately ordered by Due.
+  /// Last copies that wait for a reset, ordered by Due. Kept in a separate
+  /// queue
+  /// because they wait longer and would delay the other openings.
   std::deque<UnansweredOpening> LastCopies;
-  std::deque<RetransmittedRequest> Retransmitted; ///< In order of their time.
-  std::vector<OpeningCandidate> Candidates;       ///< Reused between choices.
-  size_t Daemons = 1;                             ///< Of the fleet.
-  size_t OwnIndex = 0;                            ///< Place of this one.
-  bool Stale = false;                             ///< See setStale().
+  std::deque<RetransmittedRequest> Retransmitted; ///< Ordered by time.
+  std::vector<OpeningCandidate> Candidates; ///< Reused to avoid allocations.
+  size_t Daemons = 1;                       ///< Daemons in the fleet.
+  size_t OwnIndex = 0;                      ///< Index of this daemon.
+  bool Stale = false;                       ///< See setStale().
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/ServerTable.cpp
+++ b/Balsamrack/Packets/ServerTable.cpp
@@ -8,21 +8,24 @@
 
 namespace {
 
-/// The load of a site moves within seconds; single flows last some tens of
-/// milliseconds.
+/// Time constant of the smoothed load. The load of a site changes within
+/// seconds, while single flows last some tens of milliseconds.
 constexpr double LoadSmoothingMicros = 1'000'000;
-/// About the work of one request: a herd after a loss of all daemons comes and
-/// goes within a second. With 100 ms half of the gain of late openings that
-/// wait is lost, in callers in time.
+/// Time constant of the short-term load, about the duration of one request. The
+/// burst of openings after an outage of all daemons lasts less than a second;
+/// with 100 ms, delaying late openings gains only half as many callers that are
+/// answered in time.
 constexpr double ShortTermSmoothingMicros = 30'000;
-/// Servers hold some eight requests more than they have slots, so that others
-/// are hardly fuller than this; a small share makes the own ratio jump.
+/// Upper bound of a load sample. Servers hold about eight requests more than
+/// they have slots, so the load of other daemons is hardly higher than this,
+/// while the ratio of this daemon fluctuates strongly when its share is small.
 constexpr double MaxLoadSample = 3;
-/// A request's time moves the mean by this part.
+/// Divisor for the weight of one sample in the smoothed request time.
 constexpr int RequestTimeSmoothing = 32;
-/// The longest work is some six times the mean, and waits in a full queue.
+/// Idle limit as a multiple of the mean request time: the longest requests take
+/// about six times the mean, plus the wait in a full queue.
 constexpr int IdleRequestTimes = 8;
-/// A request that was lost is sent again after 200 ms.
+/// Callers retransmit a lost request after 200 ms.
 constexpr Duration MinRequestIdle{300'000};
 constexpr Duration MaxRequestIdle{2'000'000};
 
@@ -123,7 +126,8 @@
 void ServerTable::removeInProgress(ServerIndex index) {
   ServerEntry &server = Servers[index];
   ServiceEntry &service = Services[server.Backend.Published->Server.Service];
-  // A place that was freed and taken anew begins at zero.
+  // Counts of a reused index start at zero, so flows of its former server may
+  // be removed without having been counted.
   if (server.InProgress > 0)
     --server.InProgress;
   if (service.InProgress > 0)
--- a/Balsamrack/Packets/ServerTable.h
+++ b/Balsamrack/Packets/ServerTable.h
@@ -12,83 +12,89 @@
 
 namespace balsamrack {
 
-/// One backend server and what this daemon itself counts at it.
+/// One backend server with the request counts of this daemon.
 struct ServerEntry {
-  bool InUse = false;      ///< False for a free place of the table.
-  RoutedBackend Backend;   ///< As published.
-  uint32_t InProgress = 0; ///< Requests of this daemon that it works on.
-  double Share = 0;        ///< Of its slots, this daemon's.
-  ColdServerRateLimiter ColdStart; ///< New flows while it is cold.
+  bool InUse = false;    ///< False for an unused index of the table.
+  RoutedBackend Backend; ///< Published state of the server.
+  uint32_t InProgress =
+      0;            ///< Requests of this daemon in progress at the server.
+  double Share = 0; ///< Slots of the server assigned to this daemon.
+  ColdServerRateLimiter
+      ColdStart; ///< Limits new flows while the server is cold.
 };
 
-/// The servers of one service, and how full they are by own counts.
+/// The servers of one service and their load by this daemon's own counts.
 struct ServiceEntry {
-  std::vector<ServerIndex> AcceptingServers; ///< Servers for new flows, ordered
-                                             ///< by failure domain and id.
-  uint32_t InProgress = 0;  ///< Requests of this daemon, over all its servers.
-  double Share = 0;         ///< Slots of this daemon, over all its servers.
-  double Load = 0;          ///< InProgress by Share, smoothed.
-  double ShortTermLoad = 0; ///< As Load, smoothed over a request's time only.
-  TimePoint LoadUpdatedAt;  ///< When Load was last moved.
-  Duration RequestTime{0};  ///< From where a request is counted to its answer,
-                            ///< smoothed; zero: none was answered yet.
+  std::vector<ServerIndex>
+      AcceptingServers; ///< Servers that accept new flows, ordered by failure
+                        ///< domain and id.
+  uint32_t InProgress = 0;  ///< Requests of this daemon at all servers.
+  double Share = 0;         ///< Slots of this daemon at all servers.
+  double Load = 0;          ///< Smoothed ratio of InProgress to Share.
+  double ShortTermLoad = 0; ///< Same, smoothed over about one request only.
+  TimePoint LoadUpdatedAt;  ///< Last update of Load.
+  Duration RequestTime{0};  ///< Smoothed time from counting a request to its
+                            ///< answer; zero before the first answer.
 
-  /// Requests on flows without a packet for so long are not in progress any
-  /// more: eight times the usual time of a request, within bounds. Callers
-  /// whose time is over go silently, and would else be counted as load; after a
-  /// loss of all daemons they are the most.
+  /// A request on a flow without packets for this long no longer counts as in
+  /// progress: eight times the mean request time, within bounds. Callers that
+  /// time out send no further packets and would otherwise count as load; after
+  /// an outage of all daemons they are the majority.
   Duration requestIdleLimit() const;
-  /// A request was answered \p took after it was counted.
+  /// Adds the time \p took from counting a request to its answer.
   void recordRequestTime(Duration took);
 
-  /// Moves Load towards the present counts. Load of others is reckoned to be
-  /// the same: the fabric spreads flows evenly.
+  /// Updates the smoothed loads from the current counts. The load of other
+  /// daemons is assumed to be the same, since the fabric spreads flows evenly.
   void updateLoad(TimePoint now);
 };
 
-/// Backend servers by a number that stays the same for as long as any flow can
-/// need it. Not thread-safe.
+/// Table of backend servers. A server keeps its index as long as it is part of
+/// the routes, which contain removed servers for as long as open flows may need
+/// them. Not thread-safe.
 class ServerTable {
 public:
-  /// What an update changed.
+  /// Changes made by an update.
   struct Change {
-    std::vector<ServerIndex> Added;   ///< New in the table.
-    std::vector<ServerIndex> Removed; ///< Free now.
+    std::vector<ServerIndex> Added;   ///< Indexes of new servers.
+    std::vector<ServerIndex> Removed; ///< Indexes that became free.
   };
 
-  /// Takes the servers of \p routes over.
+  /// Replaces the servers by those of \p routes.
   Change update(const PacketRoutes &routes);
   /// The server at \p index. Precondition: it is in the table.
   const ServerEntry &at(ServerIndex index) const { return Servers[index]; }
-  /// All places of the table; some may be free.
+  /// All entries, including unused ones.
   const std::vector<ServerEntry> &all() const { return Servers; }
-  /// The service, or null when it has no server that takes new flows.
+  /// The service, or null when none of its servers accepts new flows.
   ServiceEntry *service(const ServiceId &id);
   /// All services.
   const absl::flat_hash_map<ServiceId, ServiceEntry> &services() const {
     return Services;
   }
-  /// The servers that \p token stands for; mostly one.
+  /// The servers with \p token, usually one; null for none.
   const std::vector<ServerIndex> *byToken(uint32_t token) const;
 
-  /// One flow more or less is in progress at \p index.
+  /// Counts one more request in progress at \p index.
   void addInProgress(ServerIndex index);
-  /// See add().
+  /// Counts one request less in progress at \p index.
   void removeInProgress(ServerIndex index);
-  /// True when the server at \p index is not cold, or is cold and bears a new
-  /// flow of this daemon now, by \p perSecond (zero: no figure is given).
+  /// True when the server at \p index is not cold, or when its limit of
+  /// \p perSecond new flows while cold (zero for none) permits a new flow of
+  /// this daemon now.
   bool canTakeNewFlow(TimePoint now, ServerIndex index, double perSecond);
-  /// A new flow went to the server at \p index; see canTakeNewFlow().
+  /// Records a new flow at the server at \p index; see canTakeNewFlow().
   void recordNewFlow(TimePoint now, ServerIndex index, double perSecond);
-  /// Sets the own shares of the servers of \p service, in the order of
-  /// \p of. Precondition: both lists are as long.
+  /// Sets this daemon's slot shares of the servers \p of of \p service, and
+  /// zero
+  /// for its other servers. Precondition: both lists have the same length.
   void setShares(ServiceEntry &service, const std::vector<ServerIndex> &of,
                  const std::vector<double> &shares);
   /// The service of the server at \p index.
   ServiceEntry &serviceOf(ServerIndex index) {
     return Services[Servers[index].Backend.Published->Server.Service];
   }
-  /// The services, for setShares().
+  /// The services, to be passed to setShares().
   absl::flat_hash_map<ServiceId, ServiceEntry> &mutableServices() {
     return Services;
   }
@@ -97,7 +103,7 @@
   ServerIndex indexFor(const ServerId &id, Change &change);
 
   std::vector<ServerEntry> Servers;     ///< By index.
-  std::vector<ServerIndex> FreeIndexes; ///< Unused places.
+  std::vector<ServerIndex> FreeIndexes; ///< Unused indexes.
   absl::flat_hash_map<ServerId, ServerIndex> ById;
   absl::flat_hash_map<uint32_t, std::vector<ServerIndex>> ByToken;
   absl::flat_hash_map<ServiceId, ServiceEntry> Services;
