--- a/Balsamrack/Packets/ConnectionProber.h
+++ b/Balsamrack/Packets/ConnectionProber.h
@@ -10,18 +10,20 @@
 
 namespace balsamrack {
 
-/// How a connection attempt ended.
+/// Result of a connection attempt, with its server.
 struct ConnectionAttemptResult {
-  ServerIndex Server = NoServerIndex;                       ///< Which server.
-  ConnectionResult Result = ConnectionResult::NotAttempted; ///< How it ended.
+  ServerIndex Server = NoServerIndex; ///< Server that was probed.
+  ConnectionResult Result =
+      ConnectionResult::NotAttempted; ///< Result of the attempt.
 };
 
-/// Asks silent servers whether they are there: opens a TCP connection and
-/// closes it. That takes no slot of the server, unlike a request, and no caller
-/// waits for it. Not thread-safe.
+/// Probes silent servers by opening and closing a TCP connection. Unlike a
+/// request, this occupies no slot of the server, and no caller waits for it.
+/// Not thread-safe.
 class ConnectionProber {
 public:
-  /// Attempts at the same time; more wait for their next turn.
+  /// Maximum number of concurrent attempts. Further ones end as not attempted
+  /// and are retried when they are next due.
   static constexpr size_t MaxConcurrent = 32;
 
   ConnectionProber() = default;
@@ -29,25 +31,27 @@
   ConnectionProber &operator=(const ConnectionProber &) = delete;
   ~ConnectionProber();
 
-  /// Begins an attempt. One that can't be begun ends as not attempted.
+  /// Starts an attempt. If it cannot be started, its result is NotAttempted.
   void start(TimePoint now, const ConnectionAttempt &attempt);
-  /// Adds what to poll for.
+  /// Appends the descriptors to poll.
   void addPollFds(std::vector<pollfd> &polled) const;
-  /// When an attempt is over time; the far future for never.
+  /// When the next attempt times out; the far future for never. The distant
+  /// past
+  /// when results are available.
   TimePoint nextTimeout() const;
-  /// The attempts that have ended since the last call.
+  /// Returns the attempts that have ended since the last call.
   std::vector<ConnectionAttemptResult> takeFinished(TimePoint now);
 
 private:
-  /// An attempt under way.
+  /// An attempt in progress.
   struct PendingAttempt {
-    ServerIndex Server; ///< Whom it asks.
+    ServerIndex Server; ///< Server that is probed.
     int Fd;             ///< Its socket.
-    TimePoint Deadline; ///< Over time then.
+    TimePoint Deadline; ///< When it times out.
   };
 
-  std::vector<PendingAttempt> Attempts;         ///< Under way.
-  std::vector<ConnectionAttemptResult> Results; ///< Not told yet.
+  std::vector<PendingAttempt> Attempts;         ///< In progress.
+  std::vector<ConnectionAttemptResult> Results; ///< Not yet returned.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/FlowExplanation.cpp
+++ b/Balsamrack/Packets/FlowExplanation.cpp
@@ -2,7 +2,7 @@
 
 #include "Balsamrack/Packets/PacketRouter.h"
 
-// The part of PacketRouter that tells what it would do.
+// Explanation of routing decisions: part of PacketRouter.
 
 namespace balsamrack {
 
--- a/Balsamrack/Packets/FlowExplanation.h
+++ b/Balsamrack/Packets/FlowExplanation.h
@@ -9,39 +9,43 @@
 
 namespace balsamrack {
 
-/// A server that a new flow could go to, as the placing sees it.
+/// A candidate server for a new flow, as seen by the placement.
 struct ExplainedCandidate {
-  ServerId Server;                        ///< Which.
-  OpeningRank Rank = OpeningRank::Normal; ///< See there.
-  double Wait = 0;         ///< Expected, in flows a slot, costs included.
-  uint32_t InProgress = 0; ///< Flows of this daemon that it works on.
-  double Share = 0;        ///< Of its slots, this daemon's.
-  bool Near = true;        ///< In this daemon's failure domain.
-  bool Cold = false;       ///< Has just started and is slow.
-  bool Best = false; ///< A new flow goes to one of the best, by chance where
-                     ///< there are several.
+  ServerId Server;                        ///< Id of the server.
+  OpeningRank Rank = OpeningRank::Normal; ///< Preference class of the server.
+  double Wait = 0; ///< Expected wait in flows per slot, including
+                   ///< added costs.
+  uint32_t InProgress =
+      0;             ///< Requests of this daemon in progress at the server.
+  double Share = 0;  ///< Slots of the server assigned to this daemon.
+  bool Near = true;  ///< In this daemon's failure domain.
+  bool Cold = false; ///< Recently started and still slow.
+  bool Best =
+      false; ///< Among the best. A new flow goes to a random one of these.
 };
 
-/// What a router knows of a flow, and where a new one would go now.
+/// State of a flow in the router, and where a new flow would be sent now.
 struct FlowExplanation {
-  bool Known = false;                   ///< The flow is remembered.
-  FlowStage Stage = FlowStage::Opening; ///< Meaningful when known.
-  ServerId HomeServer;                  ///< As above; where its packets go.
-  uint32_t Tries = 0;                   ///< As above; see TrackedFlow.
-  Duration Age{0};                      ///< As above; since it was seen first.
-  Duration Idle{0};                     ///< As above; since its last packet.
-
-  PacketReason Refused = PacketReason::None; ///< A new flow would be reset, or
-                                             ///< dropped, for this.
-  ServiceId Service;     ///< Of a new flow; empty without a route.
-  double OthersLoad = 0; ///< How full others' shares are reckoned.
-  uint64_t Version = 0;  ///< Of the configuration in force.
-  std::vector<ExplainedCandidate> Candidates; ///< In the table's order.
+  bool Known =
+      false; ///< The flow is tracked; the next five members are then valid.
+  FlowStage Stage = FlowStage::Opening; ///< State of the flow.
+  ServerId HomeServer;                  ///< Destination of its packets.
+  uint32_t Tries = 0; ///< Servers that its opening was sent to.
+  Duration Age{0};    ///< Time since its first packet here.
+  Duration Idle{0};   ///< Time since its last packet.
+
+  PacketReason Refused =
+      PacketReason::None; ///< Why a new flow would be reset or dropped; None if
+                          ///< it would not.
+  ServiceId Service;      ///< Service of a new flow; empty without a route.
+  double OthersLoad = 0;  ///< Assumed load of other daemons' shares.
+  uint64_t Version = 0;   ///< Version of the configuration in force.
+  std::vector<ExplainedCandidate> Candidates; ///< In the order of the table.
 };
 
-/// Names in lower case. Thread-safe.
+/// Name of a stage in lower case. Thread-safe.
 const char *flowStageName(FlowStage stage);
-/// As above.
+/// Name of a rank in lower case. Thread-safe.
 const char *openingRankName(OpeningRank rank);
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/Packet.h
+++ b/Balsamrack/Packets/Packet.h
@@ -11,18 +11,18 @@
 
 namespace balsamrack {
 
-/// One end of a flow: an IPv4 address and a port, both in host byte order. Not
-/// thread-safe for writing.
+/// One endpoint of a flow: an IPv4 address and a port, both in host byte order.
+/// Not thread-safe for writing.
 struct Endpoint {
   uint32_t Ip = 0;   ///< 10.0.0.1 is 0x0a000001.
   uint16_t Port = 0; ///< Zero for "none".
 
-  /// The end at \p address; all zero when its Ip is no dotted quad.
+  /// The endpoint at \p address; all zero when its Ip is not a dotted quad.
   /// Thread-safe.
   static Endpoint of(const Address &address);
-  /// The end as an address. Thread-safe.
+  /// The endpoint as an address. Thread-safe.
   Address address() const;
-  /// The end as "ip:port". Thread-safe.
+  /// The endpoint as "ip:port". Thread-safe.
   std::string str() const { return address().str(); }
 
   friend bool operator==(const Endpoint &a, const Endpoint &b) {
@@ -39,10 +39,10 @@
   }
 };
 
-/// The four addresses and ports that name a flow.
+/// The addresses and ports that identify a flow.
 struct FlowKey {
-  Endpoint Caller;  ///< The end that opened it.
-  Endpoint Service; ///< The address that operators gave to a service.
+  Endpoint Caller;  ///< Endpoint that opened the flow.
+  Endpoint Service; ///< Address that operators assigned to a service.
 
   friend bool operator==(const FlowKey &a, const FlowKey &b) {
     return a.Caller == b.Caller && a.Service == b.Service;
@@ -52,20 +52,23 @@
   }
 };
 
-/// What the head of a caller's packet says.
+/// Decoded header of a caller's packet.
 struct PacketHeader {
-  FlowKey Flow;              ///< Whose packet it is.
-  uint32_t Token = 0;        ///< What we wrote on the flow's last packet that
-                             ///< the caller saw answered; zero on an opening.
-  uint32_t Sequence = 0;     ///< Of its first byte.
-  uint32_t Acknowledged = 0; ///< Bytes of the server that the caller has.
-  uint8_t CopyNumber = 0;    ///< Of an opening: zero for the first one.
-  Duration Age{0};           ///< Of an opening: since its first copy was sent.
-  uint16_t DataBytes = 0;    ///< Bytes that follow the head.
+  FlowKey Flow; ///< Flow of the packet.
+  uint32_t Token =
+      0; ///< Token that a daemon wrote on the last packet of the flow that the
+         ///< caller saw answered; zero on an opening.
+  uint32_t Sequence = 0; ///< Sequence number of its first byte.
+  uint32_t Acknowledged =
+      0; ///< Bytes of the server that the caller has received.
+  uint8_t CopyNumber =
+      0;           ///< Copy number of an opening: zero for the first one.
+  Duration Age{0}; ///< Time since the first copy of an opening was sent.
+  uint16_t DataBytes = 0;    ///< Bytes after the header.
   bool Opens = false;        ///< First packet of a flow, or a copy of it.
-  bool Acknowledges = false; ///< Acknowledged counts.
+  bool Acknowledges = false; ///< Acknowledged is valid.
   bool Ends = false;         ///< The caller sends no more data.
-  bool Resets = false;       ///< The caller has given the flow up.
+  bool Resets = false;       ///< The caller has reset the flow.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/PacketEvents.h
+++ b/Balsamrack/Packets/PacketEvents.h
@@ -9,63 +9,66 @@
 
 namespace balsamrack {
 
-/// What the router did that is worth telling.
+/// Kind of an event reported by the router.
 enum class PacketEventKind {
-  Placed,       ///< A new flow was sent to a server.
-  PlacedAgain,  ///< The server left the opening unanswered; another one got it.
-  Confirmed,    ///< The caller answered its server: the flow is open.
-  Adopted,      ///< An open flow came from another daemon, with its token.
-  Ended,        ///< The caller has ended the flow.
-  Abandoned,    ///< The caller has reset the flow.
-  Forgotten,    ///< An open flow without packets: its caller or server is gone.
-  Refused,      ///< An opening was answered with a reset.
-  Dropped,      ///< A packet was not passed on.
-  GivenUp,      ///< An open flow was reset: what its caller sends is lost.
-  ServerSilent, ///< A server leaves openings unanswered.
+  Placed,      ///< A new flow was sent to a server.
+  PlacedAgain, ///< The server left the opening unanswered; it was sent to
+               ///< another one.
+  Confirmed,   ///< The caller answered a server; the flow is open.
+  Adopted,     ///< An open flow of another daemon was recognized by its token.
+  Ended,       ///< The caller has closed the flow.
+  Abandoned,   ///< The caller has reset the flow.
+  Forgotten, ///< An open flow without packets was removed; its caller or server
+             ///< is gone.
+  Refused,   ///< An opening was answered with a reset.
+  Dropped,   ///< A packet was not forwarded.
+  GivenUp,   ///< An open flow was reset: its server is dead or unreachable.
+  ServerSilent, ///< A server stopped answering openings.
   ServerBack,   ///< A silent server answers again.
 };
 /// Number of kinds.
 constexpr size_t PacketEventKinds = 12;
 
-/// Why, where the kind does not say it all.
+/// Reason for an event.
 enum class PacketReason {
-  None,         ///< Nothing to add.
+  None,         ///< The kind is sufficient.
   NoRoute,      ///< No route has this address.
-  NoServer,     ///< The service has no server.
-  NoAnswer,     ///< Every server that was tried left the opening unanswered.
-  Unreachable,  ///< Every server of the service, or the flow's own one, is out
-                ///< of reach.
-  UnknownToken, ///< The token names no server that is known here.
-  ForeignToken, ///< The token names a server that the route never allowed.
-  NoToken,      ///< A packet of an unknown flow without a token.
-  NotReady,     ///< Nothing published is known yet.
-  Stale,        ///< Right after a pause, before anything was heard.
-  Malformed,    ///< Not a packet.
-  Copy,         ///< A copy of the opening that was sent on already.
+  NoServer,     ///< The service has no eligible server.
+  NoAnswer,     ///< All servers that were tried left the opening unanswered.
+  Unreachable,  ///< All servers of the service, or the server of the flow, are
+                ///< unreachable.
+  UnknownToken, ///< The token belongs to no server that is known here.
+  ForeignToken, ///< The token belongs to a server that the route never allowed.
+  NoToken,      ///< A packet without a token on an unknown flow.
+  NotReady,     ///< No published state has been received yet.
+  Stale,        ///< The process was paused and has not received updates since.
+  Malformed,    ///< The packet could not be decoded.
+  Copy,         ///< A copy of an opening that was already forwarded.
 };
 /// Number of reasons.
 constexpr size_t PacketReasons = 12;
 
-/// Names in lower case with hyphens. Thread-safe.
+/// Name of a kind in lower case with hyphens. Thread-safe.
 const char *packetEventName(PacketEventKind kind);
-/// As above.
+/// Name of a reason in lower case with hyphens. Thread-safe.
 const char *packetReasonName(PacketReason reason);
 
-/// One thing that the router did, with what decided it.
+/// Event reported by the router, with the inputs of its decision.
 struct PacketEvent {
-  PacketEventKind Kind = PacketEventKind::Placed; ///< What.
-  PacketReason Reason = PacketReason::None;       ///< Why.
-  FlowKey Flow;                       ///< Whose packet; zero for none.
-  const ServerId *Server = nullptr;   ///< Concerned server; valid during the
-                                      ///< call only; null for none.
-  const ServiceId *Service = nullptr; ///< As above.
-  uint32_t Tries = 0;                 ///< Servers that got the opening so far.
-  uint32_t InProgress = 0; ///< Flows of ours at the server, this one included.
-  double Share = 0;        ///< Of the server's slots, ours.
-  double OthersLoad = 0;   ///< How full others' shares were reckoned.
-  uint64_t Version = 0;    ///< Of the configuration that was used.
-  Duration Took{0}; ///< Confirmed, Ended: since the first copy. Forgotten: from
-                    ///< that to the last packet.
+  PacketEventKind Kind = PacketEventKind::Placed; ///< Kind of event.
+  PacketReason Reason = PacketReason::None;       ///< Reason for it.
+  FlowKey Flow; ///< Flow concerned; zero for none.
+  const ServerId *Server =
+      nullptr; ///< Server concerned; null for none. Valid only during the call.
+  const ServiceId *Service = nullptr; ///< Service concerned; as Server.
+  uint32_t Tries = 0;      ///< Servers that the opening was sent to so far.
+  uint32_t InProgress = 0; ///< Requests of this daemon in progress at the
+                           ///< server, including this one.
+  double Share = 0;        ///< Slots of the server assigned to this daemon.
+  double OthersLoad = 0;   ///< Assumed load of other daemons' shares.
+  uint64_t Version = 0;    ///< Version of the configuration that was used.
+  Duration Took{0}; ///< Confirmed, Ended, Abandoned: time since the first copy.
+                    ///< Forgotten: time from the first copy to the last packet.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/PacketFlowTable.cpp
+++ b/Balsamrack/Packets/PacketFlowTable.cpp
@@ -15,7 +15,8 @@
 }
 
 TrackedFlow *PacketFlowTable::add(TimePoint now, const FlowKey &key) {
-  // Turns of forgotten flows still wait for their time, so they bound it too.
+  // Timers of erased flows remain until they expire, so their number is bounded
+  // too.
   if (Flows.size() >= MaxFlows || Timers.size() >= MaxFlows)
     return nullptr;
   TrackedFlow &flow = Flows[key];
--- a/Balsamrack/Packets/PacketRoutes.cpp
+++ b/Balsamrack/Packets/PacketRoutes.cpp
@@ -8,9 +8,10 @@
 namespace {
 
 constexpr TimePoint Never = TimePoint(Duration::max());
-/// Servers of one service that disappear within this time did so together.
+/// Servers of one service whose entries disappear within this time of each
+/// other count as one bulk expiry.
 constexpr Duration BulkExpirySpan{1'000'000};
-/// So many at least are needed to speak of many.
+/// Minimum number of servers in a bulk expiry.
 constexpr size_t MinBulkExpiry = 2;
 
 void addUnique(std::vector<ServiceId> &list, const ServiceId &service) {
@@ -18,12 +19,12 @@
     list.push_back(service);
 }
 
-/// When the servers of one service disappeared.
+/// Times at which the entries of one service's servers disappeared.
 struct ExpiryTimes {
-  size_t Present = 0;            ///< Servers that are still there.
-  std::vector<TimePoint> GoneAt; ///< Of the others, sorted.
+  size_t Present = 0;            ///< Servers that are still published.
+  std::vector<TimePoint> GoneAt; ///< Times of the others, sorted.
 
-  /// How many disappeared within TogetherSpan of \p at.
+  /// Number of servers that disappeared within BulkExpirySpan of \p at.
   size_t countAround(TimePoint at) const {
     auto first =
         std::lower_bound(GoneAt.begin(), GoneAt.end(), at - BulkExpirySpan);
@@ -111,9 +112,10 @@
 }
 
 void PacketRoutesBuilder::markBulkExpiry() {
-  // Guards against a publishing service that was away: all entries expire at
-  // once though the servers live, and the first ones back would get the load
-  // of all. Servers die one by one, or are half of their service at most.
+  // When the publishing service is unavailable, all entries expire at once
+  // although the servers are alive, and the first entries to return would
+  // attract the load of all. Real failures affect single servers, or at most
+  // half of a service.
   std::map<ServiceId, ExpiryTimes> byService;
   for (const auto &[key, known] : Servers) {
     ExpiryTimes &times = byService[known.Published->Server.Service];
@@ -203,9 +205,9 @@
                      tokenOf(server.Id),  presenceOf(now, known),
                      known.ExpiredInBulk, isDomainOut(server.Domain),
                      known.ColdUntil};
-    // Guards against a dead server whose entry still stands, or whose open
-    // flows still find it, while another server answers attempts to connect to
-    // its address: it would look well, and callers would wait for it in vain.
+    // A dead server may still be published or have open flows while another
+    // server already accepts connections at its address. It would appear
+    // healthy, and its callers would wait until their timeout.
     auto later = newest.find(to.At);
     if (later != newest.end() && later->second > known.Published->Born)
       to.Presence = ServerPresence::Replaced;
--- a/Balsamrack/Packets/PacketRoutes.h
+++ b/Balsamrack/Packets/PacketRoutes.h
@@ -13,27 +13,28 @@
 
 namespace balsamrack {
 
-/// How a server stands in what is published.
+/// Presence of a server in the published state.
 enum class ServerPresence {
   Listed,   ///< Published.
-  Expired,  ///< Was ready and has just disappeared: it may only have failed to
-            ///< renew its entry.
-  Gone,     ///< Not published any more; its open flows still find it.
-  Replaced, ///< A later server has its address: it is dead for sure.
+  Expired,  ///< Was active and has just disappeared; it may merely have failed
+            ///< to renew its entry.
+  Gone,     ///< No longer published; kept for its open flows.
+  Replaced, ///< A newer server has its address, so it is certainly dead.
 };
 
-/// A backend server as the router needs it.
+/// Routing data of a backend server.
 struct RoutedBackend {
-  std::shared_ptr<const PublishedServer>
-      Published;      ///< As it was last published.
-  Endpoint At;        ///< Where datagrams go.
-  uint32_t Token = 0; ///< Stands for it on the packets of its flows.
-  ServerPresence Presence = ServerPresence::Listed; ///< See there.
-  bool ExpiredInBulk = false; ///< Expired together with half of its service.
-  bool DomainOut = false;     ///< Its failure domain was taken out.
-  TimePoint ColdUntil;        ///< Slow until then.
-
-  /// True when it may get new flows in ordinary times. Thread-safe.
+  std::shared_ptr<const PublishedServer> Published; ///< Last published state.
+  Endpoint At;        ///< Destination of datagrams.
+  uint32_t Token = 0; ///< Identifies it on the packets of its flows.
+  ServerPresence Presence =
+      ServerPresence::Listed; ///< Presence in the published state.
+  bool ExpiredInBulk = false; ///< Expired together with at least half of its
+                              ///< service.
+  bool DomainOut = false;     ///< Its failure domain was taken out of service.
+  TimePoint ColdUntil;        ///< Starting up and slow until then.
+
+  /// True when it is eligible for new flows. Thread-safe.
   bool acceptsNewFlows() const {
     bool there = Presence == ServerPresence::Listed ||
                  Presence == ServerPresence::Expired;
@@ -41,68 +42,74 @@
   }
 };
 
-/// A route, and what it ever allowed.
+/// A route and all services that it has ever allowed.
 struct RouteEntry {
-  std::vector<RouteTarget> Targets;   ///< For new flows; empty once dropped.
-  std::vector<ServiceId> EverAllowed; ///< A token may name their servers.
-  Duration Objective{0};              ///< As published.
-  Duration Timeout{0};                ///< As published.
-  bool Idempotent = false;            ///< As published.
+  std::vector<RouteTarget>
+      Targets; ///< Targets for new flows; empty once the route was removed.
+  std::vector<ServiceId>
+      EverAllowed;         ///< Services whose servers a token may name.
+  Duration Objective{0};   ///< Target for answer times, as published.
+  Duration Timeout{0};     ///< Timeout of callers, as published.
+  bool Idempotent = false; ///< Requests may be repeated, as published.
 };
 
-/// An immutable snapshot of where packets may go. Thread-safe.
+/// Immutable snapshot of the routes and servers. Thread-safe.
 struct PacketRoutes {
-  absl::flat_hash_map<Endpoint, RouteEntry> Routes; ///< By callers' address.
-  std::vector<RoutedBackend> Servers;               ///< Ordered by domain, id.
+  absl::flat_hash_map<Endpoint, RouteEntry>
+      Routes;                         ///< By the address that callers use.
+  std::vector<RoutedBackend> Servers; ///< Ordered by domain and id.
   absl::flat_hash_map<ServiceId, double>
-      ColdPerSecond;    ///< Figures that were given.
-  uint64_t Version = 0; ///< The operators' number of the configuration.
-  Revision ConfigurationRevision; ///< Of the configuration.
-  Duration IdleTimeout{0};        ///< Zero: not given.
+      ColdPerSecond; ///< New flows a second that a cold server can take, where
+                     ///< published.
+  uint64_t Version =
+      0; ///< Version number of the configuration, set by operators.
+  Revision ConfigurationRevision; ///< Revision of the configuration.
+  Duration IdleTimeout{0};        ///< Zero when not configured.
 };
 
-/// The token that stands for the server with \p id: never zero. 32 bits are
-/// what a packet has room for; two of 300 servers share one with a chance of
-/// one in 100,000, and then a route's services and the flow memory tell them
-/// apart. Thread-safe.
+/// Token of the server with \p id, never zero. A packet has room for 32 bits.
+/// The chance that two of 300 servers share a token is one in 100,000; the
+/// services of the route and the flow table then distinguish them. Thread-safe.
 uint32_t tokenOf(const ServerId &id);
 
-/// Makes the snapshots: remembers for a while what is published no longer, for
-/// the flows that are still open. Deterministic. Not thread-safe.
+/// Builds snapshots of the published state. Keeps removed servers and routes
+/// for a while, for flows that are still open. Deterministic. Not thread-safe.
 class PacketRoutesBuilder {
 public:
-  /// A server that disappears without having drained is kept for new flows so
-  /// long, behind all others: entries that only expired come back within two
-  /// seconds, and one that stays away for longer is gone.
+  /// A server that disappears without having drained stays eligible for new
+  /// flows this long, ranked last: an entry that merely expired returns within
+  /// two seconds, and one that is missing for longer is gone.
   static constexpr Duration ExpiredRetention{2'000'000};
-  /// A server that is gone is kept for its open flows so long: flows older
-  /// than a minute may be given up on the platforms that we know.
+  /// Retention of removed servers and routes for their open flows. Supported
+  /// platforms may give up flows that are older than a minute.
   static constexpr Duration GoneRetention{120'000'000};
 
-  /// Takes the newest objects of the operators' section.
+  /// Replaces the objects of the operators' section.
   void applyOperatorObjects(TimePoint now,
                             const std::vector<PublishedObject> &objects);
-  /// Takes one change of the servers' section.
+  /// Applies changed objects of the servers' section.
   void applyServerChanges(TimePoint now,
                           const std::vector<PublishedObject> &changed);
   /// The snapshot as of \p now.
   std::shared_ptr<const PacketRoutes> snapshot(TimePoint now);
-  /// When time alone will change the snapshot; the far future for never.
+  /// When the snapshot changes next without an update; the far future for
+  /// never.
   TimePoint nextChange() const { return NextChange; }
 
 private:
-  /// What is remembered of a server.
+  /// A server that is published or was removed recently.
   struct KnownServer {
-    std::shared_ptr<const PublishedServer> Published; ///< As last published.
+    std::shared_ptr<const PublishedServer> Published; ///< Last published state.
     bool Present = true;                              ///< Still published.
-    bool ExpiredInBulk = false; ///< Disappeared with half of its service.
-    TimePoint GoneAt;           ///< When it disappeared here.
-    TimePoint ColdUntil;        ///< Slow until then.
+    bool ExpiredInBulk =
+        false; ///< Disappeared together with at least half of its service.
+    TimePoint GoneAt;    ///< When this daemon saw it disappear.
+    TimePoint ColdUntil; ///< Starting up and slow until then.
   };
-  /// What is remembered of a dropped route.
+  /// A route that was removed recently.
   struct DroppedRoute {
-    std::vector<ServiceId> EverAllowed; ///< While it was there.
-    TimePoint DroppedAt;                ///< When it was dropped.
+    std::vector<ServiceId> EverAllowed; ///< Services that it ever allowed.
+    TimePoint DroppedAt;                ///< When it was removed.
   };
   using ServerKey = std::pair<DomainId, ServerId>;
 
@@ -116,13 +123,14 @@
   std::map<Endpoint, uint64_t> newestInstanceByAddress() const;
   bool isDomainOut(const DomainId &domain) const;
 
-  std::shared_ptr<const OperatorConfiguration> Configuration; ///< Newest.
-  Revision ConfigurationRevision;                             ///< Its revision.
-  std::vector<DomainId> DomainsOut; ///< Domains taken out.
-  std::map<Endpoint, std::vector<ServiceId>> EverAllowed; ///< By present route.
-  std::map<Endpoint, DroppedRoute> DroppedRoutes; ///< Not yet forgotten.
-  std::map<ServerKey, KnownServer> Servers;       ///< Gone ones included.
-  std::map<std::string, ServerKey> ServerByName;  ///< Names of objects.
+  std::shared_ptr<const OperatorConfiguration>
+      Configuration;                ///< Latest configuration.
+  Revision ConfigurationRevision;   ///< Its revision.
+  std::vector<DomainId> DomainsOut; ///< Failure domains taken out of service.
+  std::map<Endpoint, std::vector<ServiceId>> EverAllowed; ///< By current route.
+  std::map<Endpoint, DroppedRoute> DroppedRoutes; ///< Within GoneRetention.
+  std::map<ServerKey, KnownServer> Servers;       ///< Includes removed servers.
+  std::map<std::string, ServerKey> ServerByName;  ///< By object name.
   TimePoint NextChange{Duration::max()};          ///< See nextChange().
 };
 
--- a/Balsamrack/Packets/PacketSink.h
+++ b/Balsamrack/Packets/PacketSink.h
@@ -8,24 +8,24 @@
 
 namespace balsamrack {
 
-/// Where a packet is sent on to.
+/// Destination of a forwarded packet.
 struct PacketTarget {
   Endpoint At;        ///< The server's address.
-  uint64_t Tag = 0;   ///< Only the server with this tag takes the packet.
-  uint32_t Token = 0; ///< To be written on the packet.
+  uint64_t Tag = 0;   ///< Only the server with this tag accepts the packet.
+  uint32_t Token = 0; ///< Token to write on the packet.
 };
 
-/// Carries out what a PacketRouter decides. Called in order, within the
-/// router's calls; must not call back. Not thread-safe.
+/// Executes the actions of a PacketRouter. Called in order from within the
+/// router's functions; must not call the router. Not thread-safe.
 class PacketSink {
 public:
   virtual ~PacketSink() = default;
-  /// Send the packet of \p n bytes on; only its token may be changed.
+  /// Forwards a packet of \p n bytes; only its token may be changed.
   virtual void forward(const PacketTarget &to, const uint8_t *packet,
                        size_t n) = 0;
-  /// Answer the packet with \p head by a reset.
+  /// Sends a reset in reply to the packet with \p head.
   virtual void reset(const PacketHeader &head) = 0;
-  /// Tell what happened.
+  /// Records an event.
   virtual void report(const PacketEvent &event) = 0;
 };
 
--- a/Balsamrack/Packets/PacketSocket.cpp
+++ b/Balsamrack/Packets/PacketSocket.cpp
@@ -14,10 +14,11 @@
 
 namespace {
 
-/// A second of a small site's packets, should the process be held up.
+/// Holds the packets of a small site for one second while the process is
+/// delayed.
 constexpr int BufferBytes = 1024 * 1024;
 
-/// The packets of one system call.
+/// Buffers for the packets of one system call.
 struct PacketBatch {
   PacketBatch() {
     for (size_t i = 0; i < PacketSocket::BatchSize; ++i) {
@@ -94,8 +95,8 @@
     int n = sendmmsg(Fd, Out.Messages.data() + done,
                      static_cast<unsigned>(Prepared - done), MSG_DONTWAIT);
     if (n <= 0) {
-      // The first one was refused (no route to it, or the buffer is full); it
-      // is lost like any datagram, and the rest is tried.
+      // The first packet could not be sent (no route, or the buffer is full).
+      // Drop it, as datagrams may be lost, and continue with the rest.
       ++Counters.SendFailed;
       ++done;
       continue;
--- a/Balsamrack/Packets/PacketSocket.h
+++ b/Balsamrack/Packets/PacketSocket.h
@@ -12,44 +12,45 @@
 
 namespace balsamrack {
 
-/// Counts of a PacketSocket since its start.
+/// Counters of a PacketSocket since it was opened.
 struct PacketSocketCounters {
-  uint64_t Received = 0;   ///< Packets.
-  uint64_t Sent = 0;       ///< As above.
-  uint64_t TooLong = 0;    ///< Packets that did not fit, dropped.
-  uint64_t SendFailed = 0; ///< Packets that the system did not take, dropped.
+  uint64_t Received = 0; ///< Received packets, including those too long.
+  uint64_t Sent = 0;     ///< Sent packets.
+  uint64_t TooLong =
+      0; ///< Received packets dropped for exceeding MaxPacketBytes.
+  uint64_t SendFailed =
+      0; ///< Packets dropped because the system refused to send them.
 };
 
-/// The socket on which callers' packets come in and from which they are passed
-/// on, a batch a system call, with buffers that are allocated once. Not
-/// thread-safe.
+/// UDP socket that receives and forwards callers' packets, one batch per system
+/// call, with preallocated buffers. Not thread-safe.
 class PacketSocket {
 public:
-  /// Packets a system call.
+  /// Packets per system call.
   static constexpr size_t BatchSize = 32;
-  /// Largest packet, its prefix included, in bytes.
+  /// Largest packet including its prefix, in bytes.
   static constexpr size_t MaxPacketBytes = 1'400;
 
-  /// Called for each packet that came in; the bytes hold during the call.
+  /// Called for each received packet; the bytes are valid during the call only.
   using PacketCallback = std::function<void(uint8_t *packet, size_t n)>;
 
-  /// Opens the socket at \p at. Error (step listen, peer ip:port) when the
-  /// address is taken or not ours. Thread-safe.
+  /// Opens a socket bound to \p at. Error (step listen, peer ip:port) when the
+  /// address is in use or not local. Thread-safe.
   static absl::StatusOr<std::unique_ptr<PacketSocket>> open(const Address &at);
   virtual ~PacketSocket() = default;
 
-  /// Where it is bound.
+  /// The bound address.
   virtual const Address &at() const = 0;
-  /// Readable when receive() has something.
+  /// The descriptor; readable when packets are available.
   virtual int fd() const = 0;
-  /// Takes in one batch; returns how many packets came.
+  /// Receives one batch; returns the number of packets.
   virtual size_t receive(const PacketCallback &got) = 0;
-  /// Room for a packet of \p n bytes to \p to, sent by the next flush() at the
-  /// latest. Precondition: n <= MaxPacketBytes.
+  /// Buffer for a packet of \p n bytes to \p to, which is sent by the next
+  /// flush() at the latest. Precondition: n <= MaxPacketBytes.
   virtual uint8_t *prepare(const Endpoint &to, size_t n) = 0;
-  /// Sends what was prepared.
+  /// Sends all prepared packets.
   virtual void flush() = 0;
-  /// What it has carried so far.
+  /// Counters since the socket was opened.
   virtual const PacketSocketCounters &counters() const = 0;
 };
 
--- a/Balsamrack/Packets/RequestTracker.cpp
+++ b/Balsamrack/Packets/RequestTracker.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// True when byte number \p a comes after \p b.
+/// True when sequence number \p a is after \p b, with wrap-around.
 bool after(uint32_t a, uint32_t b) { return static_cast<int32_t>(a - b) > 0; }
 
 } // namespace
