--- a/UnitTests/Packets/LongFlowsTest.cpp
+++ b/UnitTests/Packets/LongFlowsTest.cpp
@@ -6,15 +6,15 @@
 
 #include "UnitTests/Packets/PacketRouterHarness.h"
 
-// Flows that stay open for many requests: what counts as work, and what becomes
-// of them when their server can't be reached any more.
+// Flows that stay open for many requests: which requests count as in progress,
+// and what happens when their server becomes unreachable.
 
 namespace balsamrack {
 namespace {
 
 constexpr Duration Millisecond{1'000};
 
-/// Opens a flow and has its first request answered.
+/// Opens a flow whose first request is answered; returns its token.
 uint32_t openLongFlow(PacketRouterHarness &bench, uint16_t port) {
   bench.sendOpening(port);
   uint32_t token = bench.lastToken();
@@ -31,9 +31,9 @@
   return sum;
 }
 
-// Story: truck terminals keep their flows to a status feed open and ask now and
-// then. A daemon that took each open flow for a request at work saw all slots
-// taken, and let late openings wait for half a second beside idle servers.
+// Callers keep flows open and send a request now and then. A daemon that counts
+// each open flow as a request in progress considers all slots taken, and delays
+// late openings by half a second although servers are idle.
 TEST(LongFlowsTest, IdleFlowsAreNoWork) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}}, 0, Duration(150'000));
@@ -46,9 +46,9 @@
   EXPECT_EQ(bench.Out.Sent.size(), before + 1) << "slots are free";
 }
 
-// A few busy flows among many idle ones: a request counts from its data to its
-// answer, also on a flow that was silent for longer than the idle timeout and
-// is no longer remembered.
+// Among many idle flows, a request must count from its first data to its
+// answer, even on a flow that was idle for longer than the idle timeout and is
+// no longer tracked.
 TEST(LongFlowsTest, ARequestCountsUntilItsAnswer) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -69,10 +69,11 @@
   EXPECT_EQ(inProgress(bench), 0U);
 }
 
-// Story: a server dies in silence while its entry still stands. Terminals with
-// an open flow there send their next request, send it again after 200 and 600
-// ms, and give up after a second, though 13 other servers live. One of them
-// must be enough to find out, and it must be told as soon as that is sure.
+// A server dies without closing its connections and stays published. Callers
+// with an open flow there retransmit their next request after 200 and 600 ms
+// and give up after a second, although 13 other servers are alive. One caller
+// must suffice to detect the failure, and its flow must be reset as soon as it
+// is certain.
 TEST(LongFlowsTest, ARequestToADeadServerIsGivenUp) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -89,7 +90,7 @@
   bench.sendRequest(1, token, 1);
   bench.advance(Millisecond * 200);
   bench.finishAttempts(connects);
-  EXPECT_TRUE(bench.Out.Resets.empty()) << "it may be at work";
+  EXPECT_TRUE(bench.Out.Resets.empty()) << "the server may be processing it";
   bench.sendRequest(1, token, 1);
   for (int i = 0; i < 20 && bench.Out.Resets.empty(); ++i) {
     bench.finishAttempts(connects);
@@ -101,17 +102,19 @@
   EXPECT_TRUE(
       bench.Out.reported(PacketEventKind::GivenUp, PacketReason::Unreachable));
   bench.sendRequest(others[0], token, 1);
-  EXPECT_EQ(bench.Out.Resets.size(), 2U) << "known by now";
+  EXPECT_EQ(bench.Out.Resets.size(), 2U)
+      << "the server is known to be unreachable";
 }
 
-/// Whether a flow's requests may run more than once.
+/// Parameter: whether the requests of the flow may be repeated.
 class EachReplaced : public testing::TestWithParam<bool> {};
 
-// Story: a server dies in silence, and two seconds later its address belongs to
-// a new server of another service, though its own entry still stands. The new
-// one takes connections, so the dead one looks well; it passes packets for the
-// dead one over, and callers with an open flow there wait until their time is
-// over. Nothing can come of these, whatever the requests are.
+// A server dies without closing its connections. Two seconds later its address
+// belongs to a new server of another service, while its own entry is still
+// published. The new server accepts connections, so the dead one appears
+// healthy, but it ignores packets for the dead one, and callers with an open
+// flow there wait until their timeout. These flows must be reset whether or not
+// requests may be repeated.
 TEST_P(EachReplaced, ServersRequestsAreGivenUp) {
   PacketRouterHarness bench;
   bench.Idempotent = GetParam();
@@ -128,14 +131,14 @@
   EXPECT_EQ(bench.Out.Resets.size(), 1U);
   for (uint16_t port = 2; port <= 6; ++port) {
     bench.sendOpening(port);
-    EXPECT_NE(bench.lastTag(), dead) << "gets no new flows either";
+    EXPECT_NE(bench.lastTag(), dead) << "the dead server must get no new flows";
   }
   EXPECT_TRUE(bench.Router.dueAttempts(bench.Now).empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Requests, EachReplaced, testing::Bool());
 
-/// What speaks against giving a request up.
+/// A case in which a request must not be given up.
 struct NotGivenUp {
   const char *Name;
   bool Idempotent;
@@ -144,10 +147,10 @@
 
 class EachNotGivenUp : public testing::TestWithParam<NotGivenUp> {};
 
-// Story: a packet is lost once, and comes again; or an application that may run
-// once was sent to a server that can't be reached for half a second. A reset
-// breaks the first for nothing, and keeps the second from being sent again by
-// its caller, though the cut heals in time.
+// Either a packet is lost once and retransmitted, or a request that may run
+// only once was sent to a server that is unreachable for half a second. A reset
+// would break the first flow needlessly. In the second case it would keep the
+// caller from retransmitting, although the network recovers in time.
 TEST_P(EachNotGivenUp, StaysOpen) {
   PacketRouterHarness bench;
   bench.Idempotent = GetParam().Idempotent;
@@ -173,9 +176,11 @@
                     NotGivenUp{"MayRunOnce", false, false}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-// Story: operators take a failure domain out, and then it is cut off: what its
-// daemons can reach takes no new flows, and what takes new flows can't be
-// reached. Each caller was refused for as long as the cut lasted, 5 s.
+// Operators take a failure domain out of service, and then it is partitioned:
+// the servers that its daemons can reach accept no new flows, and those that
+// accept new flows are unreachable. Such a daemon must report that it reaches
+// no server; otherwise callers are refused during the whole partition, such as
+// 5 s.
 TEST(LongFlowsTest, ADaemonKnowsThatItReachesNoServer) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -186,7 +191,7 @@
     bench.advance(Millisecond * 60);
     bench.finishAttempts([](ServerIndex) { return false; });
   }
-  // That nothing arrives may be the fault of the daemon's own link at first.
+  // At first, missing answers may be due to the daemon's own link.
   for (int i = 0; i < 30; ++i) {
     bench.advance(Millisecond * 50);
     bench.finishAttempts([](ServerIndex) { return false; });
@@ -199,8 +204,8 @@
   EXPECT_FALSE(bench.Router.allServersUnreachable());
 }
 
-// Guards against callers that are refused by a daemon that can reach no server,
-// one try after the other, since the fabric still takes it for ready.
+// A daemon that can reach no server must not appear ready, or the fabric keeps
+// sending it callers whose tries it refuses one after the other.
 TEST(LongFlowsTest, ADaemonThatRefusesEveryOpeningIsOutOfReach) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -215,9 +220,9 @@
   EXPECT_TRUE(bench.Router.allServersUnreachable());
 }
 
-// Story: a server takes connections, but none of its callers' openings is
-// answered: it is full. Being asked after the first of them must not hide that
-// the second has no answer either.
+// A full server accepts connections but answers no openings. A successful probe
+// after the first unanswered opening must not hide that the second is
+// unanswered too.
 TEST(LongFlowsTest, AServerThatOnlyTakesConnectionsFallsSilent) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
@@ -230,13 +235,13 @@
   EXPECT_EQ(bench.Router.silentServers(), 1U);
 }
 
-/// Terminals with open flows before servers of two domains, one of which is cut
-/// off for a while: each asks 400 ms after its last answer, which takes 100 ms,
-/// sends a request again after 200 and 600 ms, and opens a new flow after a
-/// reset.
+/// Simulated callers with open flows to servers of two failure domains, one of
+/// which becomes unreachable. Each caller sends a request 400 ms after its last
+/// answer, which takes 100 ms, retransmits it after 200 and 600 ms, and opens a
+/// new flow after a reset.
 class PartitionedSite {
 public:
-  /// Requests that had no answer within a second.
+  /// Returns the number of requests that had no answer within a second.
   int run() {
     Bench.configure(1, {{443, "booking"}});
     Bench.publishServers({{"b1", "bern-a"},
@@ -264,9 +269,9 @@
   static constexpr uint16_t Callers = 40;
 
   struct Caller {
-    TimePoint Next;             ///< When it does its next step.
-    TimePoint RequestStartedAt; ///< When its request began; zero: none is open.
-    bool Arrived = false;       ///< Its server works on it until Next.
+    TimePoint Next;             ///< Time of its next action.
+    TimePoint RequestStartedAt; ///< Start of its request; zero for none.
+    bool Arrived = false; ///< Its server processes the request until Next.
     uint16_t Port = 0;
     uint32_t Token = 0;
     uint64_t Home = 0;
@@ -314,7 +319,8 @@
     }
     it.Next = Bench.Now + Millisecond * (it.Copies++ == 0 ? 200 : 400);
   }
-  /// True when the caller's flow was reset; it opens a new one at once.
+  /// True when the flow of the caller was reset; the caller then opens a new
+  /// one at once.
   bool handleReset(Caller &it) {
     for (; SeenResets < Bench.Out.Resets.size(); ++SeenResets)
       ResetPorts.insert(Bench.Out.Resets[SeenResets].Flow.Caller.Port);
@@ -348,9 +354,9 @@
   int LostRequests = 0;
 };
 
-// Load: forty terminals, more than half of them with their flow on the other
-// side when two domains are cut off from each other. Without a word each of
-// these lost one request to its time budget.
+// Two failure domains are partitioned while more than half of forty callers
+// have their flow in the unreachable one. Without resets, each of these callers
+// loses one request to its timeout.
 TEST(LongFlowsTest, ACutBetweenDomainsLosesFewRequests) {
   int lost = PartitionedSite().run();
   printf("requests lost in a cut: %d\n", lost);
--- a/UnitTests/Packets/OpeningScenariosTest.cpp
+++ b/UnitTests/Packets/OpeningScenariosTest.cpp
@@ -4,14 +4,14 @@
 
 #include "UnitTests/Packets/PacketRouterHarness.h"
 
-// What becomes of openings that wait, come again or can't be served.
+// Openings that are queued, retransmitted or cannot be served.
 
 namespace balsamrack {
 namespace {
 
-// Story: all daemons were away, and their callers come back all at once. One
-// that has missed its objective gives way while all slots are taken, and is
-// served once one gets free.
+// After an outage of all daemons their callers return all at once. While all
+// slots are taken, an opening that has missed its objective must wait, and it
+// must be sent once a slot is free.
 TEST(OpeningScenariosTest, ALateOpeningWaitsForAFreeSlot) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}}, 0, Duration(150'000));
@@ -25,15 +25,16 @@
   bench.sendOpening(4, 1);
   EXPECT_EQ(bench.Out.Sent.size(), before) << "both slots are taken";
   bench.sendOpening(5);
-  EXPECT_EQ(bench.Out.Sent.size(), before + 1) << "in time, so it goes at once";
+  EXPECT_EQ(bench.Out.Sent.size(), before + 1)
+      << "in time, so it is forwarded at once";
   for (uint16_t port : {1, 2, 3})
     bench.sendOnFlow(port, tokenOf(ServerId("b1")), 0, true);
   bench.advance(Duration(100'000));
-  EXPECT_EQ(bench.Out.Sent.size(), before + 5) << "a slot got free";
+  EXPECT_EQ(bench.Out.Sent.size(), before + 5) << "a slot became free";
 }
 
-// Story: as above, but no slot gets free. The waiting caller's time runs, and a
-// late answer is better than none.
+// As above, but no slot becomes free. The opening must still be sent before its
+// caller times out, since a late answer is better than none.
 TEST(OpeningScenariosTest, ALateOpeningIsSentOnBeforeItsTimeIsOver) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}}, 0, Duration(150'000));
@@ -55,11 +56,11 @@
   EXPECT_EQ(bench.Out.Sent.size(), before + 33);
 }
 
-// Story: a daemon is frozen for a second. A seller's opening and both its
-// copies wait in its socket; meanwhile the fabric has moved the seller to
-// another daemon, where the flow opened. The daemon wakes, sends the three on
-// at once, sees no answer to them, since the seller answers elsewhere, and
-// resets the open flow. It also takes living servers for silent.
+// A daemon is suspended for a second while an opening and both its copies wait
+// in its socket. Meanwhile the fabric moves the caller to another daemon, where
+// the flow opens. After it resumes, the daemon forwards all three at once and
+// sees no answer, since the caller answers through the other daemon. It must
+// neither reset the open flow nor consider live servers silent.
 TEST(OpeningScenariosTest, AWokenDaemonJudgesNothingByWhatWaitedForIt) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -71,8 +72,8 @@
   EXPECT_EQ(bench.Router.silentServers(), 0U);
 }
 
-// Story: as above, but the daemon falls asleep after the first copy was sent
-// on. The others come to it late, though not too fast.
+// As above, but the daemon is suspended after it forwarded the first copy. The
+// other copies arrive late, though not at shorter intervals.
 TEST(OpeningScenariosTest, ADaemonThatFellAsleepBetweenCopiesResetsNothing) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -84,9 +85,9 @@
   EXPECT_TRUE(bench.Out.Resets.empty());
 }
 
-// Story: a server is well again just when a seller's last copy comes. The
-// seller has its answer, but its first packet to the server is lost. It comes
-// again after 200 ms; a reset in between broke the open flow.
+// A server recovers just before a caller's last copy arrives. The caller gets
+// the answer, but its first packet to the server is lost and retransmitted
+// after 200 ms. A reset in between would break the open flow.
 TEST(OpeningScenariosTest, ALostFirstPacketHasTimeToComeAgain) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -102,10 +103,9 @@
   EXPECT_TRUE(bench.Out.Resets.empty());
 }
 
-// Story: a service's only server is dark, and one of its callers waits for the
-// end of its last copy's time. The openings of all other callers, whose servers
-// are silent too, waited behind it for half a second before another server got
-// them.
+// The only server of a service is silent, and one of its callers waits for the
+// timeout of its last copy. Openings of other callers with silent servers must
+// not queue behind it for half a second before they are sent to another server.
 TEST(OpeningScenariosTest, ACallersLastCopyHoldsUpNobodyElse) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}, {444, "plans"}});
@@ -117,15 +117,15 @@
   bench.advance(Duration(400'000));
   bench.sendOpening(1, 2, 444);
   bench.advance(Duration(100'000));
-  ASSERT_TRUE(bench.Out.Resets.empty()) << "still has time";
+  ASSERT_TRUE(bench.Out.Resets.empty()) << "its timeout has not expired";
   bench.sendOpening(2);
   uint64_t first = bench.lastTag();
   bench.advance(Duration(100'000));
-  EXPECT_NE(bench.lastTag(), first) << "another server has it by now";
+  EXPECT_NE(bench.lastTag(), first)
+      << "it should have been sent to another server";
 }
 
-// The same copies, each at its time: nobody answers, and the caller sends no
-// more.
+// All copies arrive on time, no server answers, and the caller sends no more.
 TEST(OpeningScenariosTest, ACallerIsToldOnceNobodyAnswersItsLastCopy) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -143,7 +143,8 @@
       bench.Out.reported(PacketEventKind::Refused, PacketReason::NoAnswer));
 }
 
-/// Copies that come here, each at its time; the others go to another daemon.
+/// Copies that this daemon receives, each on time; the others go to another
+/// daemon.
 struct SomeCopies {
   const char *Name;
   std::vector<uint8_t> Copies;
@@ -151,9 +152,9 @@
 
 class EachSomeCopies : public testing::TestWithParam<SomeCopies> {};
 
-// Story: the fabric moves a caller between two copies of its opening. A daemon
-// that did not get them all can't know what became of the others: the flow may
-// be open, and a reset would break it.
+// The fabric moves a caller to another daemon between two copies of its
+// opening. A daemon that did not receive all copies must not reset the flow,
+// which may be open through the other daemon.
 TEST_P(EachSomeCopies, ResetNothing) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -175,8 +176,8 @@
                            return std::string(info.param.Name);
                          });
 
-/// Where the servers that can't be reached stand, and for how long others may
-/// serve the callers instead.
+/// Failure domain of the unreachable servers, and how long openings are left to
+/// other daemons.
 struct OutOfReach {
   const char *Name;
   const char *Domain;
@@ -185,9 +186,9 @@
 
 class EachOutOfReach : public testing::TestWithParam<OutOfReach> {};
 
-// Guards against callers that wait until their time is over for servers that
-// are all out of reach, and against refusing them while the fabric still turns
-// to daemons that can serve them.
+// When all servers are unreachable, callers must be refused at once instead of
+// waiting until their timeout. They must not be refused while the fabric is
+// still switching to daemons that can serve them.
 TEST_P(EachOutOfReach, CallersAreRefusedAtOnceThatNobodyCanServe) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
@@ -196,7 +197,7 @@
     bench.sendOpening(port);
   bench.advance(Duration(100'000));
   bench.sendOpening(5);
-  EXPECT_EQ(bench.lastTag() != 0, true) << "silent, but not yet asked by us";
+  EXPECT_EQ(bench.lastTag() != 0, true) << "silent, but not yet probed";
   EXPECT_TRUE(bench.Out.Resets.empty());
   auto endAttempts = [&](ConnectionResult how) {
     for (const ConnectionAttempt &it : bench.Router.dueAttempts(bench.Now))
@@ -204,24 +205,27 @@
   };
   endAttempts(ConnectionResult::NotAttempted);
   bench.sendOpening(6);
-  EXPECT_TRUE(bench.Out.Resets.empty()) << "nothing is known";
+  EXPECT_TRUE(bench.Out.Resets.empty())
+      << "the state of the servers is unknown";
   bench.advance(Duration(900'000));
   endAttempts(ConnectionResult::Failed);
   size_t sent = bench.Out.Sent.size();
   size_t resets = bench.Out.Resets.size();
   if (GetParam().LeftToOthers > Duration{0}) {
     bench.sendOpening(10);
-    EXPECT_EQ(bench.Out.Resets.size(), resets) << "others can serve it";
+    EXPECT_EQ(bench.Out.Resets.size(), resets) << "other daemons can serve it";
     bench.advance(GetParam().LeftToOthers);
     endAttempts(ConnectionResult::Failed);
   }
   bench.sendOpening(7);
   EXPECT_EQ(bench.Out.Resets.size(), resets + 1);
-  EXPECT_EQ(bench.Out.Sent.size(), sent) << "so it is true that nothing ran";
+  EXPECT_EQ(bench.Out.Sent.size(), sent)
+      << "a refused opening must not be forwarded";
   EXPECT_TRUE(
       bench.Out.reported(PacketEventKind::Refused, PacketReason::Unreachable));
   bench.sendOpening(8, 1);
-  EXPECT_EQ(bench.Out.Resets.size(), resets + 1) << "its flow may be open";
+  EXPECT_EQ(bench.Out.Resets.size(), resets + 1)
+      << "its flow may be open through another daemon";
   bench.advance(Duration(900'000));
   endAttempts(ConnectionResult::Connected);
   bench.sendOpening(9);
--- a/UnitTests/Packets/PacketFlowTableTest.cpp
+++ b/UnitTests/Packets/PacketFlowTableTest.cpp
@@ -17,12 +17,11 @@
   return flow.Stage == FlowStage::Open ? OpenRetention : OpeningRetention;
 }
 
-// Story: a caller vanishes in the middle of an open flow, which is then kept
-// for twenty seconds. A second later an opening gets no answer. Its slot of the
-// server was counted as taken until the first flow's time was over, so that new
-// flows avoided a server that stood idle.
-// Cause: looks at flows waited in the order in which they were planned, not in
-// the order of their times.
+// A caller disappears during an open flow, which is then retained for 20 s. A
+// second later an opening stays unanswered. If timers are processed in the
+// order in which they were added instead of the order of expiry, the slot of
+// the opening counts as taken until the first flow expires, and new flows avoid
+// an idle server.
 TEST(PacketFlowTableTest, ALongWaitHoldsUpNoOtherFlow) {
   PacketFlowTable memory(100);
   TrackedFlow *open = memory.add(Start, key(1));
--- a/UnitTests/Packets/PacketLoadTest.cpp
+++ b/UnitTests/Packets/PacketLoadTest.cpp
@@ -15,29 +15,28 @@
 
 constexpr Duration Millisecond{1'000};
 
-/// A site under load, by virtual time: routers of several daemons before
-/// servers with slots and a bounded queue, and callers that open a flow a
-/// request, send copies of an opening after 200 and 600 ms, and are gone when
-/// their time is over.
+/// Simulation of a site under load in virtual time: routers of several daemons,
+/// servers with slots and a bounded queue, and callers that open one flow per
+/// request, send copies of an opening after 200 and 600 ms, and leave at their
+/// timeout.
 class LoadedSite {
 public:
   struct Options {
     size_t Daemons = 9;
     size_t Servers = 14;
-    double PerSecond = 440; ///< Requests of all callers.
-    bool UseShares = true;  ///< Daemons know of each other.
-    bool DelayLateOpenings =
-        true;                ///< Late openings may be told from those in time.
-    Duration OutageStart{0}; ///< All daemons are away from here ...
-    Duration OutageEnd{0};   ///< ... to here, and forget everything.
+    double PerSecond = 440;        ///< Requests per second of all callers.
+    bool UseShares = true;         ///< Daemons know the size of the fleet.
+    bool DelayLateOpenings = true; ///< Late openings wait for free slots.
+    Duration OutageStart{0};       ///< All daemons are down from this time ...
+    Duration OutageEnd{0};         ///< ... to this time, and lose their state.
     uint64_t Seed = 1;
   };
-  /// What callers got, of those that called after a moment.
+  /// Results of the calls that began within the measured interval.
   struct Result {
     int Asked = 0;
     int InTime = 0;
     int Late = 0;
-    double MeanWaitMillis = 0; ///< In servers' queues.
+    double MeanWaitMillis = 0; ///< Mean time in the servers' queues.
   };
 
   explicit LoadedSite(const Options &options)
@@ -99,7 +98,7 @@
     uint32_t Busy = 0;
     std::deque<Job> Waiting;
   };
-  /// Hands what a router forwards to the site's servers.
+  /// Delivers forwarded packets to the simulated servers.
   class ServerSink final : public PacketSink {
   public:
     ServerSink(LoadedSite &site) : Site(site) {}
@@ -231,7 +230,7 @@
       ++server.Busy;
       ++Waits;
       WaitSum += static_cast<double>((Now - job.Since).count());
-      // Mean 32 ms, between 16 and 48: what a mixture of lookups takes.
+      // Service times of mixed lookups: 16 to 48 ms, with a mean of 32 ms.
       Duration took(static_cast<int64_t>(16'000 + Random.unit() * 32'000));
       schedule(Now + took, [this, index, job] {
         --Servers[index].Busy;
@@ -279,7 +278,7 @@
   Result Counts;
 };
 
-/// A load, and the most that waiting with shares may take of waiting without.
+/// A load, and the maximum ratio of the wait with slot shares to that without.
 struct SharesCase {
   const char *Name;
   double PerSecond;
@@ -288,8 +287,8 @@
 
 class EachLoad : public testing::TestWithParam<SharesCase> {};
 
-// Load: nine daemons that each see a ninth of the flows, before 14 servers with
-// two slots. The baseline chooses the least loaded server by own counts alone.
+// Nine daemons each see a ninth of the flows to 14 servers with two slots. The
+// baseline selects the least loaded server by the daemon's own counts alone.
 TEST_P(EachLoad, SharesOfSlotsShortenTheWait) {
   double with = 0, without = 0;
   for (uint64_t seed = 1; seed <= 3; ++seed) {
@@ -320,9 +319,9 @@
                            return std::string(info.param.Name);
                          });
 
-// Load: all daemons lose power for a second and a half, and the callers that
-// called meanwhile come back together with those that call now. The baseline
-// does not know its fleet when it is back.
+// All daemons lose power for about a second and a half. Afterwards the callers
+// that called meanwhile return together with new ones. In the baseline the
+// daemons do not know the size of the fleet after the restart.
 TEST(PacketLoadTest, AfterALossOfAllDaemonsMostAreInTime) {
   int with = 0;
   int without = 0;
@@ -349,9 +348,9 @@
   EXPECT_GT(with, without * 95 / 100);
 }
 
-// Load: the same with a longer loss, at more than half load: openings of those
-// that have called all along, new calls, and second attempts come to more than
-// the servers bear. The baseline serves them in the order of arrival.
+// An outage at more than half load: earlier openings, new calls and second
+// attempts together exceed the capacity of the servers. The baseline serves
+// them in the order of arrival.
 TEST(PacketLoadTest, LateOpeningsGiveWayToThoseThatCanBeInTime) {
   LoadedSite::Result first, second;
   int lostWith = 0, lostWithout = 0;
--- a/UnitTests/Packets/PacketRouterHarness.h
+++ b/UnitTests/Packets/PacketRouterHarness.h
@@ -9,7 +9,7 @@
 
 namespace balsamrack {
 
-/// Records what a router does.
+/// Records the actions and events of a router.
 class RecordingSink final : public PacketSink {
 public:
   struct Forwarded {
@@ -38,8 +38,9 @@
   std::vector<PacketReason> Reasons;
 };
 
-/// A router with published routes and servers, and a clock. Servers of service
-/// "booking" are b1 to bN with tags 1 to N; the route is 198.18.0.1:443.
+/// Test harness: a router with published routes and servers and a simulated
+/// clock. The servers of service "booking" are b1 to bN with tags 1 to N; the
+/// route is 198.18.0.1:443.
 class PacketRouterHarness {
 public:
   struct ServerSpec {
@@ -48,8 +49,9 @@
     std::string Service = "booking";
     ServerMode Mode = ServerMode::Active;
     Duration ColdLeft{0};
-    uint64_t Born = 0; ///< Orders servers that have the same address.
-    std::string At{};  ///< Empty: one of its own.
+    uint64_t Born =
+        0; ///< Orders servers with the same address; higher is newer.
+    std::string At{}; ///< Empty for an address of its own.
   };
 
   explicit PacketRouterHarness(uint64_t seed = 1)
@@ -60,7 +62,7 @@
     s.Domain = DomainId("bern-a");
     return s;
   }
-  /// Publishes the configuration: routes by port, each with its service.
+  /// Publishes a configuration with the given ports and their services.
   void configure(uint64_t version,
                  const std::vector<std::pair<uint16_t, std::string>> &routes,
                  double coldPerSecond = 0, Duration objective = Duration(0)) {
@@ -90,7 +92,7 @@
                          DomainOutOfService{DomainId(domain)}});
     publishOperators();
   }
-  /// Publishes servers, new or changed.
+  /// Publishes new or changed servers.
   void publishServers(const std::vector<ServerSpec> &lines) {
     std::vector<PublishedObject> changed;
     for (const ServerSpec &line : lines) {
@@ -112,7 +114,7 @@
     Builder.applyServerChanges(Now, changed);
     Router.setRoutes(Builder.snapshot(Now));
   }
-  /// Entries disappear.
+  /// Removes the published entries of servers.
   void removeServers(const std::vector<std::string> &ids) {
     std::vector<PublishedObject> changed;
     changed.reserve(ids.size());
@@ -122,7 +124,7 @@
     Builder.applyServerChanges(Now, changed);
     Router.setRoutes(Builder.snapshot(Now));
   }
-  /// Four servers in two domains behind port 443.
+  /// Publishes port 443 and four servers in two failure domains.
   void publishDefaults() {
     configure(1, {{443, "booking"}});
     publishServers({{"b1", "bern-a"},
@@ -131,15 +133,15 @@
                     {"b4", "bern-b"}});
   }
 
-  /// When callers send the copies of an opening.
+  /// Time from the first copy of an opening to the given copy.
   static Duration copyAge(uint8_t copy) {
     return Duration(copy == 0 ? 0 : copy == 1 ? 200'000 : 600'000);
   }
-  /// The flow of a caller of its own.
+  /// The flow of the caller that uses \p callerPort.
   static FlowKey key(uint16_t callerPort, uint16_t port = 443) {
     return {{0x64400000U + callerPort, callerPort}, {0xc6120001, port}};
   }
-  /// The caller sends an opening, or copy \p copy of it.
+  /// Sends copy \p copy of an opening.
   void sendOpening(uint16_t callerPort, uint8_t copy = 0, uint16_t port = 443) {
     PacketHeader head;
     head.Flow = key(callerPort, port);
@@ -150,7 +152,7 @@
     Router.handlePacket(Now, head, Bytes, sizeof Bytes, Out);
     Router.tick(Now, Out);
   }
-  /// The caller sends a packet of an open flow.
+  /// Sends a packet on an open flow.
   void sendOnFlow(uint16_t callerPort, uint32_t token, uint16_t data = 100,
                   bool ends = false, uint16_t port = 443) {
     PacketHeader head;
@@ -162,18 +164,18 @@
     Router.handlePacket(Now, head, Bytes, sizeof Bytes, Out);
     Router.tick(Now, Out);
   }
-  /// The caller sends request \p n (zero is the first) on its open flow, or
-  /// sends it again.
+  /// Sends or retransmits request \p n (from zero) on an open flow.
   void sendRequest(uint16_t callerPort, uint32_t token, uint32_t n) {
     sendFlowPacket(callerPort, token, n * RequestBytes, RequestBytes,
                    n * AnswerBytes);
   }
-  /// The caller confirms the answer to request \p n.
+  /// Acknowledges the answer to request \p n.
   void acknowledgeAnswer(uint16_t callerPort, uint32_t token, uint32_t n) {
     sendFlowPacket(callerPort, token, (n + 1) * RequestBytes, 0,
                    (n + 1) * AnswerBytes);
   }
-  /// All attempts to connect that are due end, \p connects telling how.
+  /// Finishes all due connection attempts; \p connects tells which servers
+  /// accept the connection.
   template <class Connects> void finishAttempts(const Connects &connects) {
     std::vector<ConnectionAttempt> failed;
     for (const ConnectionAttempt &it : Router.dueAttempts(Now))
@@ -182,7 +184,7 @@
                                    Out);
       else
         failed.push_back(it);
-    // Their timeout is over long after the others have connected.
+    // They time out long after the others have connected.
     for (const ConnectionAttempt &it : failed)
       Router.handleAttemptResult(Now, it.Server, ConnectionResult::Failed, Out);
   }
@@ -190,7 +192,7 @@
   uint64_t tagAt(ServerIndex index) const {
     return Router.servers().at(index).Backend.Published->Tag;
   }
-  /// Time passes, with a look around each five milliseconds.
+  /// Advances the clock by \p span, with a tick every 5 ms.
   void advance(Duration span) {
     for (TimePoint until = Now + span; Now < until;) {
       Now += Duration(5'000);
@@ -199,7 +201,7 @@
       Router.tick(Now, Out);
     }
   }
-  /// Where the last packet went, as the server's tag; zero for nowhere.
+  /// Tag of the server that the last packet was sent to; zero for none.
   uint64_t lastTag() const {
     return Out.Sent.empty() ? 0 : Out.Sent.back().Tag;
   }
@@ -207,7 +209,7 @@
     return Out.Sent.empty() ? 0 : Out.Sent.back().Token;
   }
 
-  /// Callers may repeat the requests of the routes that are configured next.
+  /// Whether requests of routes that are configured next may be repeated.
   bool Idempotent = true;
   TimePoint Now{Duration(1'000'000)};
   SeededRandom Random;
--- a/UnitTests/Packets/PacketRouterTest.cpp
+++ b/UnitTests/Packets/PacketRouterTest.cpp
@@ -24,8 +24,8 @@
   EXPECT_TRUE(bench.Out.reported(PacketEventKind::Ended, PacketReason::None));
 }
 
-// Story: the fabric hands the packets of an open flow to another daemon, which
-// has never heard of it. The seller's reservation must go on.
+// The fabric moves the packets of an open flow to another daemon that does not
+// know the flow. It must forward them to the same server.
 TEST(PacketRouterTest, AnyDaemonFindsAFlowByItsToken) {
   PacketRouterHarness first(1), second(2);
   first.publishDefaults();
@@ -37,8 +37,8 @@
       second.Out.reported(PacketEventKind::Adopted, PacketReason::None));
 }
 
-// Story: a server dies. Its entry stands for three seconds more, and every
-// caller whose flow is placed there waits 200 ms for its next copy.
+// A server dies, but stays published for three more seconds. Each caller whose
+// flow is placed there must not have to wait 200 ms for its next copy.
 TEST(PacketRouterTest, AnUnansweredOpeningGoesElsewhereSoon) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -55,9 +55,9 @@
   EXPECT_TRUE(bench.Out.Resets.empty());
 }
 
-// Story: after a restart a daemon takes over flows that are nearly at their end
-// and takes the rest of their time for the usual time of a request. It then
-// thinks that slots are free which are taken.
+// After a restart a daemon adopts flows that have nearly ended. The rest of
+// their time must not count as request time, or the daemon would consider
+// occupied slots free.
 TEST(PacketRouterTest, AnAdoptedFlowTellsNoRequestTime) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -68,9 +68,9 @@
       Duration(0));
 }
 
-// Story: two servers answer an opening, since the first one's answer was slow.
-// The caller takes the first answer, but the second one's token is on all its
-// later packets. They belong to the first server.
+// Two servers answer an opening because the first answer was slow. The caller
+// accepts the first answer, but its later packets carry the token of the second
+// server. They must go to the first server.
 TEST(PacketRouterTest, ASecondAnswerMovesNoFlow) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -83,11 +83,12 @@
   EXPECT_EQ(bench.lastTag(), first.Tag);
   bench.sendOnFlow(1, second.Token);
   EXPECT_EQ(bench.lastTag(), first.Tag);
-  EXPECT_EQ(bench.lastToken(), first.Token) << "the token is put right";
+  EXPECT_EQ(bench.lastToken(), first.Token) << "the token is corrected";
 }
 
-// Story: two failure domains are cut off from each other. Each server of the
-// other side would cost two callers 40 ms and more to find out about.
+// Two failure domains are partitioned from each other. Detecting each server
+// of the other domain separately would delay two callers per server by 40 ms
+// or more.
 TEST(PacketRouterTest, ASilentDomainIsFoundByTwoOfItsServers) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
@@ -104,7 +105,7 @@
     for (int step = 0; step < 40 && !answers(bench.lastTag()); ++step)
       bench.advance(Duration(5'000));
     ASSERT_TRUE(answers(bench.lastTag()));
-    // A few flows stay open, so that the own domain is busy.
+    // Keep a few flows open, so that the own domain is loaded.
     bench.sendOnFlow(port, bench.lastToken(), 100, port > 6);
     for (const ConnectionAttempt &it : bench.Router.dueAttempts(bench.Now))
       bench.Router.handleAttemptResult(bench.Now, it.Server,
@@ -134,8 +135,8 @@
       bench.Out.reported(PacketEventKind::ServerBack, PacketReason::None));
 }
 
-// Story: an operator asks where a caller's next flow would go, and why. What is
-// What is explained must be what then happens, whatever the daemon is in.
+// An operator asks where a caller's next flow would be sent, and why. The
+// explanation must match the actual placement in any state of the daemon.
 TEST(PacketRouterTest, WhatIsToldOfAPlacingIsWhatHappens) {
   SeededRandom random(7);
   PacketRouterHarness bench;
@@ -161,7 +162,7 @@
         bench.Router.explain(bench.Now, PacketRouterHarness::key(port));
     EXPECT_TRUE(explanation.Known);
     EXPECT_EQ(explanation.HomeServer.str(), went);
-    // Some servers answer, some flows end, time passes.
+    // Let some servers answer, some flows end, and time pass.
     if (random.below(5) != 0)
       bench.sendOnFlow(port, bench.lastToken(), 100, random.below(2) == 0);
     bench.advance(Duration(static_cast<int64_t>(random.below(60'000))));
@@ -182,7 +183,7 @@
       PacketReason::NoRoute);
 }
 
-/// Packets that must not reach a server, and what happens to them.
+/// A packet that must not reach a server, and the reason reported.
 struct NotForwarded {
   const char *Name;
   uint32_t Token;
@@ -192,8 +193,8 @@
 
 class EachNotForwarded : public testing::TestWithParam<NotForwarded> {};
 
-// Story: a caller makes up a token, or keeps one of another service. Its
-// packets reach no server, and a flow that may be open is never reset.
+// A caller uses an invented token or one of another service. Its packets must
+// reach no server, and a flow that may be open must not be reset.
 TEST_P(EachNotForwarded, IsDroppedInSilence) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}, {444, "plans"}});
@@ -227,8 +228,8 @@
   EXPECT_EQ(bench.Out.Resets.size(), 2U);
 }
 
-// Story: nobody answers a caller's opening, not even its last copy. It hears so
-// at once instead of waiting until its own time is up.
+// No server answers an opening or its last copy. The caller must be told by a
+// reset instead of waiting until its own timeout.
 TEST(PacketRouterTest, AnOpeningThatNobodyAnswersIsGivenUp) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -244,8 +245,8 @@
       bench.Out.reported(PacketEventKind::Refused, PacketReason::NoAnswer));
 }
 
-// Story: operators drop a route. The flow that is open on it gets its answer;
-// new flows are refused.
+// Operators remove a route. The open flow on it must still be served, and new
+// flows must be refused.
 TEST(PacketRouterTest, ADroppedRouteKeepsItsOpenFlows) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
@@ -274,8 +275,8 @@
   }
 }
 
-// Story: a server has just started and bears four flows a second. Nine daemons
-// with a busy hour behind them must not send it more together.
+// A cold server can take four new flows a second. Nine loaded daemons must not
+// exceed this together.
 TEST(PacketRouterTest, AColdServerGetsNoMoreThanItBearsFromAllDaemons) {
   constexpr size_t Daemons = 9;
   constexpr double PerSecond = 4;
@@ -297,13 +298,13 @@
     for (const auto &sent : bench.Out.Sent)
       toCold += sent.Tag == 4 ? 1 : 0;
   }
-  // Two seconds; each flow has two packets.
+  // The run takes two seconds, and each flow has two packets.
   EXPECT_LE(static_cast<double>(toCold) / 2, PerSecond * 2);
   EXPECT_GT(toCold, 4U);
 }
 
-// Story: the publishing service was away, and all entries expired though every
-// server lives. Openings must go on, spread over all of them.
+// The publishing service was unavailable, and all entries expired although the
+// servers are alive. Openings must still be spread over all of them.
 TEST(PacketRouterTest, ServersThatExpireTogetherStayInUse) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -333,8 +334,8 @@
   }
 }
 
-// Story: a daemon starts, and callers' packets are there before the first
-// updates of routes. Dropped, they would cost each caller 200 ms.
+// A daemon starts and receives openings before the first routes. Dropping them
+// would delay each caller by 200 ms.
 TEST(PacketRouterTest, OpeningsWaitForTheFirstState) {
   PacketRouterHarness bench;
   bench.sendOpening(1);
@@ -344,8 +345,8 @@
   EXPECT_EQ(bench.Out.Sent.size(), 1U);
 }
 
-// Story: a process was frozen for seconds. What it holds may be old, so new
-// flows wait for updates; open ones go on.
+// A process was suspended for seconds, so its routes may be outdated. New flows
+// must wait for updates, and open flows must continue.
 TEST(PacketRouterTest, AfterAPauseOpeningsWaitForARefresh) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -362,8 +363,7 @@
   EXPECT_EQ(bench.Out.Sent.size(), 4U);
 }
 
-// Story: so many flows are open that the memory is full. Further ones live by
-// their tokens alone.
+// The flow table is full. Further flows must be routed by their tokens alone.
 TEST(PacketRouterTest, AFullMemoryLosesNoFlow) {
   SeededRandom random(1);
   PacketRouterSettings settings = PacketRouterHarness::settings();
@@ -390,7 +390,7 @@
   EXPECT_EQ(router.flows(), 2U);
 }
 
-// The same input gives the same actions.
+// The same input must give the same actions.
 TEST(PacketRouterTest, IsDeterministic) {
   auto play = [] {
     PacketRouterHarness bench(7);
--- a/UnitTests/Packets/PacketRoutesBuilderTest.cpp
+++ b/UnitTests/Packets/PacketRoutesBuilderTest.cpp
@@ -7,18 +7,16 @@
 namespace balsamrack {
 namespace {
 
-// Story: after a loss of power a daemon starts and waits for its first updates.
-// Callers' openings come at once, but the daemon answers none for a fifth of a
-// second after the updates are there. Cause: a book without entries said that
-// its next change was due since the beginning of time, so the thread that
-// waited for updates looked without pause and used up the processor's
-// allotment.
+// A daemon starts after a power loss, and openings stay unanswered for 200 ms
+// after the first updates have arrived. This happens when a builder without
+// entries reports its next change as overdue: the thread that waits for updates
+// then polls continuously and uses up the process's CPU quota.
 TEST(PacketRoutesBuilderTest, AnEmptyBookHasNothingDue) {
   EXPECT_EQ(PacketRoutesBuilder().nextChange(), TimePoint(Duration::max()));
 }
 
-/// Processor time of this thread that a book of \p servers needs to take in
-/// that a quarter of them disappear.
+/// CPU time that a builder with \p servers servers needs to process the removal
+/// of a quarter of them.
 Duration measureRemovalTime(size_t servers) {
   PacketRoutesBuilder book;
   TimePoint now{Duration(1'000'000)};
@@ -48,12 +46,11 @@
   return processorTime() - before;
 }
 
-// Guards against a daemon that is busy for seconds with the loss of a failure
-// domain's servers: each was compared with all others.
+// The loss of all servers of a failure domain must not keep a daemon busy for
+// seconds, as happens when each server is compared with all others.
 TEST(PacketRoutesBuilderTest, TheLossOfADomainCostsWhatItsServersCost) {
   constexpr size_t Few = 500, TimesAsMany = 8;
-  // Half way, in powers, from what grows with servers to what grows with their
-  // square.
+  // Geometric mean of linear and quadratic growth.
   constexpr double MostGrowth = 8 * 2.83;
   Duration few = Duration::max(), many = Duration::max();
   for (int i = 0; i < 5; ++i) {
--- a/UnitTests/Packets/ReachTest.cpp
+++ b/UnitTests/Packets/ReachTest.cpp
@@ -7,7 +7,8 @@
 
 constexpr Duration Millisecond{1'000};
 
-/// Callers' openings find out that no server that takes new flows answers.
+/// Sends openings and fails probes until all servers except those with the tags
+/// \p reachable are known to be unreachable.
 void makeServersUnreachable(PacketRouterHarness &bench,
                             const std::vector<uint64_t> &reachable = {}) {
   for (uint16_t port = 1; port <= 40; ++port) {
@@ -20,8 +21,7 @@
   }
 }
 
-// Guards against a daemon that restarts in a failure domain that is cut off and
-// takes itself for ready.
+// A daemon that restarts in a partitioned failure domain must not appear ready.
 TEST(ReachTest, AStarterHasReachedNothing) {
   PacketRouterHarness bench;
   EXPECT_TRUE(bench.Router.hasProvenReachability());
@@ -37,8 +37,8 @@
   EXPECT_TRUE(bench.Router.dueAttempts(bench.Now).empty());
 }
 
-// Guards against a new entry in what is published that makes a daemon ready
-// which can reach no server.
+// A newly published server must not make a daemon ready that can reach no
+// server.
 TEST(ReachTest, ANewEntryProvesNothing) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -54,8 +54,8 @@
   EXPECT_TRUE(bench.Router.hasProvenReachability());
 }
 
-// Guards against servers that take no new flows and are all that a cut off
-// failure domain can reach.
+// Servers that accept no new flows must not count as reachable: they may be the
+// only ones that a partitioned failure domain can reach.
 TEST(ReachTest, AServerOfADomainThatIsOutProvesNothing) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -65,7 +65,7 @@
   EXPECT_FALSE(bench.Router.hasProvenReachability());
 }
 
-// A flow that opens is a proof as good as a connection.
+// An opened flow proves reachability just like a successful probe.
 TEST(ReachTest, AnOpenedFlowIsAProof) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -74,8 +74,9 @@
   EXPECT_TRUE(bench.Router.hasProvenReachability());
 }
 
-// Guards against callers whose tries are all refused before the fabric sends
-// them to failure domains that can serve them.
+// While the fabric switches to failure domains that can serve the callers,
+// first copies must be dropped instead of refused, or all tries of a caller may
+// be refused before the switch.
 TEST(ReachTest, FirstCopiesAreLeftToOthersWhileTheFabricTurnsAway) {
   PacketRouterHarness bench;
   bench.publishDefaults();
@@ -95,8 +96,8 @@
   EXPECT_EQ(bench.Out.Resets.size(), 1U);
 }
 
-// Guards against callers that wait for nothing where no daemon can serve them:
-// the domain's own servers, which no cut hides, are dead.
+// When the servers of the daemon's own failure domain are dead, no daemon can
+// serve the callers, so they must be refused at once.
 TEST(ReachTest, ADomainWhoseOwnServersAreDeadRefusesAtOnce) {
   PacketRouterHarness bench;
   bench.publishDefaults();
--- a/UnitTests/Packets/RequestTrackerTest.cpp
+++ b/UnitTests/Packets/RequestTrackerTest.cpp
@@ -8,7 +8,7 @@
 namespace balsamrack {
 namespace {
 
-/// One packet of a caller, and what it says.
+/// One packet of a caller, and the expected progress.
 struct ObservedPacket {
   int64_t AtMillis;
   uint32_t Sequence;
@@ -57,12 +57,12 @@
                       {31, 180, 0, 900, true, None},
                       {32, 180, 0, 1700, false, None}},
                      false},
-        // The next request carries the confirmation of the last answer.
+        // The next request acknowledges the previous answer.
         ProgressCase{"AnswerConfirmedByTheNextRequest",
                      {{0, 100, 80, 50, false, Begins},
                       {400, 180, 80, 900, true, Begins}},
                      true},
-        // Parts of one request overtake each other.
+        // The packets of one request are reordered.
         ProgressCase{"PartsInAnyOrder",
                      {{0, 2500, 160, 50, false, Begins},
                       {0, 1300, 1200, 50, false, GoesOn},
@@ -74,7 +74,8 @@
                       {200, 100, 80, 50, false, Repeated},
                       {600, 100, 80, 50, false, Repeated}},
                      true},
-        // The answer is there; its confirmation of the request was lost.
+        // The request is answered, but the acknowledgement of its data was
+        // lost.
         ProgressCase{"AnsweredAndRepeated",
                      {{0, 100, 80, 50, false, Begins},
                       {150, 180, 0, 900, true, None},
