--- a/UnitTests/Packets/LongFlowsTest.cpp
+++ b/UnitTests/Packets/LongFlowsTest.cpp
@@ -34,7 +34,7 @@
 // Callers keep flows open and send a request now and then. A daemon that counts
 // each open flow as a request in progress considers all slots taken, and delays
 // late openings by half a second although servers are idle.
-TEST(LongFlowsTest, IdleFlowsAreNoWork) {
+TEST(LongFlowsTest, IdleFlowsDoNotCountAsInProgress) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}}, 0, Duration(150'000));
   bench.publishServers({{"b1", "bern-a"}, {"b2", "bern-a"}});
@@ -115,7 +115,7 @@
 // healthy, but it ignores packets for the dead one, and callers with an open
 // flow there wait until their timeout. These flows must be reset whether or not
 // requests may be repeated.
-TEST_P(EachReplaced, ServersRequestsAreGivenUp) {
+TEST_P(EachReplaced, RequestsToReplacedServersAreGivenUp) {
   PacketRouterHarness bench;
   bench.Idempotent = GetParam();
   bench.configure(1, {{443, "booking"}, {444, "plans"}});
@@ -181,7 +181,7 @@
 // accept new flows are unreachable. Such a daemon must report that it reaches
 // no server; otherwise callers are refused during the whole partition, such as
 // 5 s.
-TEST(LongFlowsTest, ADaemonKnowsThatItReachesNoServer) {
+TEST(LongFlowsTest, ADaemonDetectsThatItReachesNoServer) {
   PacketRouterHarness bench;
   bench.publishDefaults();
   bench.takeDomainOut("bern-a");
@@ -223,7 +223,7 @@
 // A full server accepts connections but answers no openings. A successful probe
 // after the first unanswered opening must not hide that the second is
 // unanswered too.
-TEST(LongFlowsTest, AServerThatOnlyTakesConnectionsFallsSilent) {
+TEST(LongFlowsTest, AServerThatOnlyAcceptsConnectionsBecomesSilent) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
   bench.publishServers({{"b1", "bern-a"}});
@@ -357,7 +357,7 @@
 // Two failure domains are partitioned while more than half of forty callers
 // have their flow in the unreachable one. Without resets, each of these callers
 // loses one request to its timeout.
-TEST(LongFlowsTest, ACutBetweenDomainsLosesFewRequests) {
+TEST(LongFlowsTest, APartitionBetweenDomainsLosesFewRequests) {
   int lost = PartitionedSite().run();
   printf("requests lost in a cut: %d\n", lost);
   EXPECT_LE(lost, 2);
--- a/UnitTests/Packets/OpeningScenariosTest.cpp
+++ b/UnitTests/Packets/OpeningScenariosTest.cpp
@@ -35,7 +35,7 @@
 
 // As above, but no slot becomes free. The opening must still be sent before its
 // caller times out, since a late answer is better than none.
-TEST(OpeningScenariosTest, ALateOpeningIsSentOnBeforeItsTimeIsOver) {
+TEST(OpeningScenariosTest, ALateOpeningIsForwardedBeforeItsTimeout) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}}, 0, Duration(150'000));
   bench.publishServers({{"b1", "bern-a"}});
@@ -61,7 +61,7 @@
 // the flow opens. After it resumes, the daemon forwards all three at once and
 // sees no answer, since the caller answers through the other daemon. It must
 // neither reset the open flow nor consider live servers silent.
-TEST(OpeningScenariosTest, AWokenDaemonJudgesNothingByWhatWaitedForIt) {
+TEST(OpeningScenariosTest, AResumedDaemonIgnoresDelayedOpenings) {
   PacketRouterHarness bench;
   bench.publishDefaults();
   for (uint16_t port = 1; port <= 6; ++port)
@@ -74,7 +74,7 @@
 
 // As above, but the daemon is suspended after it forwarded the first copy. The
 // other copies arrive late, though not at shorter intervals.
-TEST(OpeningScenariosTest, ADaemonThatFellAsleepBetweenCopiesResetsNothing) {
+TEST(OpeningScenariosTest, ADaemonSuspendedBetweenCopiesResetsNothing) {
   PacketRouterHarness bench;
   bench.publishDefaults();
   bench.sendOpening(1, 0);
@@ -88,7 +88,7 @@
 // A server recovers just before a caller's last copy arrives. The caller gets
 // the answer, but its first packet to the server is lost and retransmitted
 // after 200 ms. A reset in between would break the open flow.
-TEST(OpeningScenariosTest, ALostFirstPacketHasTimeToComeAgain) {
+TEST(OpeningScenariosTest, ALostFirstPacketCanBeRetransmitted) {
   PacketRouterHarness bench;
   bench.publishDefaults();
   bench.sendOpening(1, 0);
@@ -106,7 +106,7 @@
 // The only server of a service is silent, and one of its callers waits for the
 // timeout of its last copy. Openings of other callers with silent servers must
 // not queue behind it for half a second before they are sent to another server.
-TEST(OpeningScenariosTest, ACallersLastCopyHoldsUpNobodyElse) {
+TEST(OpeningScenariosTest, ALastCopyDoesNotDelayOtherOpenings) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}, {444, "plans"}});
   bench.publishServers(
@@ -126,7 +126,7 @@
 }
 
 // All copies arrive on time, no server answers, and the caller sends no more.
-TEST(OpeningScenariosTest, ACallerIsToldOnceNobodyAnswersItsLastCopy) {
+TEST(OpeningScenariosTest, AnUnansweredLastCopyIsReset) {
   PacketRouterHarness bench;
   bench.publishDefaults();
   bench.sendOpening(1, 0);
@@ -189,7 +189,7 @@
 // When all servers are unreachable, callers must be refused at once instead of
 // waiting until their timeout. They must not be refused while the fabric is
 // still switching to daemons that can serve them.
-TEST_P(EachOutOfReach, CallersAreRefusedAtOnceThatNobodyCanServe) {
+TEST_P(EachOutOfReach, CallersThatNoDaemonCanServeAreRefusedAtOnce) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
   bench.publishServers({{"b1", GetParam().Domain}, {"b2", GetParam().Domain}});
--- a/UnitTests/Packets/PacketFlowTableTest.cpp
+++ b/UnitTests/Packets/PacketFlowTableTest.cpp
@@ -22,7 +22,7 @@
 // order in which they were added instead of the order of expiry, the slot of
 // the opening counts as taken until the first flow expires, and new flows avoid
 // an idle server.
-TEST(PacketFlowTableTest, ALongWaitHoldsUpNoOtherFlow) {
+TEST(PacketFlowTableTest, ALongTimerDoesNotDelayOthers) {
   PacketFlowTable memory(100);
   TrackedFlow *open = memory.add(Start, key(1));
   open->Stage = FlowStage::Open;
@@ -44,14 +44,14 @@
   EXPECT_NE(memory.find(key(1)), nullptr);
 }
 
-TEST(PacketFlowTableTest, TakesNoMoreThanItsBound) {
+TEST(PacketFlowTableTest, IsBounded) {
   PacketFlowTable memory(2);
   EXPECT_NE(memory.add(Start, key(1)), nullptr);
   EXPECT_NE(memory.add(Start, key(2)), nullptr);
   EXPECT_EQ(memory.add(Start, key(3)), nullptr);
 }
 
-TEST(PacketFlowTableTest, AFlowThatSpeaksStays) {
+TEST(PacketFlowTableTest, AnActiveFlowIsKept) {
   PacketFlowTable memory(10);
   memory.add(Start, key(1))->Stage = FlowStage::Open;
   int quiet = 0;
--- a/UnitTests/Packets/PacketLoadTest.cpp
+++ b/UnitTests/Packets/PacketLoadTest.cpp
@@ -289,7 +289,7 @@
 
 // Nine daemons each see a ninth of the flows to 14 servers with two slots. The
 // baseline selects the least loaded server by the daemon's own counts alone.
-TEST_P(EachLoad, SharesOfSlotsShortenTheWait) {
+TEST_P(EachLoad, SlotSharesShortenTheWait) {
   double with = 0, without = 0;
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     LoadedSite::Options options;
@@ -322,7 +322,7 @@
 // All daemons lose power for about a second and a half. Afterwards the callers
 // that called meanwhile return together with new ones. In the baseline the
 // daemons do not know the size of the fleet after the restart.
-TEST(PacketLoadTest, AfterALossOfAllDaemonsMostAreInTime) {
+TEST(PacketLoadTest, AfterAnOutageOfAllDaemonsMostAreInTime) {
   int with = 0;
   int without = 0;
   int asked = 0;
@@ -351,7 +351,7 @@
 // An outage at more than half load: earlier openings, new calls and second
 // attempts together exceed the capacity of the servers. The baseline serves
 // them in the order of arrival.
-TEST(PacketLoadTest, LateOpeningsGiveWayToThoseThatCanBeInTime) {
+TEST(PacketLoadTest, LateOpeningsYieldToThoseStillInTime) {
   LoadedSite::Result first, second;
   int lostWith = 0, lostWithout = 0;
   for (uint64_t seed = 1; seed <= 6; ++seed) {
--- a/UnitTests/Packets/PacketRouterTest.cpp
+++ b/UnitTests/Packets/PacketRouterTest.cpp
@@ -39,7 +39,7 @@
 
 // A server dies, but stays published for three more seconds. Each caller whose
 // flow is placed there must not have to wait 200 ms for its next copy.
-TEST(PacketRouterTest, AnUnansweredOpeningGoesElsewhereSoon) {
+TEST(PacketRouterTest, AnUnansweredOpeningIsSentToAnotherServerSoon) {
   PacketRouterHarness bench;
   bench.publishDefaults();
   bench.sendOpening(1);
@@ -58,7 +58,7 @@
 // After a restart a daemon adopts flows that have nearly ended. The rest of
 // their time must not count as request time, or the daemon would consider
 // occupied slots free.
-TEST(PacketRouterTest, AnAdoptedFlowTellsNoRequestTime) {
+TEST(PacketRouterTest, AnAdoptedFlowGivesNoRequestTime) {
   PacketRouterHarness bench;
   bench.publishDefaults();
   bench.sendOnFlow(1, tokenOf(ServerId("b1")));
@@ -89,7 +89,7 @@
 // Two failure domains are partitioned from each other. Detecting each server
 // of the other domain separately would delay two callers per server by 40 ms
 // or more.
-TEST(PacketRouterTest, ASilentDomainIsFoundByTwoOfItsServers) {
+TEST(PacketRouterTest, ASilentDomainIsDetectedByTwoOfItsServers) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
   bench.publishServers({{"b1", "bern-a"},
@@ -117,7 +117,7 @@
   EXPECT_LE(wasted, 6U);
 }
 
-TEST(PacketRouterTest, AServerThatTakesConnectionsAgainGetsFlowsAgain) {
+TEST(PacketRouterTest, AServerThatAcceptsConnectionsAgainGetsFlowsAgain) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
   bench.publishServers({{"b1", "bern-a"}});
@@ -137,7 +137,7 @@
 
 // An operator asks where a caller's next flow would be sent, and why. The
 // explanation must match the actual placement in any state of the daemon.
-TEST(PacketRouterTest, WhatIsToldOfAPlacingIsWhatHappens) {
+TEST(PacketRouterTest, ExplanationMatchesPlacement) {
   SeededRandom random(7);
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
@@ -169,7 +169,7 @@
   }
 }
 
-TEST(PacketRouterTest, ToldWhyANewFlowWouldGetNothing) {
+TEST(PacketRouterTest, ExplainsWhyANewFlowIsRefused) {
   PacketRouterHarness bench;
   EXPECT_EQ(
       bench.Router.explain(bench.Now, PacketRouterHarness::key(1)).Refused,
@@ -195,7 +195,7 @@
 
 // A caller uses an invented token or one of another service. Its packets must
 // reach no server, and a flow that may be open must not be reset.
-TEST_P(EachNotForwarded, IsDroppedInSilence) {
+TEST_P(EachNotForwarded, IsDroppedWithoutReset) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}, {444, "plans"}});
   bench.publishServers({{"b1", "bern-a"}, {"b7", "bern-a", "plans"}});
@@ -216,7 +216,7 @@
                                  445, PacketReason::NoRoute}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-TEST(PacketRouterTest, WhatCannotBeServedIsRefusedAtOnce) {
+TEST(PacketRouterTest, OpeningsWithoutServerOrRouteAreRefusedAtOnce) {
   PacketRouterHarness bench;
   bench.configure(1, {{443, "booking"}});
   bench.sendOpening(1);
@@ -230,7 +230,7 @@
 
 // No server answers an opening or its last copy. The caller must be told by a
 // reset instead of waiting until its own timeout.
-TEST(PacketRouterTest, AnOpeningThatNobodyAnswersIsGivenUp) {
+TEST(PacketRouterTest, AnOpeningThatNoServerAnswersIsGivenUp) {
   PacketRouterHarness bench;
   bench.publishDefaults();
   bench.sendOpening(1);
@@ -263,7 +263,7 @@
       bench.Out.reported(PacketEventKind::Refused, PacketReason::NoRoute));
 }
 
-TEST(PacketRouterTest, LeavingServersAndDomainsGetNoNewFlows) {
+TEST(PacketRouterTest, DrainingServersAndDomainsOutGetNoNewFlows) {
   PacketRouterHarness bench;
   bench.publishDefaults();
   bench.takeDomainOut("bern-b");
@@ -277,7 +277,7 @@
 
 // A cold server can take four new flows a second. Nine loaded daemons must not
 // exceed this together.
-TEST(PacketRouterTest, AColdServerGetsNoMoreThanItBearsFromAllDaemons) {
+TEST(PacketRouterTest, AllDaemonsTogetherRespectTheLimitOfAColdServer) {
   constexpr size_t Daemons = 9;
   constexpr double PerSecond = 4;
   size_t toCold = 0;
@@ -336,7 +336,7 @@
 
 // A daemon starts and receives openings before the first routes. Dropping them
 // would delay each caller by 200 ms.
-TEST(PacketRouterTest, OpeningsWaitForTheFirstState) {
+TEST(PacketRouterTest, OpeningsWaitForTheFirstRoutes) {
   PacketRouterHarness bench;
   bench.sendOpening(1);
   EXPECT_TRUE(bench.Out.Sent.empty());
@@ -364,7 +364,7 @@
 }
 
 // The flow table is full. Further flows must be routed by their tokens alone.
-TEST(PacketRouterTest, AFullMemoryLosesNoFlow) {
+TEST(PacketRouterTest, AFullFlowTableLosesNoFlow) {
   SeededRandom random(1);
   PacketRouterSettings settings = PacketRouterHarness::settings();
   settings.MaxFlows = 2;
--- a/UnitTests/Packets/PacketRoutesBuilderTest.cpp
+++ b/UnitTests/Packets/PacketRoutesBuilderTest.cpp
@@ -11,7 +11,7 @@
 // after the first updates have arrived. This happens when a builder without
 // entries reports its next change as overdue: the thread that waits for updates
 // then polls continuously and uses up the process's CPU quota.
-TEST(PacketRoutesBuilderTest, AnEmptyBookHasNothingDue) {
+TEST(PacketRoutesBuilderTest, AnEmptyBuilderHasNothingDue) {
   EXPECT_EQ(PacketRoutesBuilder().nextChange(), TimePoint(Duration::max()));
 }
 
@@ -48,7 +48,7 @@
 
 // The loss of all servers of a failure domain must not keep a daemon busy for
 // seconds, as happens when each server is compared with all others.
-TEST(PacketRoutesBuilderTest, TheLossOfADomainCostsWhatItsServersCost) {
+TEST(PacketRoutesBuilderTest, LossOfADomainCostsLinearTime) {
   constexpr size_t Few = 500, TimesAsMany = 8;
   // Geometric mean of linear and quadratic growth.
   constexpr double MostGrowth = 8 * 2.83;
--- a/UnitTests/Packets/ReachTest.cpp
+++ b/UnitTests/Packets/ReachTest.cpp
@@ -22,7 +22,7 @@
 }
 
 // A daemon that restarts in a partitioned failure domain must not appear ready.
-TEST(ReachTest, AStarterHasReachedNothing) {
+TEST(ReachTest, AStartedDaemonHasReachedNothing) {
   PacketRouterHarness bench;
   EXPECT_TRUE(bench.Router.hasProvenReachability());
   bench.publishDefaults();
@@ -56,7 +56,7 @@
 
 // Servers that accept no new flows must not count as reachable: they may be the
 // only ones that a partitioned failure domain can reach.
-TEST(ReachTest, AServerOfADomainThatIsOutProvesNothing) {
+TEST(ReachTest, AServerOfADomainOutOfServiceProvesNothing) {
   PacketRouterHarness bench;
   bench.publishDefaults();
   bench.finishAttempts([](ServerIndex) { return true; });
@@ -77,7 +77,7 @@
 // While the fabric switches to failure domains that can serve the callers,
 // first copies must be dropped instead of refused, or all tries of a caller may
 // be refused before the switch.
-TEST(ReachTest, FirstCopiesAreLeftToOthersWhileTheFabricTurnsAway) {
+TEST(ReachTest, FirstCopiesAreDroppedWhileTheFabricSwitches) {
   PacketRouterHarness bench;
   bench.publishDefaults();
   bench.finishAttempts([](ServerIndex) { return true; });
--- a/UnitTests/Packets/RequestTrackerTest.cpp
+++ b/UnitTests/Packets/RequestTrackerTest.cpp
@@ -26,7 +26,7 @@
 
 class EachProgress : public testing::TestWithParam<ProgressCase> {};
 
-TEST_P(EachProgress, IsFollowed) {
+TEST_P(EachProgress, IsTracked) {
   RequestTracker progress;
   for (const ObservedPacket &it : GetParam().Packets) {
     PacketHeader head;
