--- a/Balsamrack/Packets/PacketFailures.cpp
+++ b/Balsamrack/Packets/PacketFailures.cpp
@@ -56,12 +56,12 @@
   }
 }
 
-void PacketRouter::reportRecovery(ServerIndex server, bool was, bool domainWas,
-                                  PacketSink &out) {
-  if (was)
+void PacketRouter::reportRecovery(ServerIndex server, bool wasSilent,
+                                  bool domainWasSilent, PacketSink &out) {
+  if (wasSilent)
     out.report(
         makeEvent(PacketEventKind::ServerBack, PacketReason::None, {}, server));
-  if (was || domainWas)
+  if (wasSilent || domainWasSilent)
     updateShares();
 }
 
@@ -72,14 +72,14 @@
   bool silent = Detector.isSilent(server);
   if (how == ConnectionResult::Connected) {
     recordReached(server);
-    bool was = Detector.reportConnected(now, server);
-    reportRecovery(server, was, silent, out);
+    bool wasSilent = Detector.reportConnected(now, server);
+    reportRecovery(server, wasSilent, silent, out);
     return;
   }
   bool wasLost = Detector.isLost(server);
-  bool sure = how == ConnectionResult::Failed;
+  bool hasFailed = how == ConnectionResult::Failed;
   bool awaited = Servers.at(server).InProgress > 0;
-  if (Detector.reportAttemptFailed(now, server, sure, awaited))
+  if (Detector.reportAttemptFailed(now, server, hasFailed, awaited))
     reportSilentServer(server, {}, out);
   if (!wasLost && Detector.isLost(server))
     resetLostRequests(out);
--- a/Balsamrack/Packets/PacketFlowTable.cpp
+++ b/Balsamrack/Packets/PacketFlowTable.cpp
@@ -26,25 +26,25 @@
   return &flow;
 }
 
-void PacketFlowTable::processTimers(TimePoint now, const DurationOf &quiet,
-                                    const DurationOf &keep,
-                                    const IdleCallback &onQuiet) {
+void PacketFlowTable::processTimers(TimePoint now, const DurationOf &idleLimit,
+                                    const DurationOf &retention,
+                                    const IdleCallback &onIdle) {
   while (!Timers.empty() && Timers.top().At <= now) {
     FlowKey key = Timers.top().Key;
     Timers.pop();
     auto it = Flows.find(key);
     if (it == Flows.end())
       continue;
-    Duration silent = now - it->second.LastSeen;
-    bool over = silent >= keep(it->second);
-    Duration quietSpan = quiet(it->second);
-    if (over || silent >= quietSpan)
-      onQuiet(key, it->second, over);
-    if (over) {
+    Duration idle = now - it->second.LastSeen;
+    bool isExpired = idle >= retention(it->second);
+    Duration idleSpan = idleLimit(it->second);
+    if (isExpired || idle >= idleSpan)
+      onIdle(key, it->second, isExpired);
+    if (isExpired) {
       Flows.erase(it);
       continue;
     }
-    Duration next = silent >= quietSpan ? keep(it->second) : quietSpan;
+    Duration next = idle >= idleSpan ? retention(it->second) : idleSpan;
     Timers.push(
         {std::max(it->second.LastSeen + next, now + MinTimerInterval), key});
   }
--- a/Balsamrack/Packets/PacketFlowTable.h
+++ b/Balsamrack/Packets/PacketFlowTable.h
@@ -66,7 +66,7 @@
 /// removing one only loses its request count. Not thread-safe.
 class PacketFlowTable {
 public:
-  explicit PacketFlowTable(size_t most) : MaxFlows(most) {}
+  explicit PacketFlowTable(size_t maxFlows) : MaxFlows(maxFlows) {}
 
   /// The flow, or null.
   TrackedFlow *find(const FlowKey &key);
@@ -81,14 +81,14 @@
   /// Returns how long a flow may be without a packet.
   using DurationOf = std::function<Duration(const TrackedFlow &)>;
   /// Called for each flow that has exceeded its idle time, or that is about to
-  /// be removed (\p forgotten).
+  /// be removed (\p isRemoved).
   using IdleCallback = std::function<void(const FlowKey &key, TrackedFlow &flow,
-                                          bool forgotten)>;
-  /// Checks the flows whose timers have expired: calls \p onQuiet for each that
-  /// had no packet for the duration \p quiet returns, and removes those without
-  /// a packet for the duration \p keep returns.
-  void processTimers(TimePoint now, const DurationOf &quiet,
-                     const DurationOf &keep, const IdleCallback &onQuiet);
+                                          bool isRemoved)>;
+  /// Checks the flows whose timers have expired: calls \p onIdle for each that
+  /// had no packet for the duration \p idleLimit returns, and removes those
+  /// without a packet for the duration \p retention returns.
+  void processTimers(TimePoint now, const DurationOf &idleLimit,
+                     const DurationOf &retention, const IdleCallback &onIdle);
 
 private:
   /// When to check a flow.
--- a/Balsamrack/Packets/PacketRouter.cpp
+++ b/Balsamrack/Packets/PacketRouter.cpp
@@ -294,9 +294,9 @@
   out.report(event);
   recordReached(flow.Server);
   Detector.reportDelivered(flow.Server, flow.LastSent);
-  bool domainWas = Detector.isSilent(flow.Server);
-  bool was = Detector.reportAnswered(now, flow.Server);
-  reportRecovery(flow.Server, was, domainWas, out);
+  bool domainWasSilent = Detector.isSilent(flow.Server);
+  bool wasSilent = Detector.reportAnswered(now, flow.Server);
+  reportRecovery(flow.Server, wasSilent, domainWasSilent, out);
 }
 
 void PacketRouter::processDueOpenings(TimePoint now,
@@ -322,9 +322,9 @@
   while (!Retransmitted.empty() &&
          now - Retransmitted.front().At > RetransmittedRetention)
     Retransmitted.pop_front();
-  Duration openKeep = Settings.OpenRetention;
+  Duration openRetention = Settings.OpenRetention;
   if (Routes && Routes->IdleTimeout > Duration{0})
-    openKeep = std::min(openKeep, Routes->IdleTimeout);
+    openRetention = std::min(openRetention, Routes->IdleTimeout);
   Flows.processTimers(
       now,
       [this](const TrackedFlow &flow) {
@@ -339,11 +339,11 @@
         case FlowStage::Open:
           break;
         }
-        return openKeep;
+        return openRetention;
       },
-      [&](const FlowKey &key, TrackedFlow &flow, bool forgotten) {
+      [&](const FlowKey &key, TrackedFlow &flow, bool isRemoved) {
         uncountRequest(flow);
-        if (!forgotten || flow.Stage != FlowStage::Open)
+        if (!isRemoved || flow.Stage != FlowStage::Open)
           return;
         PacketEvent event = makeEvent(PacketEventKind::Forgotten,
                                       PacketReason::None, key, flow.Server);
--- a/Balsamrack/Packets/PacketRouter.h
+++ b/Balsamrack/Packets/PacketRouter.h
@@ -206,7 +206,7 @@
                      const PacketHeader &head);
   void countRequest(TimePoint now, TrackedFlow &flow, ServerIndex at);
   void uncountRequest(TrackedFlow &flow);
-  void reportRecovery(ServerIndex server, bool was, bool domainWas,
+  void reportRecovery(ServerIndex server, bool wasSilent, bool domainWasSilent,
                       PacketSink &out);
   void reportSilentServer(ServerIndex server, const FlowKey &flow,
                           PacketSink &out);
--- a/Balsamrack/Packets/PacketRoutes.h
+++ b/Balsamrack/Packets/PacketRoutes.h
@@ -80,8 +80,8 @@
   /// flows this long, ranked last: an entry that merely expired returns within
   /// two seconds, and one that is missing for longer is gone.
   static constexpr Duration ExpiredRetention{2'000'000};
-  /// Retention of removed servers and routes for their open flows. Supported
-  /// platforms may give up flows that are older than a minute.
+  /// Retention of removed servers and routes for their open flows. On the known
+  /// platforms, flows that are older than a minute may be given up.
   static constexpr Duration GoneRetention{120'000'000};
 
   /// Replaces the objects of the operators' section.
--- a/Balsamrack/Packets/ServerTable.h
+++ b/Balsamrack/Packets/ServerTable.h
@@ -85,9 +85,8 @@
   bool canTakeNewFlow(TimePoint now, ServerIndex index, double perSecond);
   /// Records a new flow at the server at \p index; see canTakeNewFlow().
   void recordNewFlow(TimePoint now, ServerIndex index, double perSecond);
-  /// Sets this daemon's slot shares of the servers \p of of \p service, and
-  /// zero
-  /// for its other servers. Precondition: both lists have the same length.
+  /// Sets this daemon's slot shares at the servers \p of, and zero at the other
+  /// servers of \p service. Precondition: both lists have the same length.
   void setShares(ServiceEntry &service, const std::vector<ServerIndex> &of,
                  const std::vector<double> &shares);
   /// The service of the server at \p index.
