--- a/Balsamrack/Packets/ConnectionProber.h
+++ b/Balsamrack/Packets/ConnectionProber.h
@@ -36,8 +36,7 @@
   /// Appends the descriptors to poll.
   void addPollFds(std::vector<pollfd> &polled) const;
   /// When the next attempt times out; the far future for never. The distant
-  /// past
-  /// when results are available.
+  /// past when results are available.
   TimePoint nextTimeout() const;
   /// Returns the attempts that have ended since the last call.
   std::vector<ConnectionAttemptResult> takeFinished(TimePoint now);
--- a/Balsamrack/Packets/PacketRouter.h
+++ b/Balsamrack/Packets/PacketRouter.h
@@ -65,6 +65,7 @@
 /// Decides where each packet is sent. Takes packet headers and passes actions
 /// to a PacketSink. Time and random numbers are parameters, so the same input
 /// gives the same actions. Not thread-safe.
+///
 /// The server of an open flow is known from this daemon's flow table or from
 /// the token that each packet of the flow carries; a new flow may go to any
 /// server. An opening that its server leaves unanswered is resent, byte for
@@ -102,8 +103,7 @@
                            ConnectionResult how, PacketSink &out);
 
   /// Describes the state of the flow \p key and where its first opening would
-  /// be
-  /// sent now. Changes nothing and draws no random number.
+  /// be sent now. Changes nothing and draws no random number.
   FlowExplanation explain(TimePoint now, const FlowKey &key);
   /// Number of daemons in the fleet, as set by setFleet().
   size_t daemons() const { return Daemons; }
@@ -226,8 +226,7 @@
   OpeningQueue Late;        ///< Late openings waiting for a free slot.
   std::deque<UnansweredOpening> Unanswered; ///< Approximately ordered by Due.
   /// Last copies that wait for a reset, ordered by Due. Kept in a separate
-  /// queue
-  /// because they wait longer and would delay the other openings.
+  /// queue because they wait longer and would delay the other openings.
   std::deque<UnansweredOpening> LastCopies;
   std::deque<RetransmittedRequest> Retransmitted; ///< Ordered by time.
   std::vector<OpeningCandidate> Candidates; ///< Reused to avoid allocations.
--- a/Balsamrack/Packets/RequestTracker.h
+++ b/Balsamrack/Packets/RequestTracker.h
@@ -28,6 +28,7 @@
 /// answers do not pass through the daemons. A flow that stays open for many
 /// requests occupies its server only between a request and its answer. If it
 /// were counted from opening to end, idle flows would appear to occupy slots.
+///
 /// A request begins with data beyond all previous data. It is answered when the
 /// caller acknowledges bytes of the server beyond those acknowledged at its
 /// start. Sequence numbers wrap around. Not thread-safe.
