--- a/Balsamrack/Packets/OpeningQueue.cpp
+++ b/Balsamrack/Packets/OpeningQueue.cpp
@@ -24,9 +24,9 @@
 
 OpeningQueue::Item OpeningQueue::pop() {
   assert(!Waiting.empty());
-  Item held = Items.front();
+  Item item = Items.front();
   Items.pop_front();
-  return held;
+  return item;
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Packets/PacketRouter.cpp
+++ b/Balsamrack/Packets/PacketRouter.cpp
@@ -123,13 +123,13 @@
     return;
   // Checks each opening once; those that keep waiting stay in order.
   for (size_t n = Late.size(); n > 0; --n) {
-    OpeningQueue::Item held = Late.pop();
-    const BufferedOpening &opening = held.Opening;
+    OpeningQueue::Item item = Late.pop();
+    const BufferedOpening &opening = item.Opening;
     // A later copy may have been forwarded already.
     if (isTrackedOpening(opening.Head))
       continue;
-    bool waits = now < held.Deadline && areSlotsTakenFor(now, opening.Head);
-    if (!waits || !Late.push(opening, held.Deadline))
+    bool waits = now < item.Deadline && areSlotsTakenFor(now, opening.Head);
+    if (!waits || !Late.push(opening, item.Deadline))
       place(now, opening.Head, opening.Packet.data(), opening.Bytes, out);
   }
 }
@@ -143,8 +143,8 @@
 
 void PacketRouter::placeBufferedOpenings(TimePoint now, PacketSink &out) {
   while (Routes && !Stale && !Buffered.empty()) {
-    OpeningQueue::Item held = Buffered.pop();
-    const BufferedOpening &opening = held.Opening;
+    OpeningQueue::Item item = Buffered.pop();
+    const BufferedOpening &opening = item.Opening;
     // Another copy of it was forwarded already.
     if (isTrackedOpening(opening.Head))
       continue;
