--- a/Balsamrack/Daemon/ControlPlane.cpp
+++ b/Balsamrack/Daemon/ControlPlane.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// A view costs a pass over all servers, so that a burst of membership updates
-/// is gathered for this long. Changes of configuration don't wait.
+/// Building a view iterates over all servers, so bursts of membership updates
+/// are batched for this long. Configuration changes aren't delayed.
 constexpr Duration ViewPeriod{50'000};
-/// A peer that holds more is asked no more often than this.
+/// Minimum interval between state requests to a peer that has newer state.
 constexpr Duration StateRequestPeriod{200'000};
-/// Earlier server sets whose first candidates may still hold flows.
+/// Number of earlier server sets whose first candidates may still have flows.
 constexpr size_t MaxEarlierServerSets = 3;
-/// Well below the largest frame, so that control stays in small pieces.
+/// Well below the maximum frame size, to keep control messages small.
 constexpr size_t StateMessageBytes = size_t{64} * 1024;
 
 OwnedServer::Origin originOf(AcquisitionKind how) {
@@ -60,7 +60,7 @@
   part->Members = std::move(*members);
   part->Ownership = std::move(*ownership);
 
-  // Start with what the settings say.
+  // Start with the peers from the settings.
   const TimePoint now = clock.now();
   part->stepMembership(now, Seeds{settings.Seeds});
   part->stepOwnership(now, ListedPeers{part->Members->listedDomainPeers()});
@@ -81,8 +81,8 @@
     const TimePoint now = Time.now();
     if (const auto *ping = std::get_if<Ping>(&message)) {
       stepMembership(now, MessageReceived{from, *ping});
-      // An answered ping may have renewed the sender's lease, which whoever
-      // waits for that lease to end has to know.
+      // Answering the ping may have renewed the sender's lease, and ownership
+      // may be waiting for that lease to expire.
       if (from.Domain == Settings.Self.Domain)
         membersChanged(now);
     } else if (const auto *request = std::get_if<PingRequest>(&message)) {
@@ -123,7 +123,8 @@
       TelemetrySink.recordDecision(std::move(decision));
       TelemetrySink.log(Part::Reader, Severity::Info,
                         absl::StrCat("Ticket ", merged.View->highest().Value,
-                                     " is in force, by ", from, "."));
+                                     " is in force, received from ", from,
+                                     "."));
       configurationChanged(Time.now());
     }
   }
@@ -142,8 +143,8 @@
 
 void ControlPlane::onCondition(ServerCondition condition) {
   std::lock_guard<std::mutex> guard(Lock);
-  // The run goes before the owner's own count, so that a later owner's word
-  // wins over an earlier one's.
+  // The run is in the upper bits, above the owner's own count, so that a later
+  // owner's report supersedes an earlier owner's.
   constexpr uint64_t CountBits = 20;
   condition.Version = (Settings.Run.Value << CountBits) |
                       (condition.Version & ((1U << CountBits) - 1));
@@ -167,12 +168,14 @@
 void ControlPlane::handleLeaseExpiry(TimePoint now) {
   if (ExpiryToClear || Fence.state(now) != AuthorityState::Renewed)
     return;
-  // Whatever was owned may have another owner by now: win it anew. The fence
-  // stays closed until applyOwned() has taken it from the owner part, which
-  // would otherwise dispatch to it once more.
+  // The owned servers may have other owners by now, so ownership has to be
+  // acquired again. The fence stays closed until applyOwned() has withdrawn the
+  // servers from the OwnerDispatcher, which would otherwise dispatch to them
+  // once more.
   ExpiryToClear = Fence.expiries();
   TelemetrySink.log(Part::Membership, Severity::Warning,
-                    "Authority had expired. All ownership is won anew.");
+                    "Authority to dispatch had expired. All servers are "
+                    "released and acquired again.");
   stepOwnership(now, AuthorityExpired{});
   OwnedChanged = true;
 }
@@ -190,7 +193,7 @@
 
 bool ControlPlane::isReleased() const {
   std::lock_guard<std::mutex> guard(Lock);
-  // The last daemon of its domain has nobody to hand over to.
+  // The last daemon of its domain has no peer to hand over to.
   bool handedOver =
       Ownership->owned().empty() || Members->liveDomainPeers().empty();
   return handedOver && Losses.empty() && Outbox.empty();
@@ -250,7 +253,7 @@
     stepOwnership(now, AuthorityExpired{});
   } else if (std::get_if<Superseded>(&action)) {
     TelemetrySink.log(Part::Membership, Severity::Error,
-                      "A later run of this VM is there. This one ends.");
+                      "A later run of this VM exists. This one shuts down.");
     stepOwnership(now, AuthorityExpired{});
     IsSuperseded = true;
   } else if (const auto *explain = std::get_if<Explain>(&action)) {
@@ -330,8 +333,8 @@
 
 EntryVm ControlPlane::ownerOf(const BackendServer &server,
                               const OwnershipMap &map) const {
-  // In the own domain ownership itself is known, which lags behind the map
-  // while a server is handed over.
+  // In this daemon's own domain actual ownership is known. It lags behind the
+  // map while a server is handed over.
   if (Ownership->owns(server.Id))
     return Settings.Self;
   if (const auto holder = Ownership->holderOf(server.Id)) {
@@ -391,9 +394,9 @@
 }
 
 void ControlPlane::applyChanges() {
-  // Ownership is applied before anything is sent, and by one thread at a time:
-  // a message that tells others that this daemon lives, or that it releases a
-  // server, must not leave while something may still be dispatched to it.
+  // Apply ownership before sending anything, on one thread at a time: a message
+  // that shows this daemon to be alive, or releases a server, must not be sent
+  // while requests may still be dispatched to that server.
   std::lock_guard<std::mutex> applying(ApplyLock);
   for (;;) {
     bool owned = false;
@@ -443,7 +446,7 @@
   if (expiry)
     Fence.restart(*expiry, Time.now());
 
-  // Only now can it be said that nothing more leaves for what was lost.
+  // From here on, nothing more is dispatched to the lost servers.
   for (const StopDispatching &it : losses) {
     HandedOverServer handed;
     handed.InProgress = Listener.onLost(it.Server, it.NewOwner);
--- a/Balsamrack/Daemon/ControlPlane.h
+++ b/Balsamrack/Daemon/ControlPlane.h
@@ -23,43 +23,45 @@
 
 namespace balsamrack {
 
-/// Settings of a ControlPart.
+/// Settings of a ControlPlane.
 struct ControlSettings {
-  MembershipSettings Membership;   ///< Times of membership and ownership.
+  MembershipSettings Membership;   ///< Timing of membership and ownership.
   EntryVm Self;                    ///< This daemon's VM.
-  Incarnation Run;                 ///< This run.
+  Incarnation Run;                 ///< Incarnation of this run.
   std::vector<EntryVm> Seeds;      ///< Peers known from the settings.
-  Duration KeyMemory{600'000'000}; ///< How long the departed matter to keys.
-  uint64_t Seed = 1;               ///< Differs from run to run.
+  Duration KeyMemory{600'000'000}; ///< Time departed daemons matter to keys.
+  uint64_t Seed = 1;               ///< Unique to each run.
 };
 
-/// Receives what the control part works out. Called without its lock held, one
+/// Receives the results of a ControlPlane. Called without its lock held, one
 /// call at a time.
 class ControlListener {
 public:
   virtual ~ControlListener() = default;
-  /// The servers owned from now on. Nothing may be dispatched to another server
-  /// once it returns.
+  /// Sets the owned servers. Nothing may be dispatched to any other server once
+  /// it returns.
   virtual void onOwned(const OwnedServers &owned) = 0;
-  /// A server has been lost to \p newOwner (empty id: to nobody), and onOwned
-  /// has returned. Returns what is left in progress there.
+  /// Ownership of \p server was lost to \p newOwner (empty id: to no daemon).
+  /// Called after onOwned() has returned. Returns the number of requests still
+  /// in progress at the server.
   virtual uint32_t onLost(const ServerId &server, const EntryVm &newOwner) = 0;
-  /// A server has been won; flows that live on it may be unknown here.
+  /// Ownership of \p server was gained. This daemon may not know all flows
+  /// bound to it.
   virtual void onGained(const ServerId &server) = 0;
-  /// A later run of this VM is there: this process must end.
+  /// A later run of this VM exists: this process must exit.
   virtual void onSuperseded() = 0;
-  /// A new view for routing.
+  /// A new routing view is available.
   virtual void onView(std::shared_ptr<const RoutingView> view) = 0;
 };
 
-/// What operators may know of the control part.
+/// State of a ControlPlane for operators.
 struct ControlReport {
-  MemberMap Members;            ///< All daemons known.
+  MemberMap Members;            ///< All known daemons.
   std::vector<ServerId> Owned;  ///< Owned servers.
-  std::vector<ServerId> Wanted; ///< Wanted, but not owned yet.
-  AuthorityState Authority = AuthorityState::Held; ///< May it dispatch?
-  std::map<DomainId, bool> Reachable; ///< Domains that members stand in.
-  bool Leaving = false;               ///< It is on its way out.
+  std::vector<ServerId> Wanted; ///< Servers to be owned, but not owned yet.
+  AuthorityState Authority = AuthorityState::Held; ///< Permission to dispatch.
+  std::map<DomainId, bool> Reachable; ///< Reachability of each domain.
+  bool Leaving = false;               ///< A graceful leave has begun.
 };
 
 /// Membership, ownership and configuration of one daemon under one lock.
@@ -72,28 +74,32 @@
          ConfigurationStore &store, OwnershipFence &fence, PeerSender &sender,
          Telemetry &telemetry, ControlListener &listener);
 
-  /// Takes in a message of the control protocols; false for any other.
+  /// Handles a message of the control protocols; returns false for any other.
   /// Thread-safe.
   bool onMessage(const EntryVm &from, const PeerMessage &message);
-  /// Objects came from the platform. Thread-safe.
+  /// Merges configuration objects received from \p from, the platform or a
+  /// peer. Thread-safe.
   void onObjects(const std::vector<ObjectState> &objects,
                  const std::string &from);
-  /// The platform's VM list. Thread-safe.
+  /// Applies the platform's VM list. Thread-safe.
   void onVmList(const std::vector<EntryVm> &vms);
-  /// An owned server's condition changed. Thread-safe.
+  /// Publishes the changed condition of an owned server to peers. Thread-safe.
   void onCondition(ServerCondition condition);
-  /// Time has passed. Call every few tens of milliseconds. Thread-safe.
+  /// Processes timeouts. Call every few tens of milliseconds. Thread-safe.
   void tick(TimePoint now);
-  /// Begins a graceful leave: others take over what is owned. Thread-safe.
+  /// Begins a graceful leave: other daemons take over the owned servers.
+  /// Thread-safe.
   void beginLeave();
-  /// True when nothing is owned that another daemon could take. Thread-safe.
+  /// True if no server is owned that another daemon could take over.
+  /// Thread-safe.
   bool isReleased() const;
-  /// Announces that it leaves. Precondition: released(). Thread-safe.
+  /// Announces to peers that this daemon has left. Precondition: isReleased().
+  /// Thread-safe.
   void finishLeave();
 
-  /// The view in force; null before the first one. Thread-safe.
+  /// The current routing view; null before the first one. Thread-safe.
   std::shared_ptr<const RoutingView> view() const;
-  /// State for operators. Thread-safe.
+  /// Returns the state for operators. Thread-safe.
   ControlReport report(TimePoint now) const;
 
 private:
@@ -102,7 +108,7 @@
                PeerSender &sender, Telemetry &telemetry,
                ControlListener &listener);
 
-  // All of these are called with the lock held.
+  // Called with Lock held.
   void stepMembership(TimePoint now, const MembershipEvent &event);
   void stepOwnership(TimePoint now, const OwnershipEvent &event);
   void onMembershipAction(TimePoint now, const MembershipAction &action);
@@ -120,8 +126,8 @@
   KeyReplicaView guardians(TimePoint now) const;
 
   void applyChanges(); ///< Called without any lock.
-  void applyOwned();   ///< Called with ApplyLock.
-  void applyView();    ///< Called with ApplyLock.
+  void applyOwned();   ///< Called with ApplyLock held.
+  void applyView();    ///< Called with ApplyLock held.
 
   const ControlSettings Settings;
   const Clock &Time;
@@ -131,25 +137,25 @@
   Telemetry &TelemetrySink;
   ControlListener &Listener;
 
-  std::mutex ApplyLock;    ///< One application at a time; taken before Lock.
-  mutable std::mutex Lock; ///< Guards all below.
+  std::mutex ApplyLock;    ///< Serialises applyChanges(); acquired before Lock.
+  mutable std::mutex Lock; ///< Guards all members below.
   std::unique_ptr<Membership> Members;
   std::unique_ptr<OwnershipTracker> Ownership;
-  std::map<ServerId, ServerAcquired> Gains; ///< How each owned server came.
-  std::map<ServerId, ServerCondition> Conditions; ///< Newest of owned servers.
-  std::vector<StopDispatching> Losses;            ///< Not applied yet.
-  std::vector<ServerId> GainedServers;            ///< Not told yet.
+  std::map<ServerId, ServerAcquired>
+      Gains; ///< How each owned server was gained.
+  std::map<ServerId, ServerCondition> Conditions; ///< Latest, by owned server.
+  std::vector<StopDispatching> Losses; ///< Losses that are not applied yet.
+  std::vector<ServerId> GainedServers; ///< Not reported to Listener yet.
   std::vector<std::pair<EntryVm, PeerMessage>> Outbox; ///< Not sent yet.
   std::map<ServiceId, std::deque<std::vector<RankedServer>>>
-      EarlierServerSets; ///< Server sets, newest first.
-  std::map<VmId, TimePoint>
-      StateRequestedAt; ///< Last StateRequest to each peer.
+      EarlierServerSets; ///< Server sets of each service, newest first.
+  std::map<VmId, TimePoint> StateRequestedAt; ///< Last request to each peer.
   std::shared_ptr<const RoutingView> View;
-  bool OwnedChanged = false; ///< applyOwned is due.
-  bool ViewStale = true;     ///< applyView is due.
+  bool OwnedChanged = false; ///< applyOwned() is due.
+  bool ViewStale = true;     ///< applyView() is due.
   TimePoint ViewBuiltAt;     ///< When the view was last built.
   bool Leaving = false;
-  bool IsSuperseded = false;             ///< Not told yet.
+  bool IsSuperseded = false;             ///< Not reported to Listener yet.
   std::optional<uint64_t> ExpiryToClear; ///< Fence.restart() is due after
                                          ///< applyOwned().
 };
--- a/Balsamrack/Daemon/Daemon.cpp
+++ b/Balsamrack/Daemon/Daemon.cpp
@@ -17,16 +17,18 @@
 
 namespace {
 
-/// Fine enough for queue deadlines, coarse enough to cost next to nothing.
+/// Short enough for queue deadlines, long enough for a negligible CPU cost.
 constexpr Duration TickPeriod{10'000};
-/// Idle flows and old keys are looked for this often.
+/// Interval between removals of idle flows and expired idempotency keys.
 constexpr Duration HousekeepingPeriod{5'000'000};
-/// Exceptions are sent in batches: see the budget in docs/CAPACITY.md.
+/// Flow exceptions are sent in batches, to stay within the traffic budget of
+/// docs/CAPACITY.md.
 constexpr Duration ExceptionPeriod{500'000};
 constexpr size_t ExceptionBytes = 512;
 constexpr size_t KeysPerMessage = 500;
 
-/// Rises with each start on the same VM, as long as its wall clock does.
+/// Returns the incarnation of this run. It increases with each start on the
+/// same VM as long as the wall clock isn't set back.
 Incarnation newIncarnation() {
   return Incarnation{static_cast<uint64_t>(
       std::chrono::duration_cast<std::chrono::microseconds>(
@@ -71,7 +73,7 @@
       Run(newIncarnation()), Seed(combineHash(Config.Vm.hash(), Run.Value)) {}
 
 Daemon::~Daemon() {
-  // Without a reader the start failed early, and nothing runs that others know.
+  // Without a reader, create() failed before anything ran that peers rely on.
   if (!Stopped && Reader)
     shutDown();
 }
@@ -157,7 +159,8 @@
 }
 
 absl::Status Daemon::openPorts() {
-  // Before peers can be heard: their updates open callers' ports.
+  // Create the caller port before the peer transport, since configuration
+  // updates from peers open ports for callers.
   CallerPortSettings callers;
   callers.Ip = Config.Callers.Ip;
   callers.MaxBodyBytes = Config.Callers.MaxBodyBytes;
@@ -200,8 +203,8 @@
   OperatorListener = std::move(*operators);
   TelemetrySink->log(Part::Daemon, Severity::Info,
                      absl::StrCat("VM ", Self.Id.str(), " in ",
-                                  Self.Domain.str(), " serves. Run ", Run.Value,
-                                  "."));
+                                  Self.Domain.str(), " is serving. Run ",
+                                  Run.Value, "."));
   return absl::OkStatus();
 }
 
@@ -210,13 +213,14 @@
   const TimePoint end = start + Config.ShutdownLimit;
   TelemetrySink->log(Part::Daemon, Severity::Info, "Shutdown begins.");
 
-  // Let others take over what is owned; packets are still served meanwhile.
-  // However long that takes, requests in hand keep half of the time to end.
+  // Hand owned servers over while still serving packets. This may use half of
+  // the shutdown limit, so that requests in progress keep the other half to
+  // complete.
   Control->beginLeave();
   const bool released = waitFor(start + Config.ShutdownLimit / 2,
                                 [&] { return Control->isReleased(); });
 
-  // Take no new packets, and end those in hand.
+  // Reject new packets and complete those in progress.
   CallerListener->stop();
   Owner->beginShutdown();
   const bool ended =
@@ -225,7 +229,7 @@
   handOverKeys();
   Control->finishLeave();
 
-  // Stop the threads: those that call others first.
+  // Stop the threads, each before those that it calls.
   Reader->stop();
   {
     std::lock_guard<std::mutex> guard(StopLock);
@@ -348,7 +352,7 @@
       const uint32_t at = port + uint32_t{Config.Callers.PortOffset};
       const absl::Status status =
           at > 65535 ? makeError(absl::StatusCode::kOutOfRange, Step::Listen,
-                                 absl::StrCat(at), "port beyond 65535")
+                                 absl::StrCat(at), "port is above 65535")
                      : CallerListener->open(static_cast<uint16_t>(at));
       std::lock_guard<std::mutex> guard(PortsLock);
       if (status.ok())
@@ -364,9 +368,10 @@
     return absl::OkStatus();
   }
   PeerTransport *transport = ActiveTransport.load();
-  return transport ? transport->send(to, message)
-                   : makeError(absl::StatusCode::kUnavailable, Step::SendToPeer,
-                               to.Id.str(), "peers are not connected yet");
+  return transport
+             ? transport->send(to, message)
+             : makeError(absl::StatusCode::kUnavailable, Step::SendToPeer,
+                         to.Id.str(), "peer transport is not started yet");
 }
 
 void Daemon::onPeerMessage(const EntryVm &from, PeerMessage message) {
@@ -421,14 +426,15 @@
 }
 
 void Daemon::onGained(const ServerId &server) {
-  // After a hand-over too: flows may have been bound after it was written.
-  // Without this a flow's packet was answered "elsewhere" by the very owner of
-  // its server, and accepted by another.
+  // Also needed after a hand-over, since flows may have been bound after the
+  // hand-over message was written. Without it, the owner of a flow's server
+  // rejected the flow's packet as "elsewhere", and another owner accepted it.
   Flows->markTakenOver(Time.now(), server);
 }
 
 void Daemon::onSuperseded() {
-  // The same way out as an operator's: main waits for this signal.
+  // main() waits for this signal, so this takes the same path as a shutdown by
+  // an operator.
   ::kill(::getpid(), SIGTERM);
 }
 
--- a/Balsamrack/Daemon/Daemon.h
+++ b/Balsamrack/Daemon/Daemon.h
@@ -20,23 +20,25 @@
 
 namespace balsamrack {
 
-/// One daemon: the three parts wired to their adapters. Construct, let it run,
-/// then shut it down.
+/// A daemon on the HTTP carrier: owns the control plane, the entry and the
+/// owner, and connects them to the network. Runs from create() until
+/// shutDown().
 class Daemon final : public PeerSender,
                      public PeerListener,
                      public ControlListener {
 public:
-  /// Starts everything. Precondition: \p clock outlives the result. Errors
-  /// (step listen or read-settings) name what can't be had; nothing runs then.
-  /// A platform that is down is no error: the daemon then lives on what its
-  /// peers tell.
+  /// Opens all ports and starts all threads. Precondition: \p clock outlives
+  /// the result. Errors (step listen or read-settings) name the resource that
+  /// is unavailable; nothing is left running then. An unreachable platform is
+  /// not an error: the daemon then gets its configuration from its peers.
   static absl::StatusOr<std::unique_ptr<Daemon>>
   create(const Settings &settings, const Clock &clock);
   ~Daemon() override;
 
-  /// Leaves gracefully: hands over what it owns, ends what is in progress, says
-  /// leave message. Blocks, at most for the settings' shutdown limit. True when
-  /// all was in order. Not thread-safe; call once.
+  /// Shuts down gracefully: hands over owned servers, completes requests in
+  /// progress and announces to peers that it leaves. Blocks for at most the
+  /// shutdown limit of the settings. Returns true if all requests completed in
+  /// time. Not thread-safe; call once.
   bool shutDown();
 
   absl::Status send(const EntryVm &to, PeerMessage message) override;
@@ -69,7 +71,7 @@
   const Clock &Time;
   const EntryVm Self;
   const Incarnation Run;
-  const uint64_t Seed; ///< Differs from run to run.
+  const uint64_t Seed; ///< Unique to each run.
   std::unique_ptr<DaemonTelemetry> TelemetrySink;
   std::unique_ptr<Recorder> Record; ///< Null when nothing is recorded.
   std::unique_ptr<ConfigurationStore> Store;
@@ -82,14 +84,15 @@
   std::unique_ptr<ControlPlane> Control;
   std::unique_ptr<PeerTransport> Transport;
   std::atomic<PeerTransport *> ActiveTransport{
-      nullptr}; ///< Transport, once made: its threads send at once.
+      nullptr}; ///< Transport once it exists, null before. Atomic, since the
+                ///< transport's threads send as soon as they start.
   std::unique_ptr<PlatformLink> Platform;
   std::unique_ptr<PlatformReader> Reader;
   std::unique_ptr<DaemonOperatorHandler> Operators;
   std::unique_ptr<OperatorPort> OperatorListener;
   std::unique_ptr<CallerPort> CallerListener;
-  std::mutex PortsLock;           ///< Guards the next one.
-  std::set<uint16_t> FailedPorts; ///< Told once each.
+  std::mutex PortsLock;           ///< Guards FailedPorts.
+  std::set<uint16_t> FailedPorts; ///< Logged once each.
   std::mutex StopLock;            ///< Guards Stopping.
   std::condition_variable StopChanged;
   bool Stopping = false;
--- a/Balsamrack/Daemon/DaemonOperatorHandler.h
+++ b/Balsamrack/Daemon/DaemonOperatorHandler.h
@@ -11,7 +11,7 @@
 
 namespace balsamrack {
 
-/// What an OperatorPart looks at. All outlive it.
+/// Objects that a DaemonOperatorHandler reads. All outlive it.
 struct OperatorSources {
   const Clock &Time;
   EntryVm Self;
@@ -25,11 +25,10 @@
   const DaemonTelemetry &TelemetrySink;
 };
 
-/// Answers operators' questions from what the other parts hold; changes
-/// nothing.
+/// Answers operators' queries about a daemon on the HTTP carrier. Read-only.
 class DaemonOperatorHandler final : public OperatorHandler {
 public:
-  /// Precondition: what \p sources refers to outlives the result.
+  /// Precondition: all objects that \p sources refers to outlive the result.
   explicit DaemonOperatorHandler(const OperatorSources &sources);
 
   OperatorAnswer answer(const OperatorQuestion &question) override;
--- a/Balsamrack/Daemon/DaemonTelemetry.cpp
+++ b/Balsamrack/Daemon/DaemonTelemetry.cpp
@@ -53,8 +53,8 @@
   std::unique_ptr<Metrics> Registry;
   std::unique_ptr<Log> Logger;
   std::unique_ptr<SpanSink> Spans;
-  std::mutex Lock;                            ///< Guards what follows.
-  std::map<std::string, MetricFamily> Gauges; ///< Made on their first use.
+  std::mutex Lock;                            ///< Guards Gauges.
+  std::map<std::string, MetricFamily> Gauges; ///< Created on first use.
 };
 
 absl::StatusOr<std::unique_ptr<DaemonTelemetry>>
--- a/Balsamrack/Daemon/DaemonTelemetry.h
+++ b/Balsamrack/Daemon/DaemonTelemetry.h
@@ -14,12 +14,12 @@
 
 namespace balsamrack {
 
-/// The daemon's own Telemetry: journal, metrics, spans and log together, and
-/// the answers to operators' questions about them.
+/// Telemetry of a daemon on the HTTP carrier: writes the journal, metrics,
+/// spans and log, and answers operators' queries about them.
 class DaemonTelemetry final : public Telemetry {
 public:
-  /// Opens what \p settings name. Precondition: \p clock outlives the result.
-  /// Error (step read-settings) when a file can't be opened. Thread-safe.
+  /// Opens the files named in \p settings. Precondition: \p clock outlives the
+  /// result. Error (step read-settings) if a file can't be opened. Thread-safe.
   static absl::StatusOr<std::unique_ptr<DaemonTelemetry>>
   create(const ObservabilitySettings &settings, const VmId &vm,
          const Clock &clock, uint64_t seed);
@@ -35,14 +35,16 @@
   void log(Part part, Severity severity, const std::string &sentence) override;
   void recordError(Part part, const absl::Status &status) override;
 
-  /// Sets a gauge that is shown with the metrics. Precondition: \p name is a
-  /// string literal. Thread-safe.
+  /// Sets a gauge metric. Precondition: \p name is a string literal.
+  /// Thread-safe.
   void setGauge(const char *name, double value);
-  /// Decisions about a "request", "flow", "server" or "ticket", oldest first.
-  /// Error kInvalidArgument for another kind or an unreadable id. Thread-safe.
+  /// Returns the decisions about a "request", "flow", "server" or "ticket",
+  /// oldest first. Error kInvalidArgument for another kind or a malformed id.
+  /// Thread-safe.
   absl::StatusOr<std::vector<Decision>>
   findDecisions(const std::string &kind, const std::string &id) const;
-  /// Spans held of the trace with these 32 hex digits. Thread-safe.
+  /// Returns the stored spans of a trace, given by its id of 32 hex digits.
+  /// Thread-safe.
   nlohmann::json findSpans(const std::string &trace) const;
   /// Metrics in Prometheus text format. Thread-safe.
   std::string metricsText() const;
--- a/Balsamrack/Daemon/EntryHandler.cpp
+++ b/Balsamrack/Daemon/EntryHandler.cpp
@@ -18,7 +18,8 @@
 
 constexpr Duration OneSecond{1'000'000};
 
-/// HTTP status by which a caller without our headers can tell the endings.
+/// Maps an outcome to an HTTP status, for callers that don't read the
+/// Balsamrack headers.
 uint32_t httpStatusOf(const Outcome &outcome) {
   switch (outcome.How) {
   case OutcomeKind::Answered:
@@ -36,8 +37,8 @@
   return byKey ? 409 : 504;
 }
 
-/// The caller's answer: the server's, or a refusal in plain text, with the
-/// envelope's fields added.
+/// Builds the response to the caller: the server's response, or an error in
+/// plain text, with the envelope fields added.
 Answer toAnswer(const Outcome &outcome, const std::string &token) {
   Answer answer = outcome.Content;
   answer.Status = httpStatusOf(outcome);
@@ -70,20 +71,19 @@
 
 } // namespace
 
-/// A packet that waits for its ending. The thread that serves it holds it, the
-/// shard points to it.
+/// A packet in progress, shared by the thread that serves it and its shard.
 struct EntryHandler::PendingPacket {
-  Message Content; ///< Forwarded as it is.
-  Envelope Head;   ///< With the trace of the entry's span.
+  Message Content; ///< Forwarded unchanged.
+  Envelope Head;   ///< Envelope with the traceparent of the entry's span.
   std::mutex Lock; ///< Guards Ended.
   std::condition_variable Changed;
   std::optional<EndPacket> Ended; ///< Set once.
 };
 
-/// A router with the packets that it decides about.
+/// A router and the packets in progress that it routes.
 struct EntryHandler::Shard {
-  std::string Name;                    ///< In recordings.
-  std::mutex Lock;                     ///< Guards all below.
+  std::string Name;                    ///< Identifies the shard in recordings.
+  std::mutex Lock;                     ///< Guards Router and Packets.
   std::unique_ptr<EntryRouter> Router; ///< Not null.
   absl::flat_hash_map<RequestId, std::shared_ptr<PendingPacket>> Packets;
 };
@@ -94,7 +94,7 @@
                      Telemetry &telemetry) {
   if (settings.Shards == 0 || (settings.Shards & (settings.Shards - 1)) != 0)
     return makeError(absl::StatusCode::kInvalidArgument, Step::ReadSettings, "",
-                     "entry shards: not a power of two");
+                     "number of entry shards is not a power of two");
   std::unique_ptr<EntryHandler> part(
       new EntryHandler(settings, clock, store, sender, telemetry));
   for (uint32_t i = 0; i < settings.Shards; ++i) {
@@ -127,8 +127,8 @@
 }
 
 RequestId EntryHandler::nextRequest(FlowId flow) {
-  // Unique across daemons and runs by the seed; the low bits name the shard,
-  // so that all packets of a flow meet under one lock.
+  // The seed makes ids unique across daemons and runs. The low bits select the
+  // shard, so that all packets of a flow share one lock.
   const uint64_t mask = Settings.Shards - 1;
   uint64_t id = combineHash(Settings.Seed, ++Sequence);
   id = (id & ~mask) | (flow.Value & mask);
@@ -137,7 +137,7 @@
 
 Answer EntryHandler::serve(uint16_t port, const std::string &peerIp,
                            Message message) {
-  // Who is meant, and who asks.
+  // Look up the service and read the envelope.
   const TimePoint start = Time.now();
   const auto view = Store.view();
   const Service *service =
@@ -154,7 +154,7 @@
   if (InProgress.load() >= Settings.MaxInProgress)
     return refuse(peerIp, 503, Reason::QueueFull, "too many packets in hand");
 
-  // Let the router decide, and wait for the packet's ending.
+  // Pass the packet to the router and wait for its outcome.
   auto packet = std::make_shared<PendingPacket>();
   const std::string parent = envelope->Head.Trace;
   packet->Head = envelope->Head;
@@ -176,7 +176,7 @@
   }
   --InProgress;
 
-  // Tell the caller and the operators.
+  // Record the outcome and respond to the caller.
   const Duration took = Time.now() - start;
   const Outcome &result = ended.Result;
   TelemetrySink.recordPacketEnd(service->Id, result.How, result.Why, took);
@@ -247,15 +247,16 @@
 void EntryHandler::step(Shard &shard, const EntryEvent &event) {
   std::vector<EntryAction> actions;
   {
-    // The clock is read under the lock, so that a shard's time never goes back.
+    // Read the clock under the lock, so that a shard's time never goes back.
     std::lock_guard<std::mutex> guard(shard.Lock);
     const TimePoint now = Time.now();
     if (Settings.Record)
       Settings.Record->record({shard.Name, now, event});
     actions = shard.Router->step(now, event);
   }
-  // Outside the lock: a message to this daemon comes straight back. Decisions
-  // go into the journal first, or their consequences would stand before them.
+  // Perform the actions without the lock, since a message to this daemon is
+  // handled within send(). Record decisions first, so that the journal has them
+  // before their consequences.
   for (const EntryAction &it : actions)
     if (const auto *explain = std::get_if<ExplainEntry>(&it))
       TelemetrySink.recordDecision(explain->Made);
@@ -271,7 +272,7 @@
   else if (const auto *it = std::get_if<SendClaim>(&action))
     sendOrFail(it->To, it->Claim.Request, it->Claim);
   else if (const auto *it = std::get_if<SendSettled>(&action))
-    // A guardian that misses it keeps the key as in progress: safe.
+    // Losing this message is safe: the receiver keeps the key as in progress.
     Sender.send(it->To, it->Settled).IgnoreError();
   else if (const auto *it = std::get_if<SendCancel>(&action))
     Sender.send(it->To, CancelRequest{it->Request}).IgnoreError();
--- a/Balsamrack/Daemon/EntryHandler.h
+++ b/Balsamrack/Daemon/EntryHandler.h
@@ -18,20 +18,19 @@
 
 namespace balsamrack {
 
-/// Settings of an EntryPart.
+/// Settings of an EntryHandler.
 struct EntryHandlerSettings {
-  EntrySettings Router;          ///< For each shard's router.
-  uint16_t PortOffset = 0;       ///< Taken off a port before a service is
-                                 ///< looked up.
-  uint32_t MaxInProgress = 2000; ///< Packets held at the same time.
+  EntrySettings Router;          ///< Settings of each shard's router.
+  uint16_t PortOffset = 0;       ///< Subtracted from a port before lookup.
+  uint32_t MaxInProgress = 2000; ///< Maximum number of packets in progress.
   uint32_t Shards = 16;          ///< A power of two.
-  uint64_t Seed = 1;             ///< Differs from run to run.
-  Recorder *Record = nullptr;    ///< Gets all events; null: none. Outlives it.
+  uint64_t Seed = 1;             ///< Unique to each run.
+  Recorder *Record = nullptr;    ///< Optional event recorder; outlives this.
 };
 
-/// The entry of one daemon: takes packets in, lets its routers decide, and
-/// tells callers how each ended. Packets are spread over shards by flow, each
-/// with a router under its own lock.
+/// Entry of a daemon: receives packets from callers, routes them to the owners
+/// of servers and responds with the outcome. Packets are sharded by flow; each
+/// shard has a router under its own lock.
 class EntryHandler final : public CallerHandler {
 public:
   /// Precondition: all references outlive the result. Error kInvalidArgument
@@ -45,21 +44,23 @@
   Answer serve(uint16_t port, const std::string &peerIp,
                Message message) override;
 
-  /// Takes a new view into force. Thread-safe.
+  /// Applies a new routing view. Thread-safe.
   void setView(const std::shared_ptr<const RoutingView> &view);
-  /// An owner ended a forwarded request. Thread-safe.
+  /// Handles the outcome of a forwarded request, as reported by its owner.
+  /// Thread-safe.
   void onOutcome(const VmId &from, Outcome outcome);
-  /// An owner answered a question. Thread-safe.
+  /// Handles an owner's reply to a flow question. Thread-safe.
   void onFlowReply(const VmId &from, const FlowReply &reply);
-  /// A guardian answered a claim. Thread-safe.
+  /// Handles a reply to a claim of an idempotency key. Thread-safe.
   void onKeyReply(const VmId &from, const KeyReply &reply);
-  /// The connection to \p peer broke. Thread-safe.
+  /// Handles the loss of the connection to \p peer. Thread-safe.
   void onPeerLost(const VmId &peer);
-  /// A message about \p request provably didn't leave for \p peer. Thread-safe.
+  /// Handles a failed send: a message about \p request was certainly not sent
+  /// to \p peer. Thread-safe.
   void onSendFailed(const VmId &peer, RequestId request);
-  /// Lets time pass for routers that wait for it. Thread-safe.
+  /// Processes the timeouts of all routers that are due at \p now. Thread-safe.
   void tick(TimePoint now);
-  /// Packets that have not ended. Thread-safe.
+  /// Number of packets in progress. Thread-safe.
   size_t inProgress() const { return InProgress.load(); }
 
 private:
@@ -86,8 +87,8 @@
   PeerSender &Sender;
   Telemetry &TelemetrySink;
   std::vector<std::unique_ptr<Shard>> Shards; ///< By low bits of RequestId.
-  std::atomic<uint64_t> Sequence{0};          ///< Of requests.
-  std::atomic<size_t> InProgress{0};          ///< Packets not ended.
+  std::atomic<uint64_t> Sequence{0}; ///< Number of request ids generated.
+  std::atomic<size_t> InProgress{0}; ///< Packets in progress.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/EnvelopeReader.cpp
+++ b/Balsamrack/Daemon/EnvelopeReader.cpp
@@ -20,8 +20,8 @@
                    peer, what);
 }
 
-/// The "for" parameter of the first element of a Forwarded field (RFC 7239),
-/// unquoted; empty when there is none.
+/// Returns the "for" parameter of the first element of a Forwarded field (RFC
+/// 7239), unquoted; empty if there is none.
 std::string forwardedFor(const std::string &field) {
   const std::string first = std::string(absl::StripAsciiWhitespace(
       std::vector<std::string>(absl::StrSplit(field, ','))[0]));
@@ -37,7 +37,7 @@
   return "";
 }
 
-/// May the method be run again without harm (RFC 9110, 9.2.2)?
+/// Idempotent methods (RFC 9110, 9.2.2) may run again; all others run once.
 Semantics semanticsOf(const std::string &method) {
   for (const char *it : {"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"})
     if (method == it)
@@ -45,7 +45,7 @@
   return Semantics::RunOnce;
 }
 
-/// Hash of a caller or flow; zero stands for "none" and is avoided.
+/// Replaces a hash of zero, which stands for "none" in caller and flow ids.
 uint64_t nonZero(uint64_t hash) { return hash == 0 ? 1 : hash; }
 
 } // namespace
@@ -67,7 +67,7 @@
   head.Trace = headerValue(message.Headers, "traceparent");
   result.Token = headerValue(message.Headers, "Balsamrack-Token");
 
-  // Whose flow it is.
+  // Identify the flow and its caller.
   std::string caller = peerIp;
   const std::string forwarded = headerValue(message.Headers, "Forwarded");
   if (!forwarded.empty()) {
@@ -78,14 +78,14 @@
   head.Flow.Value = nonZero(stableHash(caller, service.Id.hash()));
   head.Caller.Value = nonZero(stableHash(caller.substr(0, caller.rfind(':'))));
 
-  // Which packet of the flow.
+  // Read the packet's number in the flow.
   uint64_t number = 1;
   const std::string packet = headerValue(message.Headers, "Balsamrack-Packet");
   if (!packet.empty() && (!absl::SimpleAtoi(packet, &number) || number == 0))
     return fieldError(peerIp, "Balsamrack-Packet: no number above zero");
   head.FirstOfFlow = number == 1;
 
-  // What may run once, and for how long there is somebody to answer.
+  // Read the idempotency key and the time for which the caller waits.
   const std::string key = headerValue(message.Headers, "Idempotency-Key");
   if (key.size() > MaxKeyBytes)
     return fieldError(peerIp, "Idempotency-Key: longer than 255 bytes");
--- a/Balsamrack/Daemon/EnvelopeReader.h
+++ b/Balsamrack/Daemon/EnvelopeReader.h
@@ -9,21 +9,21 @@
 
 namespace balsamrack {
 
-/// An envelope as read from a message, with the token that the router reads.
+/// An envelope decoded from a message, and the token for the router.
 struct DecodedEnvelope {
-  Envelope Head;     ///< Without its RequestId, which the entry gives.
+  Envelope Head;     ///< Without a RequestId, which the entry assigns.
   std::string Token; ///< As the caller sent it; may be empty.
 };
 
-/// Reads the envelope fields of docs/PROTOCOLS.md from \p message, which came
+/// Decodes the envelope fields of docs/PROTOCOLS.md from \p message, which came
 /// from \p peerIp for \p service. Error kInvalidArgument (step decode-envelope)
-/// names the field that can't be read. Never looks at the body. Thread-safe.
+/// names the malformed field. Ignores the body. Thread-safe.
 absl::StatusOr<DecodedEnvelope> readEnvelope(const Service &service,
                                              const std::string &peerIp,
                                              const Message &message);
 
-/// Value of the first header field named \p name, in any case; empty when there
-/// is none. Thread-safe.
+/// Returns the value of the first header field named \p name
+/// (case-insensitive); empty if there is none. Thread-safe.
 std::string headerValue(const HeaderList &headers, const char *name);
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/OwnerDispatcher.cpp
+++ b/Balsamrack/Daemon/OwnerDispatcher.cpp
@@ -15,15 +15,16 @@
 
 namespace {
 
-/// Health questions have ids of their own, apart from requests': their lowest
-/// bit pattern is never made by an entry with a power of two of shards.
+/// Upper 16 bits of the request ids of health probes, which keep them apart
+/// from the ids that entries assign to requests.
 constexpr uint64_t HealthRequestIdPrefix = 0xFFFF'0000'0000'0000ULL;
 constexpr Duration HealthTimeout{1'000'000};
-/// A hand-over takes a round trip, a takeover seconds: a caller that comes back
-/// this often finds the new owner soon and is no burden until then.
+/// A hand-over takes one round trip, a takeover takes seconds: a caller that
+/// retries at this interval finds the new owner soon and adds little load until
+/// then.
 constexpr Duration OwnershipRetryAfter{500'000};
 
-/// The server's word on its health; nothing when it isn't readable.
+/// Parses a server's response to a health probe; nothing if it is malformed.
 std::optional<HealthReported> readHealth(const ServerId &server,
                                          const DispatchResult &result) {
   if (result.How != DispatchOutcome::Answered || result.Content.Status != 200)
@@ -40,29 +41,30 @@
 
 } // namespace
 
-/// A request that an entry waits for.
+/// A forwarded request whose outcome hasn't been reported yet.
 struct OwnerDispatcher::PendingRequest {
-  EntryVm From;                ///< Who waits.
-  Envelope Head;               ///< With the trace of the owner's span.
-  std::string Parent;          ///< traceparent that came with it.
-  ServerId Server;             ///< For which server.
-  Message Content;             ///< To be passed on.
-  TimePoint Start;             ///< When it came.
-  bool NewFlow = false;        ///< Taken back if it isn't run.
-  std::optional<Answer> Reply; ///< The server's answer, once it came.
+  EntryVm From;         ///< Entry that waits for the outcome.
+  Envelope Head;        ///< Envelope with the traceparent of the owner's span.
+  std::string Parent;   ///< traceparent of the forwarded request.
+  ServerId Server;      ///< Server that the request is for.
+  Message Content;      ///< Message to dispatch.
+  TimePoint Start;      ///< Time of arrival.
+  bool NewFlow = false; ///< The flow is new; its binding is removed if the
+                        ///< request isn't run.
+  std::optional<Answer> Reply; ///< The server's response, once received.
 };
 
-/// One service's owner with the requests that it decides about.
+/// The owner of one service and the requests that it handles.
 struct OwnerDispatcher::Shard {
   ServiceId Id;
-  mutable std::mutex Lock;             ///< Guards all below.
+  mutable std::mutex Lock;             ///< Guards all members below.
   std::unique_ptr<ServiceOwner> Owner; ///< Not null.
   absl::flat_hash_map<RequestId, PendingRequest> Requests;
-  std::map<ServerId, BackendServer> Servers;         ///< Owned now.
-  std::map<ServerId, uint32_t> DispatchesInProgress; ///< Dispatches not ended.
-  bool MayDispatch = false;                          ///< As last told to Owner.
-  TimePoint LastHealthProbeAt; ///< Last round of questions.
-  uint64_t HealthSequence = 0; ///< Makes their ids.
+  std::map<ServerId, BackendServer> Servers;         ///< Servers owned now.
+  std::map<ServerId, uint32_t> DispatchesInProgress; ///< By server.
+  bool MayDispatch = false;    ///< Last value passed to Owner.
+  TimePoint LastHealthProbeAt; ///< Time of the last round of probes.
+  uint64_t HealthSequence = 0; ///< Sequence number of probe ids.
 };
 
 OwnerDispatcher::OwnerDispatcher(const OwnerDispatcherSettings &settings,
@@ -85,7 +87,7 @@
     shard->Id = service;
     auto owner = ServiceOwner::create(
         Settings.Limits, service, combineHash(Settings.Seed, service.hash()));
-    // The limits were checked with the settings; a failure is a defect here.
+    // The limits were validated with the settings, so a failure here is a bug.
     assert(owner.ok());
     shard->Owner = std::move(*owner);
     if (Settings.Record)
@@ -112,12 +114,12 @@
   refusal.AtStep = stepName(Step::Admit);
   refusal.AtPeer = forward.Server.str();
 
-  // Is the server ours, and does the flow live there?
+  // Check that this daemon owns the server and that the flow is bound to it.
   Shard &shard = shardOf(forward.Head.Service);
   {
     std::lock_guard<std::mutex> guard(shard.Lock);
     if (shard.Requests.contains(forward.Head.Request))
-      return; // A message delivered twice: the first one is at work.
+      return; // A duplicate delivery; the first copy is being processed.
     if (shard.Servers.count(forward.Server) == 0)
       refusal.Why = Reason::NotOwner;
   }
@@ -136,7 +138,7 @@
     return;
   }
 
-  // Admit it.
+  // Admit the request.
   PendingRequest work;
   work.From = from;
   work.Parent = forward.Head.Trace;
@@ -151,8 +153,8 @@
   arrived.FlowsOnServer = work.NewFlow && flows > 0 ? flows - 1 : flows;
   std::vector<OwnerAction> actions;
   {
-    // Added and stepped under one lock: of two copies that come at the same
-    // moment the second finds the first here.
+    // Insert and step under one lock, so that the second of two simultaneous
+    // copies finds the first.
     std::lock_guard<std::mutex> guard(shard.Lock);
     if (!shard.Requests.emplace(work.Head.Request, std::move(work)).second)
       return;
@@ -185,8 +187,8 @@
       change.Settings.Id = shard->Id;
     std::vector<OwnerAction> actions;
     {
-      // One lock for both: a step in between would dispatch to a server that
-      // is no longer in the map.
+      // Hold the lock for both changes: a step in between would dispatch to a
+      // server that is no longer in the map.
       std::lock_guard<std::mutex> guard(shard->Lock);
       shard->Servers.clear();
       for (const OwnedServer &server : change.Servers)
@@ -264,9 +266,9 @@
     Settings.Record->record(
         {absl::StrCat("owner-", shard.Id.str()), now, event});
   std::vector<OwnerAction> actions = shard.Owner->step(now, event);
-  // Dispatches leave under the lock: once setOwned() has had the lock, nothing
-  // that was decided before can leave after it. A hand-over that overtakes a
-  // dispatch would put two owners on one server.
+  // Start dispatches under the lock: once setOwned() has held it, no dispatch
+  // that was decided earlier can start. A hand-over that overtakes a dispatch
+  // would leave one server with two owners.
   for (const OwnerAction &it : actions)
     if (const auto *start = std::get_if<StartDispatch>(&it))
       dispatch(shard, *start);
@@ -334,8 +336,9 @@
     }
   }
   TelemetrySink.endSpan(std::move(hop));
-  // Our own fence may have stopped it. Unless the owner hears of that first, it
-  // takes the server for unreachable, and for cold afterwards.
+  // This daemon's own fence may have blocked the dispatch. Update the owner's
+  // authority first; otherwise it treats the server as unreachable, and as cold
+  // afterwards.
   if (result.How == DispatchOutcome::Unreachable && !mayDispatch())
     updateAuthority(shard, false);
   step(shard, event);
@@ -364,7 +367,7 @@
   }
   if (outcome.How == OutcomeKind::Answered && work->Reply)
     outcome.Content = std::move(*work->Reply);
-  // A flow that was never served doesn't live here.
+  // Remove the binding of a new flow whose request was not run.
   if (work->NewFlow && outcome.How == OutcomeKind::NotRun)
     Flows.removeFlow(work->Head.Flow);
   if (outcome.Server.empty())
--- a/Balsamrack/Daemon/OwnerDispatcher.h
+++ b/Balsamrack/Daemon/OwnerDispatcher.h
@@ -20,19 +20,19 @@
 
 namespace balsamrack {
 
-/// The whole set of servers that this daemon owns, by service.
+/// All servers that this daemon owns, by service.
 using OwnedServers = std::map<ServiceId, ServersChanged>;
 
-/// Settings of an OwnerPart.
+/// Settings of an OwnerDispatcher.
 struct OwnerDispatcherSettings {
-  OwnerSettings Limits;             ///< For each service's owner.
-  Duration HealthPeriod{1'000'000}; ///< Between health questions to a server.
-  uint64_t Seed = 1;                ///< Differs from run to run.
-  Recorder *Record = nullptr; ///< Gets all events; null: none. Outlives it.
+  OwnerSettings Limits;             ///< Limits of each service's owner.
+  Duration HealthPeriod{1'000'000}; ///< Interval of health probes to a server.
+  uint64_t Seed = 1;                ///< Unique to each run.
+  Recorder *Record = nullptr;       ///< Optional event recorder; outlives this.
 };
 
-/// The owner of some backend servers: all work for them goes through here. One
-/// shard a service, each with a ServiceOwner under its own lock.
+/// Dispatches all requests to the backend servers that this daemon owns. Each
+/// service has a shard, with a ServiceOwner under its own lock.
 class OwnerDispatcher {
 public:
   using ConditionSink = std::function<void(const ServerCondition &)>;
@@ -45,27 +45,28 @@
                   ConditionSink onCondition);
   ~OwnerDispatcher();
 
-  /// An entry passes a request on. Each leads to exactly one OutcomeReport to
-  /// \p from. Thread-safe.
+  /// Handles a request forwarded by an entry. Each leads to exactly one
+  /// OutcomeReport to \p from. Thread-safe.
   void onForward(const EntryVm &from, Forward forward);
-  /// The entry has given a request up. Thread-safe.
+  /// Cancels a request that its entry has abandoned. Thread-safe.
   void onCancel(RequestId request);
-  /// The servers owned from now on. When it returns, nothing more is dispatched
-  /// to a server that is not among them. Thread-safe.
+  /// Sets the owned servers. Once it returns, nothing more is dispatched to a
+  /// server that is not among them. Thread-safe.
   void setOwned(const OwnedServers &owned);
-  /// Requests in progress at \p server, of which nothing more is known once it
-  /// is no longer owned. Thread-safe.
+  /// Number of requests in progress at \p server; unknown once the server is no
+  /// longer owned. Thread-safe.
   uint32_t inProgressAt(const ServerId &server) const;
-  /// Lets time pass, and passes changes of authority on. Thread-safe.
+  /// Processes timeouts, health probes that are due and changes of authority.
+  /// Thread-safe.
   void tick(TimePoint now, bool mayDispatch);
-  /// Refuses new work from now on. Thread-safe.
+  /// Rejects new requests from now on. Thread-safe.
   void beginShutdown();
-  /// True when nothing is queued nor in progress. Thread-safe.
+  /// True if no request is queued or in progress. Thread-safe.
   bool idle() const;
   /// State of every owned server. Thread-safe.
   std::vector<ServerReport> report() const;
-  /// True right before a dispatch may leave: asked by the link's threads.
-  /// Thread-safe.
+  /// True if a dispatch may be sent now. Called by the link's threads right
+  /// before they send one. Thread-safe.
   bool mayDispatch() const { return Fence.mayDispatch(Time.now()); }
 
 private:
@@ -95,7 +96,7 @@
   PeerSender &Sender;
   Telemetry &TelemetrySink;
   const ConditionSink OnCondition;
-  mutable std::mutex ShardsLock; ///< Guards Shards; held while none is locked.
+  mutable std::mutex ShardsLock; ///< Guards Shards; not nested in shard locks.
   std::map<ServiceId, std::unique_ptr<Shard>> Shards; ///< Never shrinks.
 };
 
--- a/Balsamrack/Daemon/PacketControlPlane.cpp
+++ b/Balsamrack/Daemon/PacketControlPlane.cpp
@@ -14,31 +14,32 @@
 namespace {
 
 constexpr Duration MetricsPeriod{1'000'000};
-/// The loop looks around at least so often.
+/// Upper bound of one wait in poll().
 constexpr Duration MaxPollWait{250'000};
 constexpr int64_t MicrosPerMilli = 1000;
-/// Guards against changes that come one by one by the hundred, at a start of
-/// the fleet or in a release: each update goes through all daemons or servers.
+/// Batches changes, since each update iterates over all daemons or servers: at
+/// a start of the fleet or a release hundreds of changes arrive one by one.
 constexpr Duration UpdatePeriod{100'000};
 
-/// Changes that get a line each, of one listing or of the members in one
-/// UpdatePeriod; a line that counts stands for more. Formatting thousands would
-/// delay the start of a daemon on a tenth of a core.
+/// Maximum number of changes logged singly, for one listing or for the members
+/// in one UpdatePeriod; one line with counts replaces the others. Formatting
+/// thousands of lines would delay the start of a daemon that has a tenth of a
+/// core.
 constexpr size_t MaxLoggedChanges = 16;
 constexpr std::array<const char *, 4> MemberStateNames = {"alive", "suspect",
                                                           "dead", "left"};
 
-/// Times for daemons that own nothing: membership only says who may be told of
-/// updates and how many share the load, so hints are tried sooner and there is
-/// no lease to keep.
+/// Settings for daemons without ownership: membership only determines who
+/// receives updates and how many daemons share the load, so hints are retried
+/// sooner and there is no lease to renew.
 MembershipSettings packetMembership() {
   MembershipSettings settings;
   settings.MaxHintRetryPeriod = Duration(4'000'000);
-  // After a loss of power all daemons start within some hundred milliseconds,
-  // and until they know each other each takes all slots for its own.
+  // After a power loss all daemons start within a few hundred milliseconds, and
+  // until they discover each other each one claims all slots of the servers.
   settings.StartPeriod = Duration(100'000);
   settings.StartSpan = Duration(2'000'000);
-  // A small fleet's whole table fits into one message.
+  // The whole member table of a small fleet fits into one message.
   settings.GossipBytes = 1'200;
   return settings;
 }
@@ -195,9 +196,9 @@
     logMember(*changed);
     MembersDue = true;
   } else if (const auto *later = std::get_if<Superseded>(&action)) {
-    // Peers still hold a life of this VM whose number is higher: the time of
-    // day, from which the number was taken, has gone back. There is one
-    // process at an address, so this one takes the next number.
+    // Peers know a run of this VM with a higher number: the wall clock, from
+    // which the number derives, was set back. Only one process can use an
+    // address, so this one continues with the next higher number.
     Incarnation next{later->Record.Run.Value + 1};
     Tasks->post([this, next](TimePoint at) { restartMembership(at, next); });
   }
@@ -313,8 +314,9 @@
 }
 
 void PacketControlPlane::startRead(const PublishedRead &read) {
-  // The answer may come after this part has ended; then the queue is closed,
-  // and the task, with its pointer to this part, is never run.
+  // The response may arrive after this object was destroyed. The queue is
+  // closed by then, so that the task with its pointer to this object never
+  // runs.
   auto done = [this, read,
                tasks = Tasks](absl::StatusOr<PublishedChanges> result) {
     tasks->post([this, read, result = std::move(result)](TimePoint now) {
--- a/Balsamrack/Daemon/PacketControlPlane.h
+++ b/Balsamrack/Daemon/PacketControlPlane.h
@@ -18,26 +18,27 @@
 
 namespace balsamrack {
 
-/// Gets what a StatePart finds out. Called on its thread; must not block.
+/// Receives the results of a PacketControlPlane. Called on its thread; must not
+/// block.
 class PacketControlListener {
 public:
   virtual ~PacketControlListener() = default;
-  /// Where packets may go has changed.
+  /// The routes have changed.
   virtual void onRoutesChanged(std::shared_ptr<const PacketRoutes> routes) = 0;
-  /// There are \p daemons, and this one is number \p self in the order of
-  /// failure domain and id.
+  /// The fleet has \p daemons daemons; this one has index \p self in the order
+  /// of failure domain and id.
   virtual void onFleetChanged(size_t daemons, size_t self) = 0;
-  /// Updates came in after a pause.
+  /// Updates have arrived after a pause.
   virtual void onRefreshed() = 0;
 };
 
-/// The thread that knows who is there and what is published: membership, the
-/// state exchange and the book of routes, with the socket for peers. Public
-/// methods are thread-safe.
+/// Control plane of a daemon on the packet carrier: runs membership, the
+/// exchange of published state and the route book with the peer socket, on a
+/// thread of its own. Public methods are thread-safe.
 class PacketControlPlane {
 public:
-  /// Starts the thread. \p run orders the lives of this VM. Error as of
-  /// Membership::create. Preconditions: all references outlive the part.
+  /// Starts the thread. \p run orders the runs of this VM. Errors as for
+  /// Membership::create(). Precondition: all references outlive the result.
   static absl::StatusOr<std::unique_ptr<PacketControlPlane>>
   create(const EntryVm &self, const std::vector<EntryVm> &seeds,
          Incarnation run, uint64_t seed, std::unique_ptr<DatagramPeers> peers,
@@ -47,15 +48,15 @@
   PacketControlPlane &operator=(const PacketControlPlane &) = delete;
   ~PacketControlPlane();
 
-  /// True once something is known of everything that is published.
+  /// True once every section of the published state is known.
   bool complete() const { return Complete.load(); }
-  /// These daemons may be there too.
+  /// Replaces the seeds and contacts them.
   void addSeeds(const std::vector<EntryVm> &seeds);
-  /// This process was paused.
+  /// Requests updates from peers after this process was paused.
   void requestAfterPause();
-  /// This daemon will end soon: peers shall not count on it.
+  /// Announces to peers that this daemon will stop soon.
   void announceLeaving();
-  /// Announces that it leaves and ends the thread. Idempotent.
+  /// Announces that this daemon has left, and stops the thread. Idempotent.
   void stop();
 
 private:
@@ -98,24 +99,22 @@
   const Clock &Time;
   PacketTelemetry &TelemetrySink;
   PacketControlListener &Listener;
-  const std::shared_ptr<TaskQueue> Tasks; ///< For the thread.
+  const std::shared_ptr<TaskQueue> Tasks; ///< Work for the thread.
 
-  // The thread's own.
+  // Used by the thread only.
   std::vector<EntryVm> Seeds;
   std::unique_ptr<Membership> Members;
   StateExchange Exchange;
   PacketRoutesBuilder Book;
-  bool RoutesDue = true;   ///< A snapshot is to be made once all is known.
-  TimePoint NextRoutesAt;  ///< Not before; see UpdatePeriod.
-  bool MembersDue = true;  ///< The live daemons have changed.
-  TimePoint NextMembersAt; ///< Not before; see UpdatePeriod.
-  bool AwaitingRefresh =
-      false; ///< A pause has ended, and no updates came since.
+  bool RoutesDue = true;   ///< A snapshot is due once the state is complete.
+  TimePoint NextRoutesAt;  ///< Earliest next update; see UpdatePeriod.
+  bool MembersDue = true;  ///< The set of live daemons has changed.
+  TimePoint NextMembersAt; ///< Earliest next update; see UpdatePeriod.
+  bool AwaitingRefresh = false; ///< No updates since the last pause.
   TimePoint NextMetricsAt;
   size_t LivePeers = 0;
-  size_t LoggedMemberChanges =
-      0; ///< Changes with a line since NextMembers was set.
-  std::array<uint64_t, 4> SuppressedMemberChanges{}; ///< The others, by state.
+  size_t LoggedMemberChanges = 0; ///< Since NextMembersAt was set.
+  std::array<uint64_t, 4> SuppressedMemberChanges{}; ///< By state.
 
   std::atomic<bool> Complete{false};
   std::atomic<bool> Stopping{false};
--- a/Balsamrack/Daemon/PacketDaemon.cpp
+++ b/Balsamrack/Daemon/PacketDaemon.cpp
@@ -13,16 +13,17 @@
 constexpr unsigned HttpNotFound = 404;
 constexpr unsigned HttpUnavailable = 503;
 
-/// The fabric asks twice a second and takes a daemon out after two misses; half
-/// a second more for an answer under way.
+/// The fabric polls readiness twice a second and removes a daemon after two
+/// failures; half a second more covers a response in flight.
 constexpr Duration MinLinger{1'600'000};
-/// Left of the grace time for the end itself.
+/// Part of the grace time reserved for the shutdown itself.
 constexpr Duration ShutdownMargin{1'000'000};
-/// No packet for so long: nobody sends here any more.
+/// After this long without a packet, the fabric has stopped sending here.
 constexpr Duration QuietPeriod{400'000};
 constexpr Duration LingerPollPeriod{50'000};
 
-/// Whoever reaches the metrics' address may read there; nothing can be changed.
+/// Any client that can reach the metrics address may read it; the port is
+/// read-only.
 constexpr const char *AnyAddress = "0.0.0.0/0";
 
 HttpListenerSettings portAt(const Address &at) {
@@ -34,8 +35,8 @@
   return settings;
 }
 
-/// Orders the lives of a VM that keeps nothing. A time of day that goes back is
-/// noticed by the peers (StatePart).
+/// Orders the runs of a VM that stores no state. Peers detect a wall clock that
+/// was set back; see PacketControlPlane.
 Incarnation newIncarnation() {
   auto now = std::chrono::system_clock::now().time_since_epoch();
   return {static_cast<uint64_t>(
@@ -117,10 +118,10 @@
 }
 
 bool PacketDaemon::ready() const {
-  // Guards against a failure domain that operators have taken out and that is
-  // then cut off: its daemons can reach no server, and would refuse their
-  // callers for as long as the cut lasts. Not ready, they leave them to daemons
-  // of other domains, which the fabric can still reach.
+  // If a failure domain is taken out of service and is then partitioned from
+  // the others, its daemons can't reach any server and would reject their
+  // callers until the partition heals. By reporting not ready they leave the
+  // callers to daemons of other domains, which the fabric can still reach.
   return HasRoutes && !Leaving && Forwarder->isReachabilityConfirmed();
 }
 
--- a/Balsamrack/Daemon/PacketDaemon.h
+++ b/Balsamrack/Daemon/PacketDaemon.h
@@ -12,34 +12,35 @@
 
 namespace balsamrack {
 
-/// The daemon of an entry VM on a packet carrier: takes callers' packets and
-/// passes them straight to backend servers. Public methods are thread-safe.
+/// Daemon of an entry VM on the packet carrier: receives callers' packets and
+/// forwards them directly to backend servers. Public methods are thread-safe.
 class PacketDaemon final : private PacketControlListener {
 public:
-  /// What the daemon is given by its program.
+  /// Objects that the program provides.
   struct Dependencies {
-    const PacketCodec &Codec; ///< How packets look.
-    PublishedSource &Source;  ///< Where operators and servers publish.
-    const Clock &Time;        ///< The clock.
-    EventLog &Log;            ///< Where its lines go.
+    const PacketCodec &Codec; ///< Decodes and encodes packets.
+    PublishedSource &Source;  ///< Publishing service of operators and servers.
+    const Clock &Time;        ///< Time source.
+    EventLog &Log;            ///< Destination of log lines.
   };
 
-  /// Opens all sockets and starts all threads. Error (step listen) when an
-  /// address is taken. Preconditions: all that \p parts refers to outlives the
-  /// daemon.
+  /// Opens all sockets and starts all threads. Error (step listen) if an
+  /// address is in use. Precondition: all objects that \p dependencies refers
+  /// to outlive the daemon.
   static absl::StatusOr<std::unique_ptr<PacketDaemon>>
   create(const PacketSettings &settings, const Dependencies &dependencies);
   PacketDaemon(const PacketDaemon &) = delete;
   PacketDaemon &operator=(const PacketDaemon &) = delete;
   ~PacketDaemon() override;
 
-  /// Takes over what may change while it runs: the seeds. Other fields hold for
-  /// one run; a difference there is logged.
+  /// Applies the settings that may change at run time: the seeds. Other fields
+  /// are fixed until a restart; a change of the packet, ready, peer or source
+  /// address or of the failure domain is logged.
   void reload(const PacketSettings &settings);
   /// True when the fabric may send packets here.
   bool ready() const;
-  /// Shuts down: says at once that it is not ready, goes on passing packets on
-  /// until the fabric has taken it out, and ends within the grace time.
+  /// Shuts down: reports not ready at once, forwards packets until the fabric
+  /// has removed this daemon, and returns within the grace time.
   void shutDown();
 
 private:
--- a/Balsamrack/Daemon/PacketForwarder.cpp
+++ b/Balsamrack/Daemon/PacketForwarder.cpp
@@ -16,7 +16,7 @@
 
 constexpr Duration MetricsPeriod{1'000'000};
 constexpr int64_t MicrosPerMilli = 1000;
-/// Batches before timers get their turn.
+/// Batches received before timers are processed.
 constexpr int MaxBatchesPerIteration = 8;
 
 const char *modeName(const RoutedBackend &server) {
@@ -58,7 +58,7 @@
 
 void PacketForwarder::wakeUp() {
   uint64_t one = 1;
-  // A full counter wakes the thread as well.
+  // The write fails only if the counter is full, which also wakes the thread.
   (void)!write(WakeEvent, &one, sizeof one);
 }
 
@@ -66,8 +66,7 @@
   std::lock_guard<std::mutex> hold(Lock);
   Router.setRoutes(std::move(routes));
   updateReachability();
-  // Whether servers can be reached is tried at once, not when the thread looks
-  // around next.
+  // Start connection attempts at once, not at the thread's next timeout.
   if (!Router.hasProvenReachability())
     wakeUp();
 }
@@ -125,7 +124,7 @@
 void PacketForwarder::reset(const PacketHeader &head) {
   std::array<uint8_t, PacketCodec::MaxHeaderBytes> packet{};
   size_t n = Codec.writeReset(head, packet.data());
-  // Callers take packets at their own address and at our port.
+  // Callers receive packets at their own address and this socket's port.
   Endpoint caller = head.Flow.Caller;
   caller.Port = Socket->at().Port;
   std::memcpy(Socket->prepare(caller, n), packet.data(), n);
@@ -145,7 +144,7 @@
       static_cast<int>((micros + MicrosPerMilli - 1) / MicrosPerMilli);
   poll(polled.data(), polled.size(), millis);
   uint64_t count = 0;
-  // Nothing to read: another descriptor ended the wait, or the time is over.
+  // The read fails if another descriptor or the timeout ended the wait.
   (void)!read(WakeEvent, &count, sizeof count);
 }
 
@@ -154,8 +153,8 @@
       LastIterationAt != TimePoint{} && now - LastIterationAt > PauseThreshold;
   LastIterationAt = now;
   if (paused) {
-    // Guards against a process that wakes after seconds and sends new flows by
-    // routes and servers that have changed meanwhile.
+    // A process that resumes after seconds must not place new flows by routes
+    // and servers that have changed in the meantime.
     {
       std::lock_guard<std::mutex> hold(Lock);
       StaleUntil = now + MaxStaleTime;
--- a/Balsamrack/Daemon/PacketForwarder.h
+++ b/Balsamrack/Daemon/PacketForwarder.h
@@ -15,44 +15,46 @@
 
 namespace balsamrack {
 
-/// A lane's figures.
+/// Current state of a PacketForwarder.
 struct ForwarderStatus {
-  uint64_t Configuration = 0; ///< In force; zero: none.
-  size_t Flows = 0;           ///< Remembered.
-  size_t Daemons = 0;         ///< Of the fleet.
-  size_t SilentServers = 0;   ///< By themselves.
+  uint64_t Configuration = 0; ///< Version in force; zero if none.
+  size_t Flows = 0;           ///< Flows in the flow table.
+  size_t Daemons = 0;         ///< Daemons in the fleet.
+  size_t SilentServers = 0;   ///< Silent individually, not as a domain.
 };
 
-/// One backend server as a lane sees it.
+/// State of one backend server in a PacketForwarder.
 struct ForwarderServerStatus {
-  ServerId Id;             ///< Which.
-  ServiceId Service;       ///< For which service.
-  DomainId Domain;         ///< Where it stands.
-  Address At;              ///< Where it listens.
-  const char *Mode = "";   ///< active, draining, expired, gone, replaced or
-                           ///< domain-out.
-  uint32_t InProgress = 0; ///< Own flows that it works on.
-  double Share = 0;        ///< Of its slots, this daemon's.
-  bool Silent = false;     ///< It, or its domain, leaves openings unanswered.
-  bool Cold = false;       ///< Has just started and is slow.
+  ServerId Id;             ///< Server id.
+  ServiceId Service;       ///< Service of the server.
+  DomainId Domain;         ///< Failure domain of the server.
+  Address At;              ///< Address of the server.
+  const char *Mode = "";   ///< active, draining, lapsed, gone, replaced
+                           ///< or domain-out.
+  uint32_t InProgress = 0; ///< Flows of this daemon in progress on it.
+  double Share = 0;        ///< This daemon's share of the server's slots.
+  bool Silent = false;     ///< The server or its domain doesn't answer.
+  bool Cold = false;       ///< Recently started and still warming up.
 };
 
-/// The thread that takes callers' packets in and passes them on: one socket,
-/// one router under one lock. Public methods are thread-safe.
+/// Receives callers' packets and forwards them to backend servers, on a thread
+/// of its own with one socket and one router under one lock. Public methods are
+/// thread-safe.
 class PacketForwarder final : private PacketSink {
 public:
-  /// The loop looks around at least so often.
+  /// Upper bound of one wait in poll().
   static constexpr Duration MaxPollWait{250'000};
-  /// A loop that is later than this was paused: the process was frozen.
+  /// If an iteration starts later than this after the previous one, the process
+  /// was suspended.
   static constexpr Duration PauseThreshold{1'000'000};
-  /// After a pause openings wait for updates no longer than this: callers send
-  /// a copy after 200 ms, and old updates serve better than none.
+  /// After a pause, opening packets wait no longer than this for updates:
+  /// callers retransmit after 200 ms, and stale state is better than none.
   static constexpr Duration MaxStaleTime{150'000};
 
-  /// Called on the lane's thread when it finds that it was paused.
+  /// Called on the forwarder's thread when it detects that it was paused.
   using OnPause = std::function<void()>;
 
-  /// Starts the thread. Preconditions: all references outlive the lane; \p
+  /// Starts the thread. Preconditions: all references outlive the forwarder; \p
   /// socket is not null.
   PacketForwarder(const PacketRouterSettings &settings,
                   const PacketCodec &codec,
@@ -66,19 +68,20 @@
   void setRoutes(std::shared_ptr<const PacketRoutes> routes);
   /// See PacketRouter.
   void setFleet(size_t daemons, size_t self);
-  /// Updates have come since the last pause.
+  /// Marks the routes as fresh, since updates have arrived after the last
+  /// pause.
   void setFresh();
   /// See PacketRouter.
   FlowExplanation explain(const FlowKey &key);
-  /// Present figures.
+  /// Returns the current state.
   ForwarderStatus status();
-  /// All servers that are remembered.
+  /// Returns all servers in the router's table.
   std::vector<ForwarderServerStatus> servers();
-  /// See PacketRouter; as of the last look around.
+  /// See PacketRouter. Updated at each iteration and when routes are set.
   bool isReachabilityConfirmed() const { return ReachabilityConfirmed.load(); }
-  /// Packets taken in so far.
+  /// Number of packets received so far.
   uint64_t received() const { return Received.load(); }
-  /// Ends the thread. Idempotent.
+  /// Stops the thread. Idempotent.
   void stop();
 
 private:
@@ -98,24 +101,25 @@
   void publishMetrics(TimePoint now);
 
   const PacketCodec &Codec;
-  const std::unique_ptr<PacketSocket> Socket; ///< The thread's own.
+  const std::unique_ptr<PacketSocket> Socket; ///< Used by the thread only.
   const Clock &Time;
   PacketTelemetry &TelemetrySink;
   const OnPause OnPaused;
-  const int WakeEvent;       ///< Ends the thread's wait; see wakeUp().
-  ConnectionProber Prober;   ///< The thread's own.
-  TimePoint LastIterationAt; ///< The thread's own.
-  TimePoint NextMetricsAt;   ///< The thread's own.
+  const int WakeEvent;     ///< An eventfd that interrupts poll(); see wakeUp().
+  ConnectionProber Prober; ///< Used by the thread only.
+  TimePoint LastIterationAt; ///< Used by the thread only.
+  TimePoint NextMetricsAt;   ///< Used by the thread only.
 
-  std::mutex Lock; ///< Guards what follows.
+  std::mutex Lock; ///< Guards Random, Router and StaleUntil.
   SeededRandom Random;
   PacketRouter Router;
-  TimePoint StaleUntil; ///< Zero: not stale.
+  TimePoint StaleUntil; ///< Zero if the routes are fresh.
 
   std::atomic<uint64_t> Received{0};
   std::atomic<bool> ReachabilityConfirmed{true};
   std::atomic<bool> Stopping{false};
-  std::thread Thread; ///< Last, so that all above is there when it starts.
+  std::thread Thread; ///< Last, so that all other members are initialised when
+                      ///< it starts.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/PacketOperatorHandler.cpp
+++ b/Balsamrack/Daemon/PacketOperatorHandler.cpp
@@ -31,7 +31,7 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(d).count();
 }
 
-/// Sentences about what is remembered of a flow.
+/// Describes the flow table's entry for a flow.
 json describeFlow(const FlowExplanation &explanation) {
   json all = json::array();
   if (!explanation.Known)
@@ -67,7 +67,7 @@
   return entry;
 }
 
-/// Sentences about where a new flow would go, the best servers first.
+/// Describes where a new flow would be placed, best servers first.
 json describePlacement(const FlowExplanation &explanation) {
   json all = json::array();
   if (explanation.Refused != PacketReason::None) {
--- a/Balsamrack/Daemon/PacketOperatorHandler.h
+++ b/Balsamrack/Daemon/PacketOperatorHandler.h
@@ -7,11 +7,11 @@
 
 namespace balsamrack {
 
-/// Answers operators' questions about a daemon of the packet carrier, in the
-/// same form as a daemon of the HTTP carrier does; changes nothing.
+/// Answers operators' queries about a daemon on the packet carrier, in the same
+/// format as a DaemonOperatorHandler. Read-only.
 class PacketOperatorHandler final : public OperatorHandler {
 public:
-  /// Preconditions: the references outlive the result.
+  /// Precondition: all references outlive the result.
   PacketOperatorHandler(const PacketSettings &settings,
                         PacketForwarder &forwarder,
                         const PacketTelemetry &telemetry);
--- a/Balsamrack/Daemon/PacketTelemetry.h
+++ b/Balsamrack/Daemon/PacketTelemetry.h
@@ -13,36 +13,37 @@
 
 namespace balsamrack {
 
-/// What a daemon of the packet carrier tells about itself: lines of its event
-/// log, and metrics. Thread-safe; never blocks for long.
+/// Event log and metrics of a daemon on the packet carrier. Thread-safe; never
+/// blocks for long.
 class PacketTelemetry {
 public:
-  /// Each placing is logged, and what goes wrong. Of what follows in ordinary
-  /// flows (confirmed, adopted, ended) one flow in so many is logged: the same
-  /// ones on all daemons, so that a flow's whole way can be read.
+  /// Placements and faults are always logged. The later events of ordinary
+  /// flows (confirmed, adopted, ended) are logged for one flow in this many,
+  /// the same flows on all daemons, so that the log has the complete history of
+  /// these flows.
   static constexpr uint64_t FlowLogInterval = 8;
 
   /// Preconditions: \p clock and \p log outlive the result.
   PacketTelemetry(const Clock &clock, EventLog &log);
 
-  /// Counts and logs what the router did.
+  /// Counts an event of the router, and logs it if it is sampled.
   void recordEvent(const PacketEvent &event);
-  /// Writes a line.
+  /// Writes a log line.
   void log(const LogLine &line) { Log.write(line); }
-  /// Writes a line about an error, with its step and peer.
+  /// Logs an error, with its step and peer.
   void logError(Part part, const char *event, const absl::Status &status);
 
-  /// The packet socket's and the router's present figures.
+  /// Updates the metrics of the packet socket and the router.
   void setPacketMetrics(const PacketSocketCounters &socket,
                         const PacketRouter &router);
-  /// The peers' present figures.
+  /// Updates the metrics of peer traffic and live peers.
   void setPeerMetrics(const DatagramCounters &peers, size_t live);
-  /// How old what is held of \p section may be.
+  /// Updates the metric of how outdated the local copy of \p section may be.
   void setPublishedAge(PublishedSection section, Duration age);
-  /// A read of the publishing service ended.
+  /// Counts a completed read of the publishing service.
   void recordRead(PublishedSection section, bool listing,
                   const absl::Status &status);
-  /// All metrics as Prometheus text.
+  /// Returns all metrics in Prometheus text format.
   std::string prometheus() const { return Registry->prometheus(); }
 
 private:
--- a/Balsamrack/Daemon/PeerSender.h
+++ b/Balsamrack/Daemon/PeerSender.h
@@ -6,8 +6,8 @@
 
 namespace balsamrack {
 
-/// Sends to any daemon, the own one included. A message to the own daemon is
-/// handled before send() returns, so that no lock may be held around it.
+/// Sends messages to any daemon, including this one. A message to this daemon
+/// is handled before send() returns, so no lock may be held during the call.
 class PeerSender {
 public:
   virtual ~PeerSender() = default;
--- a/Balsamrack/Daemon/PlatformReader.cpp
+++ b/Balsamrack/Daemon/PlatformReader.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// A platform that answers a watch at once, against the protocol, must not be
-/// asked in a tight loop.
+/// Avoids a tight loop when the platform violates the protocol by answering a
+/// watch at once.
 constexpr Duration MinReadPeriod{20'000};
 
 } // namespace
@@ -94,11 +94,11 @@
     TelemetrySink.recordError(Part::Platform, page.status());
   else if (state == PlatformState::Stale)
     TelemetrySink.log(Part::Platform, Severity::Warning,
-                      absl::StrCat("The platform answers with ticket ",
-                                   page->Highest.Value, " after it showed ",
+                      absl::StrCat("The platform responds with ticket ",
+                                   page->Highest.Value, " after it reported ",
                                    Highest.Value, ". Older data is ignored."));
   else
-    TelemetrySink.log(Part::Platform, Severity::Info, "The platform answers.");
+    TelemetrySink.log(Part::Platform, Severity::Info, "The platform responds.");
 }
 
 void PlatformReader::readTickets() {
@@ -134,7 +134,7 @@
       continue;
     }
     failures = 0;
-    // An older list is a hint like any other: membership sorts it out.
+    // Membership treats every list as a hint, so an older list does no harm.
     if (page->Version != after)
       OnVms(page->Vms);
     after = page->Version;
--- a/Balsamrack/Daemon/PlatformReader.h
+++ b/Balsamrack/Daemon/PlatformReader.h
@@ -16,41 +16,43 @@
 
 namespace balsamrack {
 
-/// How the platform looked at the last call.
+/// State of the platform at the last read.
 enum class PlatformState {
-  Unread, ///< No call has ended yet.
-  Good,   ///< Answers, with all that we have seen from it before.
-  Stale,  ///< Answers with older tickets than it did before.
-  Down,   ///< Doesn't answer.
+  Unread, ///< No read has completed yet.
+  Good,   ///< Responds, with tickets at least as new as before.
+  Stale,  ///< Responds with older tickets than before.
+  Down,   ///< Doesn't respond.
 };
 
 /// Name of a state in lower case. Thread-safe.
 const char *platformStateName(PlatformState state);
 
-/// Wait before the \p failures-th try in a row: doubled each time from the
-/// least to the most, then a random part between half and all of it, so that a
-/// fleet does not come back at one moment when an outage ends. Pure.
+/// Returns the wait after \p failures failures in a row: doubled each time from
+/// the minimum to the maximum backoff, times a random factor between 0.5 and 1,
+/// so that the daemons of a fleet don't all retry at the same time when an
+/// outage ends. Pure.
 Duration backoffAfter(uint32_t failures, const PlatformSettings &settings,
                       RandomSource &random);
 
-/// Reads and watches the platform on two threads, one a value.
+/// Reads and watches the platform's tickets and VM list, each on its own
+/// thread.
 class PlatformReader {
 public:
   using TicketSink = std::function<void(const std::string &text)>;
   using VmSink = std::function<void(const std::vector<EntryVm> &)>;
 
-  /// Starts to read. The sinks are called on the reader's threads.
-  /// Precondition: all references outlive the result. Thread-safe.
+  /// Starts both threads, which call the sinks. Precondition: all references
+  /// outlive the result. Thread-safe.
   PlatformReader(const PlatformSettings &settings, PlatformLink &link,
                  Telemetry &telemetry, uint64_t seed, TicketSink onTicket,
                  VmSink onVms);
   ~PlatformReader();
 
-  /// Ends both threads. Idempotent; not to be called by a sink. Thread-safe.
+  /// Stops both threads. Idempotent; must not be called by a sink. Thread-safe.
   void stop();
-  /// How the platform looked at the last read of tickets. Thread-safe.
+  /// State of the platform at the last read of tickets. Thread-safe.
   PlatformState state() const;
-  /// Highest ticket that the platform has shown. Thread-safe.
+  /// Highest ticket that the platform has reported. Thread-safe.
   TicketNumber highestTicket() const;
 
 private:
@@ -65,7 +67,7 @@
   const uint64_t Seed;
   const TicketSink OnTicket;
   const VmSink OnVms;
-  mutable std::mutex Lock; ///< Guards all below but the threads.
+  mutable std::mutex Lock; ///< Guards all members below except the threads.
   std::condition_variable Stopped;
   bool Stopping = false;
   PlatformState State = PlatformState::Unread;
--- a/Balsamrack/Daemon/TaskQueue.cpp
+++ b/Balsamrack/Daemon/TaskQueue.cpp
@@ -20,13 +20,13 @@
     Tasks.push_back(std::move(task));
   }
   uint64_t one = 1;
-  // A full counter wakes the thread as well.
+  // The write fails only if the counter is full, which also wakes the thread.
   (void)!write(WakeEvent, &one, sizeof one);
 }
 
 std::vector<TaskQueue::Task> TaskQueue::dequeueAll() {
   uint64_t count = 0;
-  // Nothing there is as good.
+  // The read fails if no task was posted, which does no harm.
   (void)!read(WakeEvent, &count, sizeof count);
   std::lock_guard<std::mutex> hold(Lock);
   return std::exchange(Tasks, {});
--- a/Balsamrack/Daemon/TaskQueue.h
+++ b/Balsamrack/Daemon/TaskQueue.h
@@ -9,14 +9,15 @@
 
 namespace balsamrack {
 
-/// Work that other threads hand to a thread that waits in poll(). Thread-safe.
+/// Queue of tasks from other threads for a thread that waits in poll().
+/// Thread-safe.
 ///
-/// Shared by those who hand over and the one who works: an answer of the
-/// network may come after the thread that asked for it has ended, and then its
-/// task is kept by nobody.
+/// Ownership is shared by the posting threads and the executing one: a network
+/// response may arrive after the thread that requested it has stopped, and its
+/// task is dropped then.
 class TaskQueue {
 public:
-  /// What to do, given the time at which it is done.
+  /// A task; called with the time of its execution.
   using Task = std::function<void(TimePoint)>;
 
   TaskQueue();
@@ -24,18 +25,18 @@
   TaskQueue &operator=(const TaskQueue &) = delete;
   ~TaskQueue();
 
-  /// Readable while tasks wait.
+  /// File descriptor that is readable while tasks are queued.
   int fd() const { return WakeEvent; }
-  /// Hands \p task over. Ignored once closed.
+  /// Appends \p task. Ignored after close().
   void post(Task task);
-  /// Takes all tasks that wait.
+  /// Removes and returns all queued tasks.
   std::vector<Task> dequeueAll();
-  /// Drops what waits and whatever comes later.
+  /// Drops all queued tasks and ignores later ones.
   void close();
 
 private:
   const int WakeEvent; ///< An eventfd.
-  std::mutex Lock;     ///< Guards what follows.
+  std::mutex Lock;     ///< Guards Tasks and Closed.
   std::vector<Task> Tasks;
   bool Closed = false;
 };
--- a/Balsamrack/Daemon/Telemetry.h
+++ b/Balsamrack/Daemon/Telemetry.h
@@ -11,7 +11,8 @@
 
 namespace balsamrack {
 
-/// Part of the daemon that has something to tell; fixes the prefix in logs.
+/// Component of a daemon that reports an event; determines the prefix of log
+/// lines.
 enum class Part {
   Entry,
   Owner,
@@ -24,44 +25,44 @@
   Daemon,
 };
 
-/// How much a log line matters.
+/// Severity of a log line.
 enum class Severity { Debug, Info, Warning, Error };
 
 /// One hop of a request: entry, owner or server.
 struct HopSpan {
   const char *Hop = "entry"; ///< Name of the hop.
-  std::string Parent;        ///< traceparent that came in; may be empty.
+  std::string Parent;        ///< traceparent of the parent span; may be empty.
   std::string Traceparent;   ///< traceparent of this span.
-  TimePoint Start;           ///< When it began.
-  Duration Took{0};          ///< How long it lasted.
-  ServiceId Service;         ///< The service concerned.
+  TimePoint Start;           ///< Start time.
+  Duration Took{0};          ///< Duration.
+  ServiceId Service;         ///< Service of the request.
   ServerId Server;           ///< The backend server; may be empty.
-  RequestId Request;         ///< The attempt.
-  std::string Result;        ///< Ending or dispatch end, and reason.
-  bool Failed = false;       ///< True when there is no answer.
+  RequestId Request;         ///< Request id of the attempt.
+  std::string Result;  ///< Outcome with its reason, or end of the dispatch.
+  bool Failed = false; ///< True if there is no answer.
 };
 
-/// All that the daemon's parts tell about themselves. Implementations are
-/// thread-safe and never block for long.
+/// Receives decisions, spans, metrics and log lines from the components of a
+/// daemon. Implementations are thread-safe and never block for long.
 class Telemetry {
 public:
   virtual ~Telemetry() = default;
-  /// Keeps a decision for operators' questions.
+  /// Stores a decision for operators' queries.
   virtual void recordDecision(Decision what) = 0;
-  /// A traceparent for a new span below \p parent, or of a new trace.
+  /// Returns the traceparent of a new span below \p parent, or of a new trace.
   virtual std::string startSpan(const std::string &parent) = 0;
-  /// Keeps a finished span.
+  /// Stores a completed span.
   virtual void endSpan(HopSpan span) = 0;
-  /// A packet ended at this entry.
+  /// Counts a packet that ended at this entry, with its time.
   virtual void recordPacketEnd(const ServiceId &service, OutcomeKind how,
                                Reason why, Duration took) = 0;
-  /// A dispatch to a server ended.
+  /// Counts a dispatch to a server that ended, with its time.
   virtual void recordDispatchEnd(const ServerId &server, DispatchOutcome how,
                                  Duration took) = 0;
-  /// A log line: one short sentence.
+  /// Writes a log line of one short sentence.
   virtual void log(Part part, Severity severity,
                    const std::string &sentence) = 0;
-  /// A log line and a count of an error, with its step and peer.
+  /// Logs and counts an error, with its step and peer.
   virtual void recordError(Part part, const absl::Status &status) = 0;
 };
 
--- a/UnitTests/Daemon/EnvelopeReaderTest.cpp
+++ b/UnitTests/Daemon/EnvelopeReaderTest.cpp
@@ -29,8 +29,8 @@
 
 class BadEnvelopeTest : public testing::TestWithParam<BadCase> {};
 
-// A caller sends a field that can't be read. It must get a refusal that names
-// the field: guessing would send a booking to the wrong flow or deadline.
+// A malformed field must be rejected with an error that names it. A guessed
+// value would give a request the wrong flow or deadline.
 TEST_P(BadEnvelopeTest, IsRefusedByName) {
   const BadCase &it = GetParam();
   const auto read =
@@ -65,7 +65,8 @@
 
 class SemanticsTest : public testing::TestWithParam<SemanticsCase> {};
 
-// A method that we don't know may charge a deposit: it runs at most once.
+// An unknown method may have side effects, such as charging a deposit, so it
+// must run at most once.
 TEST_P(SemanticsTest, ComesFromTheMethod) {
   const auto read =
       readEnvelope(booking(), "10.0.0.9", packet({}, GetParam().Method));
@@ -98,13 +99,13 @@
   EXPECT_EQ(read->Token, "t");
   EXPECT_EQ(read->Head.Key, digestKey(ServiceId("booking"), "k"));
   EXPECT_EQ(read->Head.Remaining, Duration(1'500'000));
-  // The same flow, whoever of the fabric handed it over.
+  // The flow doesn't depend on the fabric node that forwarded the packet.
   const auto again =
       readEnvelope(booking(), "10.0.0.10",
                    packet({{"Forwarded", "For=\"192.0.2.1:4711\""}}));
   EXPECT_EQ(again->Head.Flow, read->Head.Flow);
   EXPECT_EQ(again->Head.Caller, read->Head.Caller);
-  // Another port is another flow of the same caller.
+  // A different port is a different flow of the same caller.
   const auto other =
       readEnvelope(booking(), "10.0.0.10",
                    packet({{"Forwarded", "for=\"192.0.2.1:4712\""}}));
@@ -112,7 +113,8 @@
   EXPECT_EQ(other->Head.Caller, read->Head.Caller);
 }
 
-// Callers send any bytes. A read must end in an envelope or a named error.
+// Callers may send arbitrary bytes. Reading must yield an envelope or an error
+// with its step.
 TEST(EnvelopeReaderTest, AnyBytesAreReadOrRefused) {
   SeededRandom random(7);
   const char *names[] = {"Forwarded",        "Balsamrack-Packet",
--- a/UnitTests/Daemon/PacketDaemonTest.cpp
+++ b/UnitTests/Daemon/PacketDaemonTest.cpp
@@ -19,8 +19,8 @@
 namespace balsamrack {
 namespace {
 
-/// Answers each read late, on a thread of its own; a listing holds one server
-/// and one route.
+/// Answers each read after a delay, on a thread of its own. Listings contain
+/// one route and at most one server.
 class DelayedSource final : public PublishedSource {
 public:
   ~DelayedSource() override {
@@ -41,8 +41,9 @@
 
   std::chrono::milliseconds Delay{1};
   PublishedSection SlowSection =
-      PublishedSection::Servers; ///< Waits four times.
-  Address ServerAt; ///< Of a server that listings hold; port zero: none.
+      PublishedSection::Servers; ///< Its delay is four times as long.
+  Address ServerAt; ///< Address of the listed server; port zero: no server is
+                    ///< listed.
 
 private:
   static constexpr size_t MaxThreads = 40;
@@ -95,9 +96,10 @@
   absl::StatusOr<std::unique_ptr<PacketDaemon>> start(DelayedSource &source) {
     return PacketDaemon::create(Settings, {Codec, source, Time, *Log});
   }
-  /// Sends the opening of a flow to the daemon.
+  /// Sends the opening packet of a flow to the daemon.
   void sendOpening(uint8_t caller) {
-    // The example of the platform's page, from another address.
+    // The example packet from the platform's documentation, with another caller
+    // address.
     const uint8_t packet[] = {0xd5, 0xc3, 0xb2, 0xa1, 0,    0,    1,      0,
                               0x12, 0xc6, 0x41, 0x9c, 0xbb, 0x01, caller, 0,
                               0x40, 0x64, 0,    0,    0,    0,    2,      0x44,
@@ -129,10 +131,9 @@
 class SlowSectionTest : public PacketDaemonTest,
                         public testing::WithParamInterface<PublishedSection> {};
 
-// Story: a fleet starts before its servers do. What is published of servers is
-// known to be nothing, and that may come after the configuration. The daemon
-// must be ready, to refuse callers at once, though the last updates changed
-// nothing.
+// A fleet may start before its servers, and the empty server list may arrive
+// after the configuration. The daemon must become ready, to reject callers at
+// once, even if the last update changed nothing.
 TEST_P(SlowSectionTest, IsReadyOnceItKnowsWhatIsPublished) {
   DelayedSource source;
   source.Delay = std::chrono::milliseconds(20);
@@ -152,11 +153,11 @@
                            return std::string(sectionName(info.param));
                          });
 
-// Story: operators take a failure domain out, and then it is cut off from the
-// others. Its own servers get no new flows and those of the others can't be
-// reached; its daemons refuse each caller for as long as the cut lasts, though
-// daemons of other domains could serve them. They must not be ready, and be so
-// again once a server takes a connection.
+// Operators take a failure domain out of service, and then it is partitioned
+// from the others. Its own servers get no new flows and those of other domains
+// can't be reached, so its daemons would reject every caller until the
+// partition heals, though daemons of other domains could serve them. They must
+// report not ready, and ready again once a server accepts a connection.
 TEST_F(PacketDaemonTest, IsNotReadyWhileNoServerCanBeReached) {
   ReservedPort serverAt;
   DelayedSource source;
@@ -175,8 +176,9 @@
   EXPECT_TRUE(waitUntil([&] { return (*daemon)->ready(); }));
 }
 
-// Guards against a daemon that restarts in a failure domain that is cut off: it
-// was ready until it found out, and drew all callers of its domain back.
+// A daemon that restarted in a partitioned failure domain reported ready until
+// its first connection attempts failed, and so attracted all callers of its
+// domain.
 TEST_F(PacketDaemonTest, IsNotReadyBeforeAServerWasReached) {
   ReservedPort serverAt;
   DelayedSource source;
@@ -192,8 +194,8 @@
   EXPECT_TRUE(waitUntil([&] { return (*daemon)->ready(); }));
 }
 
-// Story: a VM is stopped while reads of the publishing service are under way.
-// Their answers come when the daemon is gone, and must touch nothing of it.
+// A VM stops while reads of the publishing service are in progress. Their
+// responses arrive after the daemon is destroyed and must not access it.
 TEST_F(PacketDaemonTest, AnswersThatComeAfterItsEndAreHarmless) {
   for (int i = 0; i < 12; ++i) {
     DelayedSource source;
--- a/UnitTests/Daemon/PlatformReaderTest.cpp
+++ b/UnitTests/Daemon/PlatformReaderTest.cpp
@@ -12,10 +12,10 @@
 namespace balsamrack {
 namespace {
 
-/// Answers reads of tickets from a script; then waits for stop().
+/// Answers reads of tickets from a list of pages; then blocks until stop().
 class ScriptedPlatform final : public PlatformLink {
 public:
-  /// Nothing: the platform is down for that read.
+  /// No value: the platform is down for that read.
   using Page = std::optional<TicketPage>;
 
   explicit ScriptedPlatform(std::deque<Page> pages) : Pages(std::move(pages)) {}
@@ -101,9 +101,9 @@
 
 class PlatformReaderTest : public testing::TestWithParam<ReaderCase> {};
 
-// The platform fails over to a replica that lags, goes down, and comes back.
-// The reader must go on asking from the highest ticket that it was shown, and
-// tell operators how the platform looks.
+// The platform fails over to a lagging replica, goes down and recovers. The
+// reader must continue after the highest ticket reported so far, and show the
+// platform's state to operators.
 TEST_P(PlatformReaderTest, FollowsThePlatform) {
   const ReaderCase &it = GetParam();
   ScriptedPlatform platform(it.Pages);
@@ -145,8 +145,8 @@
                    3}),
     [](const auto &info) { return info.param.Name; });
 
-// The platform comes back after an hour. 610 daemons that all wait the same
-// time would ask at the same moment, each time.
+// The platform recovers after an hour. Without random backoff 610 daemons would
+// all retry at the same moments.
 TEST(BackoffTest, GrowsToItsBoundAndSpreads) {
   PlatformSettings settings;
   SeededRandom random(1);
