--- a/Balsamrack/Daemon/ControlPlane.cpp
+++ b/Balsamrack/Daemon/ControlPlane.cpp
@@ -359,7 +359,7 @@
   return route;
 }
 
-KeyReplicaView ControlPlane::guardians(TimePoint now) const {
+KeyReplicaView ControlPlane::keyReplicas(TimePoint now) const {
   KeyReplicaView view;
   for (const auto &[id, member] : Members->members()) {
     if (member.Record.State == MemberState::Dead ||
@@ -379,7 +379,7 @@
   RoutingView view;
   view.Ticket = configuration->highest();
   view.Self = Settings.Self;
-  view.KeyReplicas = guardians(now);
+  view.KeyReplicas = keyReplicas(now);
   const OwnershipMap map = OwnershipMap::create(Members->members());
   for (const auto &[id, service] : configuration->services()) {
     ServiceRoute &route = view.Services[id];
--- a/Balsamrack/Daemon/ControlPlane.h
+++ b/Balsamrack/Daemon/ControlPlane.h
@@ -123,7 +123,7 @@
   RoutedServer routeTo(const BackendServer &server,
                        const ConfigurationView &view,
                        const OwnershipMap &map) const;
-  KeyReplicaView guardians(TimePoint now) const;
+  KeyReplicaView keyReplicas(TimePoint now) const;
 
   void applyChanges(); ///< Called without any lock.
   void applyOwned();   ///< Called with ApplyLock held.
--- a/Balsamrack/Daemon/PacketDaemon.cpp
+++ b/Balsamrack/Daemon/PacketDaemon.cpp
@@ -122,7 +122,7 @@
   // the others, its daemons can't reach any server and would reject their
   // callers until the partition heals. By reporting not ready they leave the
   // callers to daemons of other domains, which the fabric can still reach.
-  return HasRoutes && !Leaving && Forwarder->isReachabilityConfirmed();
+  return HasRoutes && !Leaving && Forwarder->hasProvenReachability();
 }
 
 Answer PacketDaemon::answerReady(const Message &message) const {
--- a/Balsamrack/Daemon/PacketForwarder.cpp
+++ b/Balsamrack/Daemon/PacketForwarder.cpp
@@ -191,7 +191,7 @@
 
 void PacketForwarder::updateReachability() {
   bool proved = Router.hasProvenReachability();
-  if (ReachabilityConfirmed.exchange(proved) == proved)
+  if (ProvenReachability.exchange(proved) == proved)
     return;
   TelemetrySink.log(
       LogLine(Part::Entry, proved ? Severity::Info : Severity::Warning,
--- a/Balsamrack/Daemon/PacketForwarder.h
+++ b/Balsamrack/Daemon/PacketForwarder.h
@@ -78,7 +78,7 @@
   /// Returns all servers in the router's table.
   std::vector<ForwarderServerStatus> servers();
   /// See PacketRouter. Updated at each iteration and when routes are set.
-  bool isReachabilityConfirmed() const { return ReachabilityConfirmed.load(); }
+  bool hasProvenReachability() const { return ProvenReachability.load(); }
   /// Number of packets received so far.
   uint64_t received() const { return Received.load(); }
   /// Stops the thread. Idempotent.
@@ -116,7 +116,7 @@
   TimePoint StaleUntil; ///< Zero if the routes are fresh.
 
   std::atomic<uint64_t> Received{0};
-  std::atomic<bool> ReachabilityConfirmed{true};
+  std::atomic<bool> ProvenReachability{true};
   std::atomic<bool> Stopping{false};
   std::thread Thread; ///< Last, so that all other members are initialised when
                       ///< it starts.
