--- a/Balsamrack/Membership/GossipComposer.cpp
+++ b/Balsamrack/Membership/GossipComposer.cpp
@@ -4,13 +4,13 @@
 
 namespace {
 
-/// Encoded field names and numbers of one piece of record.
+/// Estimated size of the field names and numbers of one encoded record.
 constexpr size_t MemberOverheadBytes = 80;
 constexpr size_t ConditionOverheadBytes = 50;
-/// Conditions get this part of the bytes of a message at most.
+/// Conditions take at most 1/N of the update bytes of a message.
 constexpr size_t ConditionShareDivisor = 2;
-/// Each daemon passes record on so many times for each doubling of the fleet;
-/// an epidemic needs about one (SWIM, section 4.1), the rest covers loss.
+/// Times that each daemon forwards an update per doubling of the fleet size.
+/// Gossip needs about one (SWIM, section 4.1); the rest covers message loss.
 constexpr uint32_t SendsPerDoubling = 2;
 
 } // namespace
@@ -59,7 +59,7 @@
   Gossip gossip{OwnDigest, {}, {}};
   uint32_t times = timesToSend(members.size());
   size_t left = Settings.GossipBytes;
-  // Conditions matter to daemons of the own domain only.
+  // Only daemons of the own domain use conditions.
   if (to.Domain == Domain)
     for (const ServerId &id : ConditionQueue.dequeue(
              left / ConditionShareDivisor, times,
--- a/Balsamrack/Membership/GossipComposer.h
+++ b/Balsamrack/Membership/GossipComposer.h
@@ -9,36 +9,37 @@
 
 namespace balsamrack {
 
-/// Size that \p record is reckoned with on a message, in bytes. Thread-safe.
+/// Returns the estimated encoded size of \p record in bytes. Thread-safe.
 size_t estimatedBytes(const MemberRecord &record);
-/// Size that \p condition is reckoned with on a message. Thread-safe.
+/// Returns the estimated encoded size of \p condition in bytes. Thread-safe.
 size_t estimatedBytes(const ServerCondition &condition);
 
-/// Decides which updates ride on a probe message, within a bound of bytes. Not
-/// thread-safe.
+/// Selects the updates to piggyback on a probe message, within a size limit.
+/// Not thread-safe.
 class GossipComposer {
 public:
-  /// A composer for a daemon of \p domain. Thread-safe.
+  /// Creates a composer for a daemon of \p domain. Thread-safe.
   GossipComposer(const MembershipSettings &settings, const DomainId &domain);
 
-  /// The own configuration is now \p held. Not thread-safe.
+  /// Sets the digest of this daemon's configuration. Not thread-safe.
   void setDigest(const StateDigest &held) { OwnDigest = held; }
-  /// The own configuration. Not thread-safe.
+  /// Returns the digest of this daemon's configuration. Not thread-safe.
   const StateDigest &digest() const { return OwnDigest; }
-  /// A member has updates to be spread. Not thread-safe.
+  /// Queues the record of \p vm for gossip. Not thread-safe.
   void queueMember(const VmId &vm) { MemberQueue.add(vm); }
-  /// A member was forgotten. Not thread-safe.
+  /// Removes a forgotten member from the queue. Not thread-safe.
   void removeMember(const VmId &vm) { MemberQueue.remove(vm); }
-  /// Takes a condition; true when it is newer than what was known. Not
-  /// thread-safe.
+  /// Queues \p condition for gossip if it is newer than the known one; returns
+  /// whether it is. Not thread-safe.
   bool queueCondition(const ServerCondition &condition);
 
-  /// Updates for \p to. If \p to is known, but not held for alive, the updates
-  /// of it come first: it refutes them at once, and takes the message for no
-  /// renewal of its lease. Not thread-safe.
+  /// Returns the updates for a message to \p to. If \p to is known, but not
+  /// considered alive, its own record comes first, so that it refutes the
+  /// record at once and does not treat the message as a lease renewal. Not
+  /// thread-safe.
   Gossip compose(const MemberMap &members, const EntryVm &to);
-  /// As compose, for a daemon that has just started: the whole table as far as
-  /// FullTableBytes reach, its own domain first. Not thread-safe.
+  /// As compose, for a newly started daemon: the full table up to
+  /// FullTableBytes, the receiver's domain first. Not thread-safe.
   Gossip composeFull(const MemberMap &members, const EntryVm &to);
 
 private:
@@ -46,12 +47,13 @@
                            Gossip &gossip) const;
   uint32_t timesToSend(size_t members) const;
 
-  const MembershipSettings Settings;              ///< Limits.
-  const DomainId Domain;                          ///< Own domain.
-  StateDigest OwnDigest;                          ///< Own configuration.
-  GossipQueue<VmId> MemberQueue;                  ///< Members with updates.
-  GossipQueue<ServerId> ConditionQueue;           ///< Servers with updates.
-  std::map<ServerId, ServerCondition> Conditions; ///< Newest of each server.
+  const MembershipSettings Settings;    ///< Size limits.
+  const DomainId Domain;                ///< This daemon's domain.
+  StateDigest OwnDigest;                ///< Digest of the configuration.
+  GossipQueue<VmId> MemberQueue;        ///< Members with pending updates.
+  GossipQueue<ServerId> ConditionQueue; ///< Servers with pending updates.
+  std::map<ServerId, ServerCondition>
+      Conditions; ///< Newest condition of each server.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Membership/GossipQueue.h
+++ b/Balsamrack/Membership/GossipQueue.h
@@ -10,18 +10,17 @@
 
 namespace balsamrack {
 
-/// Which updates still have to ride on probes, least often sent first, older
-/// ones first among equals. Holds only names: the updates themselves are looked
-/// up when they are sent, so that they are never stale. \p Key is a VmId or a
-/// ServerId. Not thread-safe.
+/// Queue of updates to piggyback on probes, least often sent first, then oldest
+/// first. Holds only keys; the updates are looked up when they are sent, so
+/// that they are never stale. \p Key is a VmId or a ServerId. Not thread-safe.
 template <class Key> class GossipQueue {
 public:
-  /// \p key has updates that were not sent yet. Not thread-safe.
+  /// Queues a new update of \p key. Not thread-safe.
   void add(const Key &key) {
     remove(key);
     insert(key, 0);
   }
-  /// \p key needs no update any more. Not thread-safe.
+  /// Removes \p key from the queue. Not thread-safe.
   void remove(const Key &key) {
     auto it = PositionByKey.find(key);
     if (it == PositionByKey.end())
@@ -29,8 +28,9 @@
     Order.erase({it->second.Sent, it->second.Turn, key});
     PositionByKey.erase(it);
   }
-  /// Takes names until their sizes by \p sizeOf fill \p bytes, and counts them
-  /// as sent; a name that was sent \p times is dropped. Not thread-safe.
+  /// Returns keys whose sizes by \p sizeOf fit into \p bytes in total, and
+  /// counts them as sent; a key that was sent \p times is removed. Not
+  /// thread-safe.
   template <class SizeOf>
   std::vector<Key> dequeue(size_t bytes, uint32_t times, SizeOf sizeOf) {
     std::vector<Key> dequeued;
@@ -49,23 +49,23 @@
     }
     return dequeued;
   }
-  /// Number of names with unsent updates. Not thread-safe.
+  /// Returns the number of queued keys. Not thread-safe.
   size_t size() const { return PositionByKey.size(); }
 
 private:
-  /// Where a key stands in the order.
+  /// Position of a key in the queue.
   struct Position {
-    uint32_t Sent = 0; ///< How often it was sent.
-    uint64_t Turn = 0; ///< Lower was placed earlier.
+    uint32_t Sent = 0; ///< Number of times it was sent.
+    uint64_t Turn = 0; ///< Insertion number.
   };
   void insert(const Key &key, uint32_t sent) {
     PositionByKey[key] = {sent, ++LastTurn};
     Order.insert({sent, LastTurn, key});
   }
 
-  std::set<std::tuple<uint32_t, uint64_t, Key>> Order; ///< By (sent, turn).
-  std::map<Key, Position> PositionByKey;               ///< The same by key.
-  uint64_t LastTurn = 0;                               ///< Counts placings.
+  std::set<std::tuple<uint32_t, uint64_t, Key>> Order; ///< By (Sent, Turn).
+  std::map<Key, Position> PositionByKey;               ///< Positions by key.
+  uint64_t LastTurn = 0;                               ///< Counts insertions.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Membership/HintList.cpp
+++ b/Balsamrack/Membership/HintList.cpp
@@ -7,11 +7,14 @@
 
 namespace {
 
-/// Hints tried at once: enough to find a domain's few daemons in one round.
+/// Hints of the own domain probed at once: enough to find its few daemons in
+/// one round.
 constexpr size_t OwnDomainProbes = 3;
-/// Others come one by one, so that a long list of dead VMs costs little.
+/// Hints of other domains are probed one at a time, so that a long list of dead
+/// VMs costs little.
 constexpr size_t OtherDomainProbes = 1;
-/// Seeds are few, and their domain may not be known.
+/// Seeds are few, and their domain may be unknown, so several are probed at
+/// once.
 constexpr size_t SeedProbes = 3;
 
 } // namespace
@@ -40,7 +43,7 @@
   for (auto it = Hints.begin(); it != Hints.end();)
     it = Listed.count(it->first) || Seeded.count(it->first) ? std::next(it)
                                                             : Hints.erase(it);
-  // A VM that was replaced under its name may have another address.
+  // A VM that was replaced under the same id may have another address.
   for (auto &[id, hint] : Hints)
     if (Listed.count(id))
       hint.Vm = Listed[id];
--- a/Balsamrack/Membership/HintList.h
+++ b/Balsamrack/Membership/HintList.h
@@ -11,54 +11,56 @@
 
 namespace balsamrack {
 
-/// VMs that the platform's list or the settings name and that never answered.
-/// Guards against a list that lags and names the dead: a hint is only tried,
-/// less and less often, and never counts as alive. Not thread-safe.
+/// VMs from the platform's list or the settings that have not answered yet.
+/// Since the list lags and may contain dead VMs, a hint is only probed, with
+/// exponential backoff, and never counts as alive. Not thread-safe.
 class HintList {
 public:
-  /// A list for the daemon \p self. Thread-safe.
+  /// Creates a list for the daemon \p self. Thread-safe.
   HintList(const MembershipSettings &settings, const EntryVm &self);
 
-  /// The platform's list; replaces the one before. Not thread-safe.
+  /// Sets the platform's list; replaces the previous one. Not thread-safe.
   void setListed(TimePoint now, const std::vector<EntryVm> &vms,
                  const MemberMap &members);
-  /// Peers from the settings; they stay. Not thread-safe.
+  /// Adds peers from the settings; they are never removed. Not thread-safe.
   void addSeeds(TimePoint now, const std::vector<EntryVm> &vms,
                 const MemberMap &members);
-  /// \p vm is a member now: no need to try it. Not thread-safe.
+  /// Removes the hint for \p vm, which is a member now. Not thread-safe.
   void forget(const VmId &vm) { Hints.erase(vm); }
-  /// A member was forgotten; if it is still named it is a hint again. Not
-  /// thread-safe.
+  /// Turns a forgotten member into a hint again if it is still listed or
+  /// seeded. Not thread-safe.
   void onMemberForgotten(TimePoint now, const VmId &vm);
-  /// Hints to be tried now, own domain first, and counts them as tried: a few
-  /// of the own domain, one of others. Not thread-safe.
+  /// Returns the hints to probe now and schedules their next probe: a few of
+  /// the own domain first, then a few seeds or one VM of other domains. Not
+  /// thread-safe.
   std::vector<EntryVm> takeDue(TimePoint now);
-  /// Everyone of the own domain that is named, member or not, but this daemon.
-  /// Not thread-safe.
+  /// Returns all listed or seeded VMs of the own domain, members included,
+  /// except this daemon. Not thread-safe.
   std::vector<VmId> domainPeers() const;
-  /// True once the list or seeds were given. Not thread-safe.
+  /// Returns whether a non-empty list or seeds were set. Not thread-safe.
   bool known() const { return !Listed.empty() || !Seeded.empty(); }
-  /// True when the platform's list was given and lacks \p vm. Not thread-safe.
+  /// Returns whether a non-empty platform list is set and does not contain \p
+  /// vm. Not thread-safe.
   bool isUnlisted(const VmId &vm) const {
     return !Listed.empty() && Listed.count(vm) == 0;
   }
 
 private:
-  /// When to try a hint again.
+  /// A VM to probe and its schedule.
   struct Hint {
-    EntryVm Vm;     ///< Whom to try.
-    TimePoint Next; ///< When.
-    Duration Wait;  ///< Wait after the next try; doubles.
+    EntryVm Vm;     ///< VM to probe.
+    TimePoint Next; ///< Time of the next probe.
+    Duration Wait;  ///< Wait after the next probe; doubles each time.
   };
   void add(TimePoint now, const EntryVm &vm);
   void addMissing(TimePoint now, const std::vector<EntryVm> &vms,
                   const MemberMap &members);
 
-  const MembershipSettings Settings; ///< Times.
+  const MembershipSettings Settings; ///< Retry periods.
   const EntryVm Self;                ///< This daemon's VM.
-  std::map<VmId, EntryVm> Listed;    ///< As the platform said last.
-  std::map<VmId, EntryVm> Seeded;    ///< From the settings.
-  std::map<VmId, Hint> Hints;        ///< Named, but not members.
+  std::map<VmId, EntryVm> Listed;    ///< Latest platform list.
+  std::map<VmId, EntryVm> Seeded;    ///< Seeds from the settings.
+  std::map<VmId, Hint> Hints; ///< Listed or seeded VMs that are not members.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Membership/MemberTable.cpp
+++ b/Balsamrack/Membership/MemberTable.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// A domain that falls silent is asked for so many periods more before it is
-/// called unreachable.
+/// A silent domain is probed for this many more periods before it is marked
+/// unreachable.
 constexpr int DomainCheckPeriods = 4;
-/// After a domain is heard again its members get so many times the usual time
-/// to refute what was said of them while it was cut off.
+/// Factor on the suspicion time of members of a domain that becomes reachable
+/// again, so that they can refute records from the time of the partition.
 constexpr int HealedSuspicionFactor = 3;
-/// Between two looks for members to forget.
+/// Period of forgetDeparted().
 constexpr Duration ForgetPeriod{250'000};
 
 } // namespace
@@ -77,8 +77,8 @@
 void MemberTable::refute(TimePoint now, const MemberRecord &record,
                          const VmId &peer) {
   MemberView &self = Members.at(Self);
-  // Guards against two processes under one name: the VM was replaced while
-  // this process was paused, and the new run may own what this one owned.
+  // A later incarnation means that the VM was replaced while this process was
+  // paused; the new process may own this one's servers.
   if (record.Run > self.Record.Run) {
     SupersededBy = record;
     return;
@@ -87,9 +87,10 @@
       self.Record.State == MemberState::Left ||
       record.Refutation < self.Record.Refutation)
     return;
-  // Guards against two owners: whoever holds us for dead may have a new owner
-  // for our servers that waits for our lease only, so we own nothing from here
-  // on, before anyone hears that we live and renews that lease.
+  // Prevents two owners: if a peer considers this daemon dead, a new owner of
+  // its servers may be waiting only for its lease to end. All servers must be
+  // given up before any peer learns that this daemon is alive and renews the
+  // lease.
   WasDeclaredDead = WasDeclaredDead || record.State == MemberState::Dead;
   MemberRecord refuted = self.Record;
   refuted.Refutation = record.Refutation + 1;
@@ -105,7 +106,7 @@
   auto it = Members.find(record.Vm.Id);
   bool gone =
       record.State == MemberState::Dead || record.State == MemberState::Left;
-  // The death of an unknown daemon is of no use here.
+  // Departed daemons that are unknown here are not added.
   if (it == Members.end() && gone)
     return;
   if (it == Members.end()) {
@@ -152,8 +153,8 @@
   const DomainId &domain = member.Record.Vm.Domain;
   if (domain != OwnDomain)
     return Settings.suspicionTime(Members.size());
-  // Every second probe stays in the own domain, so record of it spread as fast
-  // as in a fleet of that size.
+  // Every second probe goes to the own domain, so its records spread as fast as
+  // in a fleet of the domain's size.
   auto here = std::count_if(Members.begin(), Members.end(), [&](const auto &m) {
     return m.second.Record.Vm.Domain == domain;
   });
@@ -192,9 +193,10 @@
                                Suspicion suspicion) {
   MemberView &member = Members.at(vm);
   const DomainId domain = member.Record.Vm.Domain;
-  // Guards against taking a cut for many deaths: if nobody of the other domain
-  // was heard since the suspicion began, the link is the likelier fault, and
-  // members must not be replaced while they may be serving behind the cut.
+  // Do not mistake a partition for many deaths: if no member of the other
+  // domain has answered since the suspicion began, the link has probably
+  // failed. Its members must not be replaced, since they may still be serving
+  // on the other side.
   bool silent = domain != OwnDomain && DomainHeard[domain] < suspicion.Since;
   if (silent && !suspicion.ProbedAgain) {
     suspicion.ProbedAgain = true;
@@ -246,7 +248,8 @@
     bool gone = member.Record.State == MemberState::Dead ||
                 member.Record.State == MemberState::Left;
     bool old = gone && now - member.StateChangedAt > Settings.ForgetAfter;
-    // The platform took it off its list: it won't come back behind the cut.
+    // Removed from the platform's list: it will not return when the domain
+    // becomes reachable.
     bool removed = member.Unreachable && hints.isUnlisted(it->first);
     bool lost = member.Unreachable &&
                 now - member.StateChangedAt > Settings.ForgetUnreachableAfter;
--- a/Balsamrack/Membership/MemberView.h
+++ b/Balsamrack/Membership/MemberView.h
@@ -8,29 +8,32 @@
 
 namespace balsamrack {
 
-/// What one daemon knows of another. Not thread-safe for writing.
+/// One daemon's view of another. Not thread-safe for writing.
 struct MemberView {
-  MemberRecord Record;      ///< The highest record of it.
-  bool Unreachable = false; ///< Its whole domain is silent: not the same as
-                            ///< dead.
-  TimePoint StateChangedAt; ///< When its state or reachability changed.
-  TimePoint AliveUntil;     ///< When it was last taken from alive to suspect or
-                            ///< dead: it ran no longer, and renewed nothing.
-  TimePoint LastHeard;      ///< Last message straight from it; zero: never.
+  MemberRecord Record; ///< Highest record received.
+  bool Unreachable =
+      false; ///< Its whole domain is silent; it may still be alive.
   TimePoint
-      PreviousRunLeaseRenewal; ///< LastLeaseRenewal of the run before, unless
-                               ///< that one left: its lease may still run.
-  TimePoint LastLeaseRenewal; ///< When we last answered a probe of it and held
-                              ///< it for alive: its lease may run from there.
-
-  /// Alive or suspect, and its domain can be reached. Thread-safe.
+      StateChangedAt;   ///< Time of the last change of state or reachability.
+  TimePoint AliveUntil; ///< Time of its last change from alive to another
+                        ///< state; its lease is not renewed after that.
+  TimePoint LastHeard;  ///< Time of its last direct message; zero if none.
+  TimePoint PreviousRunLeaseRenewal; ///< LastLeaseRenewal of the previous
+                                     ///< incarnation, whose lease may still
+                                     ///< run; zero if that one left.
+  TimePoint LastLeaseRenewal; ///< When this daemon last answered a probe of it
+                              ///< and considered it alive; its lease may run
+                              ///< from then on.
+
+  /// Returns whether it is alive or suspect, and its domain is reachable.
+  /// Thread-safe.
   bool live() const {
     return !Unreachable && (Record.State == MemberState::Alive ||
                             Record.State == MemberState::Suspect);
   }
 };
 
-/// The known daemons by id, the own one included.
+/// The known daemons by id, this one included.
 using MemberMap = std::map<VmId, MemberView>;
 
 } // namespace balsamrack
--- a/Balsamrack/Membership/Membership.h
+++ b/Balsamrack/Membership/Membership.h
@@ -12,40 +12,42 @@
 
 namespace balsamrack {
 
-/// Who is there: SWIM (Das, Gupta, Motivala 2002) as a state machine. Constant
-/// load whatever the fleet's size. Deterministic: the same events in give the
-/// same actions out. Not thread-safe.
+/// Membership and failure detection by SWIM (Das, Gupta, Motivala 2002), as a
+/// state machine. The load per daemon does not depend on the size of the fleet.
+/// Deterministic: the same events give the same actions. Not thread-safe.
 class Membership {
 public:
   virtual ~Membership() = default;
 
-  /// A membership that knows only itself. Error kInvalidArgument (step probe)
-  /// for bad settings, an empty id or a zero run. Thread-safe.
+  /// Creates a membership that knows only \p self. Returns kInvalidArgument for
+  /// invalid settings (step read-settings), or for an empty id or domain or a
+  /// zero run (step probe). Thread-safe.
   static absl::StatusOr<std::unique_ptr<Membership>>
   create(const MembershipSettings &settings, const EntryVm &self,
          Incarnation run, uint64_t seed);
 
-  /// Takes one event and says what to do, in order. Precondition: \p now is not
-  /// before that of the call before. Not thread-safe.
+  /// Handles one event and returns the actions to carry out, in order.
+  /// Precondition: \p now never decreases between calls. Not thread-safe.
   virtual std::vector<MembershipAction> step(TimePoint now,
                                              const MembershipEvent &event) = 0;
 
-  /// The known daemons, this one included. Not thread-safe.
+  /// Returns the known daemons, this one included. Not thread-safe.
   virtual const MemberMap &members() const = 0;
-  /// False while a whole other domain is silent; true for the own domain and
-  /// for one that is not known. Not thread-safe.
+  /// Returns false while the other domain \p domain is silent as a whole; true
+  /// for the own domain and for unknown ones. Not thread-safe.
   virtual bool domainReachable(const DomainId &domain) const = 0;
-  /// Daemons that died or left within \p span before \p now. Not thread-safe.
+  /// Returns the daemons that died or left within \p span before \p now. Not
+  /// thread-safe.
   virtual std::vector<VmId> recentlyDeparted(TimePoint now,
                                              Duration span) const = 0;
-  /// Listed VMs of the own domain, this one left out: for ListedPeers. Not
-  /// thread-safe.
+  /// Returns the VMs of the own domain in the platform's list or the seeds,
+  /// this one excluded; for ListedPeers. Not thread-safe.
   virtual std::vector<VmId> listedDomainPeers() const = 0;
-  /// Live daemons of the own domain, this one left out: for
+  /// Returns the live daemons of the own domain, this one excluded; for
   /// OwnershipFence::setPeers. Not thread-safe.
   virtual std::vector<VmId> liveDomainPeers() const = 0;
-  /// When the next MembershipTicked is due; nothing before the first step. Not
-  /// thread-safe.
+  /// Returns when the next MembershipTicked is due; nothing before the first
+  /// one. Not thread-safe.
   virtual std::optional<TimePoint> nextWakeup() const = 0;
 };
 
--- a/Balsamrack/Membership/MembershipEvents.h
+++ b/Balsamrack/Membership/MembershipEvents.h
@@ -9,32 +9,33 @@
 
 namespace balsamrack {
 
-/// Time has passed; come back by Membership::nextWakeup at the latest.
+/// Periodic timer; due at Membership::nextWakeup at the latest.
 struct MembershipTicked {};
-/// A probe message came in.
+/// A probe message was received.
 struct MessageReceived {
-  EntryVm From;                                 ///< Who sent it.
-  std::variant<Ping, PingRequest, Ack> Content; ///< What it says.
+  EntryVm From;                                 ///< Sender.
+  std::variant<Ping, PingRequest, Ack> Content; ///< The message.
 };
-/// The platform's list: a hint that lags and lists the dead.
+/// The platform's list of VMs. It lags and may contain dead VMs, so it serves
+/// as a hint only.
 struct PlatformList {
   std::vector<EntryVm> Vms; ///< The whole list.
 };
-/// Peers from the settings, for when the platform is down.
+/// Peers from the settings, used while the platform is down.
 struct Seeds {
-  std::vector<EntryVm> Vms; ///< Who may be there.
+  std::vector<EntryVm> Vms; ///< Possible peers.
 };
-/// The own configuration changed.
+/// This daemon's configuration changed.
 struct DigestChanged {
-  StateDigest Held; ///< What is held now.
+  StateDigest Held; ///< Digest of the tickets held now.
 };
 
-/// This daemon shuts down gracefully: it takes no new ownership.
+/// This daemon shuts down gracefully and acquires no more servers.
 struct MembershipLeaving {};
-/// This daemon has released all that it owned: it Announces that it leaves.
+/// This daemon has released all its servers and announces that it leaves.
 struct MembershipLeft {};
 
-/// All that a Membership reacts to.
+/// Events that a Membership handles.
 using MembershipEvent =
     std::variant<MembershipTicked, MessageReceived, PlatformList, Seeds,
                  DigestChanged, ConditionLearned, MembershipLeaving,
@@ -42,46 +43,46 @@
 
 /// Send a probe message.
 struct SendTo {
-  EntryVm To;                                   ///< To whom.
-  std::variant<Ping, PingRequest, Ack> Content; ///< What.
+  EntryVm To;                                   ///< Receiver.
+  std::variant<Ping, PingRequest, Ack> Content; ///< The message.
 };
 /// A daemon's state, run or reachability changed.
 struct MemberChanged {
-  MemberRecord Record;      ///< The record.
+  MemberRecord Record;      ///< Record after the change.
   bool Unreachable = false; ///< Its domain is silent as a whole.
 };
-/// A peer holds tickets that are lacking here: ask it for state.
+/// A peer holds tickets that are missing here: request state from it.
 struct PeerHasNewer {
-  EntryVm Peer;     ///< Whom to ask.
-  StateDigest Held; ///< What it holds.
+  EntryVm Peer;     ///< The peer.
+  StateDigest Held; ///< Its digest.
 };
-/// A peer lacks tickets that are held here. It has been told our digest and
-/// will ask; nothing has to be sent.
+/// A peer misses tickets that are held here. It received this daemon's digest
+/// and will request them; nothing has to be sent.
 struct PeerHasOlder {
-  EntryVm Peer;     ///< Who.
-  StateDigest Held; ///< What it holds.
+  EntryVm Peer;     ///< The peer.
+  StateDigest Held; ///< Its digest.
 };
-/// A newer condition of a server in the own domain.
+/// A newer condition of a server in the own domain was received.
 struct ConditionReceived {
-  ServerCondition Condition; ///< As its owner saw it.
+  ServerCondition Condition; ///< As observed by the owner.
 };
-/// A domain peer answered a probe and holds us for alive: renew the lease
-/// (OwnershipFence::renewLease).
+/// A peer of the own domain answered a probe and considers this daemon alive:
+/// renew the lease (OwnershipFence::renewLease).
 struct LeaseRenewed {
-  VmId Peer;        ///< Who answered.
-  TimePoint SentAt; ///< When the answered probe was sent.
+  VmId Peer;        ///< The peer that answered.
+  TimePoint SentAt; ///< Send time of the answered probe.
 };
-/// Others held this daemon for dead: whoever they made owner may dispatch soon.
-/// Give the OwnershipTracker an AuthorityExpired before the next action is
-/// carried out, since that tells the others that this daemon lives.
+/// A peer declared this daemon dead, so a new owner of its servers may dispatch
+/// soon. Send AuthorityExpired to the OwnershipTracker before the next action
+/// is carried out, since that action tells peers that this daemon is alive.
 struct DeclaredDead {};
-/// A later run under this daemon's name is known: the VM was replaced while
-/// this process was paused. Stop dispatching and shut down.
+/// A later incarnation of this daemon exists: the VM was replaced while this
+/// process was paused. Stop dispatching and shut down.
 struct Superseded {
-  MemberRecord Record; ///< The later run.
+  MemberRecord Record; ///< Record of the later incarnation.
 };
 
-/// All that a Membership asks for, to be carried out in order.
+/// Actions that a Membership returns, to be carried out in order.
 using MembershipAction =
     std::variant<SendTo, MemberChanged, PeerHasNewer, PeerHasOlder,
                  ConditionReceived, LeaseRenewed, DeclaredDead, Superseded,
--- a/Balsamrack/Membership/MembershipMessages.h
+++ b/Balsamrack/Membership/MembershipMessages.h
@@ -12,88 +12,92 @@
 
 namespace balsamrack {
 
-/// What the fleet says of a daemon.
+/// State of a daemon as known to the fleet.
 enum class MemberState {
   Alive,   ///< Answers probes.
-  Suspect, ///< Did not answer, directly or through others; may still refute.
-  Dead,    ///< Did not refute in time.
+  Suspect, ///< Answered neither direct nor indirect probes; may still refute.
+  Dead,    ///< Did not refute the suspicion in time.
   Left,    ///< Announced that it leaves.
 };
 
 /// State of one daemon. Ordered by Run, then Refutation, then State: the
 /// higher one wins.
 struct MemberRecord {
-  EntryVm Vm;      ///< Who and where.
-  Incarnation Run; ///< Which run of that daemon.
-  uint32_t Refutation =
-      0; ///< Raised by the daemon itself to refute a suspicion of this run.
-  MemberState State = MemberState::Alive; ///< What is said of it.
+  EntryVm Vm;              ///< The daemon's VM and address.
+  Incarnation Run;         ///< Incarnation of the daemon.
+  uint32_t Refutation = 0; ///< Incremented by the daemon itself to refute a
+                           ///< suspicion of this incarnation.
+  MemberState State = MemberState::Alive; ///< Its state.
 };
 
-/// What rides on each probe.
+/// Updates that are piggybacked on each probe message.
 struct Gossip {
-  StateDigest Held; ///< Tickets that the sender holds.
+  StateDigest Held; ///< Digest of the sender's tickets.
   std::vector<MemberRecord>
-      Members; ///< A few updates of members, least often sent first.
+      Members; ///< Some member records, least often sent first.
   std::vector<ServerCondition>
-      Conditions; ///< A few conditions of servers of the sender's domain.
+      Conditions; ///< Some conditions of servers in the sender's domain.
 };
 
 /// Direct probe (SWIM: Das, Gupta, Motivala 2002).
 struct Ping {
   uint64_t Sequence = 0; ///< Repeated in the Ack.
-  MemberRecord Sender;   ///< The sender about itself.
-  Gossip Updates;        ///< What rides along.
+  MemberRecord Sender;   ///< The sender's own record.
+  Gossip Updates;        ///< Piggybacked updates.
 };
 
-/// Asks a peer to probe a third daemon for us.
+/// Asks a peer to probe a third daemon on the sender's behalf.
 struct PingRequest {
   uint64_t Sequence = 0; ///< Repeated in the Ack.
-  EntryVm Target;        ///< Whom to probe.
-  Gossip Updates;        ///< What rides along.
+  EntryVm Target;        ///< Daemon to probe.
+  Gossip Updates;        ///< Piggybacked updates.
 };
 
 /// Answer to a Ping or, once the target answered, to a PingRequest.
 struct Ack {
   uint64_t Sequence = 0; ///< Of the Ping or PingRequest.
-  VmId About; ///< Whose life it proves: the sender itself, or the target of the
-              ///< PingRequest.
-  MemberRecord Sender; ///< The sender about itself.
-  Gossip Updates;      ///< What rides along.
-  bool Renews = true;  ///< False: the answerer was paused and has no right yet
-                       ///< to renew the lease of another.
+  VmId About; ///< The daemon that is proved alive: the sender itself, or the
+              ///< target of the PingRequest.
+  MemberRecord Sender; ///< Record of the daemon in About.
+  Gossip Updates;      ///< Piggybacked updates.
+  bool Renews =
+      true; ///< False if the sender does not renew the receiver's lease, for
+            ///< instance since its own is not renewed yet after a pause.
 };
 
-/// One backend server's state, passed on when its owner leaves or loses it to a
-/// joiner.
+/// State of a backend server, sent when its ownership moves to another daemon.
 struct HandedOverServer {
-  ServerCondition Condition; ///< Warmth as the old owner saw it.
-  uint32_t InProgress = 0;   ///< Requests that the old owner still has in
-                             ///< progress; it ends them itself.
-  bool Owned = false;        ///< The sender owned it until it released it.
+  ServerCondition Condition; ///< Condition, including warm-up state, as
+                             ///< observed by the old owner.
+  uint32_t InProgress = 0;   ///< Requests still in progress at the old owner,
+                             ///< which completes them itself.
+  bool Owned = false; ///< The sender owned the server until this release.
 };
 
-/// Ownership inside one failure domain, after Ricart and Agrawala (1981): who
-/// wants to dispatch to a server asks every live daemon of its domain (Wanted).
-/// Those that don't own it release it (Servers); its owner says that it holds
-/// it (Held), goes on, and releases it when it is asked last.
+/// Request for or release of ownership inside one failure domain, after Ricart
+/// and Agrawala (1981). A daemon that wants to own a server requests it from
+/// every live daemon of its domain (Wanted). Those that do not own it release
+/// it (Servers). Its owner reports that it holds it (Held), keeps dispatching,
+/// and releases it once all others have done so (AllOthersReleased).
 struct OwnershipHandOver {
-  VmId From;       ///< Who sends it.
-  Incarnation Run; ///< Its run.
+  VmId From;       ///< Sender.
+  Incarnation Run; ///< Incarnation of the sender.
   std::vector<HandedOverServer>
-      Servers; ///< Released: the sender does not dispatch to them and will not
-               ///< without asking again.
-  std::vector<ServerId> Held; ///< Owned by the sender: ask again, as the last.
-  std::vector<ServerId> Wanted;   ///< The sender asks the receiver for these.
-  bool AllOthersReleased = false; ///< Of Wanted: all others have released them.
-  uint64_t Sequence = 0; ///< Chosen by the asker and repeated in the answer, so
-                         ///< that an answer to an earlier question is ignored.
+      Servers; ///< Released: the sender does not dispatch to them, and will not
+               ///< before it has requested them again.
+  std::vector<ServerId> Held;   ///< Owned by the sender; to be requested again
+                                ///< once all others have released them.
+  std::vector<ServerId> Wanted; ///< Servers that the sender requests.
+  bool AllOthersReleased = false; ///< All other daemons have released Wanted.
+  uint64_t Sequence = 0; ///< Chosen by the requester and repeated in the reply,
+                         ///< so that replies to earlier requests are ignored.
   uint64_t LiveHash =
-      0; ///< Of the live daemons of the domain and their runs,
-         ///< as the sender sees them; a release needs agreement.
+      0; ///< Hash of the domain's live daemons and their incarnations in the
+         ///< sender's view; a release requires equal hashes.
   Duration TimeSinceDeadLease{
-      0}; ///< Since a lease may have begun that a daemon of the
-          ///< domain has which the sender holds for dead.
+      0}; ///< Time since the latest possible start of a lease of a daemon of
+          ///< the domain that the sender considers dead, or of an earlier
+          ///< incarnation.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Membership/MembershipSettings.cpp
+++ b/Balsamrack/Membership/MembershipSettings.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// The own domain is probed every second period at least.
+/// The own domain is probed at least every second period; the lease must span
+/// two such probes.
 constexpr int ProbesOfOwnDomainPerLease = 2;
 
 absl::Status settingsError(const std::string &what) {
--- a/Balsamrack/Membership/OwnershipEvents.h
+++ b/Balsamrack/Membership/OwnershipEvents.h
@@ -9,75 +9,77 @@
 
 namespace balsamrack {
 
-/// The known daemons changed, or a lease was renewed for one.
+/// The known daemons changed, or this daemon renewed the lease of one.
 struct MembersChanged {
-  MemberMap Members; ///< All of them, the own one included.
+  MemberMap Members; ///< All known daemons, this one included.
 };
-/// The VMs of the own domain that the platform's list or the seeds name, the
-/// own one left out. Until each has answered, died or left, or takeoverWait has
-/// passed since the start, nothing is founded.
+/// VMs of the own domain that the platform's list or the seeds name, this one
+/// excluded. After its start, the daemon acquires no server until each of them
+/// has become known as a member, or until takeoverWait has passed.
 struct ListedPeers {
-  std::vector<VmId> Vms; ///< Who may be there.
+  std::vector<VmId> Vms; ///< Possible peers.
 };
-/// The backend servers of the own domain are now these.
+/// The set of backend servers in the own domain changed.
 struct DomainServersChanged {
-  std::vector<ServerId> Servers; ///< All of them.
+  std::vector<ServerId> Servers; ///< All servers of the domain.
 };
-/// A peer asks for servers or releases some.
+/// A peer requests servers, or replies to a request.
 struct HandOverReceived {
-  OwnershipHandOver Message; ///< What it says.
+  OwnershipHandOver Message; ///< The message.
 };
-/// After StopDispatching: the daemon dispatches nothing more to the server.
+/// Confirms StopDispatching: nothing more is dispatched to the server.
 struct DispatchStopped {
-  HandedOverServer Server; ///< What it leaves behind.
+  HandedOverServer Server; ///< State for the new owner.
 };
-/// A condition that the owner of a server spread.
+/// Gossip delivered a server's condition from its owner.
 struct PeerConditionReceived {
-  ServerCondition Condition; ///< As its owner saw it.
+  ServerCondition Condition; ///< As observed by the owner.
 };
-/// The fence had a expiry: all ownership has to be won anew.
+/// The daemon's authority expired: all servers have to be acquired again.
 struct AuthorityExpired {};
-/// Time has passed.
+/// Periodic timer; due by OwnershipTracker::nextWakeup.
 struct OwnershipTicked {};
 
-/// All that an OwnershipTracker reacts to.
+/// Events that an OwnershipTracker handles.
 using OwnershipEvent =
     std::variant<MembersChanged, ListedPeers, DomainServersChanged,
                  HandOverReceived, DispatchStopped, PeerConditionReceived,
                  AuthorityExpired, OwnershipTicked>;
 
-/// How a daemon came to own a server.
+/// How a daemon acquired a server.
 enum class AcquisitionKind {
-  FirstOwner, ///< Nobody is known to have owned it.
+  FirstOwner, ///< No earlier owner is known.
   HandedOver, ///< A live owner released it.
   TakenOver,  ///< Its owner died.
 };
 
-/// Name in lower case with hyphens. Thread-safe.
+/// Returns the name in lower case with hyphens. Thread-safe.
 const char *acquisitionKindName(AcquisitionKind how);
 
-/// This daemon owns the server now.
+/// This daemon now owns the server.
 struct ServerAcquired {
-  ServerId Server;                                    ///< Which.
-  AcquisitionKind Kind = AcquisitionKind::FirstOwner; ///< In which way.
-  TimePoint DispatchAllowedFrom; ///< Not later than now: the tracker waits.
-  ServerCondition LastKnown; ///< What is known of it; Version 0 for nothing.
-  uint32_t InProgress = 0;   ///< Requests that the old owner still has there;
-                             ///< only meaningful when HandedOver.
+  ServerId Server;                                    ///< The server.
+  AcquisitionKind Kind = AcquisitionKind::FirstOwner; ///< How it was acquired.
+  TimePoint DispatchAllowedFrom; ///< Never in the future: the tracker has
+                                 ///< waited for the leases to end.
+  ServerCondition
+      LastKnown; ///< Latest known condition; Version 0 if none is known.
+  uint32_t InProgress = 0; ///< Requests that the old owner still has in
+                           ///< progress; valid only for HandedOver.
 };
-/// This daemon stops dispatching to the server at once; answer with
-/// DispatchStopped as soon as nothing more can leave.
+/// Stop dispatching to the server at once; reply with DispatchStopped as soon
+/// as no more dispatch can leave.
 struct StopDispatching {
-  ServerId Server;  ///< Which.
-  EntryVm NewOwner; ///< Who takes it; empty id when nobody is known to.
+  ServerId Server;  ///< The server.
+  EntryVm NewOwner; ///< Daemon that requested it; empty id if none.
 };
-/// Send a question or a release.
+/// Send a request or a reply to a peer.
 struct SendHandOver {
-  EntryVm To;                ///< To whom.
-  OwnershipHandOver Message; ///< What.
+  EntryVm To;                ///< Receiver.
+  OwnershipHandOver Message; ///< The message.
 };
 
-/// All that an OwnershipTracker asks for, to be carried out in order.
+/// Actions that an OwnershipTracker returns, to be carried out in order.
 using OwnershipAction =
     std::variant<ServerAcquired, StopDispatching, SendHandOver, Explain>;
 
--- a/Balsamrack/Membership/OwnershipFence.cpp
+++ b/Balsamrack/Membership/OwnershipFence.cpp
@@ -38,7 +38,7 @@
 }
 
 void OwnershipFence::expireIfDue(TimePoint now) {
-  // A renewal after a expiry may run out too, before restart was called.
+  // A renewed lease may expire again before restart is called.
   if (now < LeaseEnd || (Expired && !RenewedAfterExpiry))
     return;
   Expired = true;
@@ -55,8 +55,9 @@
   expireIfDue(now);
   if (!Peers.empty())
     return;
-  // Alone: nobody renews. After a expiry, whoever may have taken over meanwhile
-  // and is not known yet gets the time that its lease and its updates need.
+  // Without peers nobody renews the lease. After an expiry, another daemon that
+  // is not known yet may have taken over: wait until its lease has ended and
+  // its updates have arrived.
   if (Expired && !RenewedAfterExpiry) {
     if (slept)
       ExpiredAt = now;
@@ -72,8 +73,8 @@
   expireIfDue(now);
   if (Peers.count(peer) == 0)
     return;
-  // Guards against the answer to a probe from before a pause, read after it:
-  // it shows that the peer held us for alive then, not now.
+  // Ignore the answer to a probe that was sent before a pause: it shows that
+  // the peer considered this daemon alive then, not now.
   if (Expired && sentAt < ExpiredAt)
     return;
   if (Expired)
--- a/Balsamrack/Membership/OwnershipFence.h
+++ b/Balsamrack/Membership/OwnershipFence.h
@@ -15,51 +15,54 @@
 
 namespace balsamrack {
 
-/// May this daemon dispatch at all?
+/// Whether this daemon currently has the authority to dispatch.
 enum class AuthorityState {
   Held,    ///< A domain peer renewed the lease, or there is no other daemon.
-  Expired, ///< Paused or unheard for too long; nobody has renewed since.
-  Renewed, ///< Renewed after a expiry, but all ownership has to be won anew:
-           ///< tell the tracker, then call restart.
+  Expired, ///< The lease ran out and no peer has renewed it since.
+  Renewed, ///< Renewed after an expiry, but every server has to be acquired
+           ///< again: send AuthorityExpired to the tracker, then call restart.
 };
 
-/// Name of a state in lower case. Thread-safe.
+/// Returns the lower-case name of \p state. Thread-safe.
 const char *authorityName(AuthorityState state);
 
-/// Fences this daemon's authority by time (leases: Gray, Cheriton 1989). Asked
-/// before each dispatch. Guards against two owners: a daemon that was paused
-/// or cut off may have been replaced meanwhile; it shows as a late reading of
-/// the monotonic clock, and since whoever replaces it waits for the lease to
-/// end (MembershipSettings::takeoverWait), no dispatch passes this check after
-/// that. A pause between the check and the send stays: docs/UNPROVED.md.
+/// Limits this daemon's authority to dispatch by a lease (Gray, Cheriton 1989).
+/// Checked before each dispatch. Prevents two owners of a server: a daemon that
+/// was paused or partitioned may have been replaced in the meantime. The check
+/// compares the monotonic clock with the end of the lease, and a new owner
+/// waits until that lease has ended (MembershipSettings::takeoverWait), so a
+/// stale owner fails the check. A pause between the check and the send is not
+/// covered: see docs/UNPROVED.md.
 ///
-/// After a expiry: state() becomes Renewed once a peer answered a probe that
-/// was sent after it. The daemon then gives its OwnershipTracker an
-/// AuthorityExpired, and calls restart(expiries()).
+/// After an expiry, state() becomes Renewed once a peer has answered a probe
+/// that was sent after the expiry. The daemon then sends AuthorityExpired to
+/// its OwnershipTracker and calls restart(expiries()).
 class OwnershipFence {
 public:
-  /// Authority starts out as held (the tracker starts with no server). Error
-  /// kInvalidArgument for bad settings. Thread-safe.
+  /// Creates a fence in state Held; the tracker owns no server at that point.
+  /// Returns kInvalidArgument for invalid settings. Thread-safe.
   static absl::StatusOr<std::unique_ptr<OwnershipFence>>
   create(const MembershipSettings &settings, TimePoint now);
 
-  /// The process is running. Call at least every ProbePeriod. Thread-safe.
+  /// Records that the process is running. Call at least every ProbePeriod.
+  /// Thread-safe.
   void onTick(TimePoint now);
-  /// \p peer of the own domain answered a probe sent at \p sentAt, and holds
-  /// this daemon for alive. Thread-safe.
+  /// Renews the lease from \p sentAt: \p peer of the own domain answered a
+  /// probe sent at that time and considers this daemon alive. Ignores unknown
+  /// peers. Thread-safe.
   void renewLease(const VmId &peer, TimePoint sentAt, TimePoint now);
-  /// The live daemons of the own domain, without this one, are now \p peers.
-  /// With none left the lease runs with the ticks. Thread-safe.
+  /// Sets the live daemons of the own domain, this one excluded. Without peers,
+  /// onTick renews the lease. Thread-safe.
   void setPeers(const std::vector<VmId> &peers, TimePoint now);
-  /// Whether a dispatch may leave now. \p now must be read from the clock right
-  /// before. Wait-free, thread-safe.
+  /// Returns whether a request may be dispatched now. Precondition: \p now has
+  /// just been read from the clock. Wait-free, thread-safe.
   bool mayDispatch(TimePoint now) const;
-  /// The state, for the daemon's tick and for operators. Thread-safe.
+  /// Returns the state, for the daemon's tick and for operators. Thread-safe.
   AuthorityState state(TimePoint now) const;
-  /// Number of expiries so far. Thread-safe.
+  /// Returns the number of expiries so far. Thread-safe.
   uint64_t expiries() const;
-  /// All ownership has been put back to be won anew: authority holds again,
-  /// unless there has been another expiry since \p expiry. Thread-safe.
+  /// Returns to Held after the tracker has given up all servers, unless another
+  /// expiry has followed the one numbered \p expiry. Thread-safe.
   void restart(uint64_t expiry, TimePoint now);
 
 private:
@@ -67,16 +70,16 @@
   void expireIfDue(TimePoint now);
   void extendLease(TimePoint until);
 
-  const MembershipSettings Settings;  ///< Times.
+  const MembershipSettings Settings;  ///< Lease and probe times.
   mutable std::mutex Lock;            ///< Guards all but DispatchUntil.
-  std::atomic<int64_t> DispatchUntil; ///< End of the authority, microseconds;
-                                      ///< zero while expired.
+  std::atomic<int64_t> DispatchUntil; ///< End of the authority to dispatch, in
+                                      ///< microseconds; zero while expired.
   TimePoint LastTick;                 ///< Zero before the first one.
-  TimePoint LeaseEnd;                 ///< End of the lease.
+  TimePoint LeaseEnd;                 ///< Also extended while expired.
   TimePoint ExpiredAt;                ///< Start of the last expiry.
-  bool Expired = false;               ///< A expiry that restart has not ended.
-  bool RenewedAfterExpiry = false;    ///< Renewed after ExpiredAt.
-  uint64_t Expiries = 0;              ///< How many.
+  bool Expired = false;               ///< True from an expiry until restart.
+  bool RenewedAfterExpiry = false;    ///< A renewal arrived after ExpiredAt.
+  uint64_t Expiries = 0;              ///< Number of expiries.
   std::set<VmId> Peers;               ///< Live daemons of the own domain.
 };
 
--- a/Balsamrack/Membership/OwnershipMap.cpp
+++ b/Balsamrack/Membership/OwnershipMap.cpp
@@ -11,7 +11,7 @@
   return combineHash(vm.Id.hash(), server.hash());
 }
 
-/// Higher weight first; equal weights by id, so that all daemons agree.
+/// Orders by descending weight, then by id, so that all daemons agree.
 bool ranksBefore(const EntryVm &a, const EntryVm &b, const ServerId &server) {
   uint64_t wa = weightOf(a, server), wb = weightOf(b, server);
   return wa != wb ? wa > wb : a.Id < b.Id;
@@ -49,7 +49,7 @@
   uint64_t hash = server.hash();
   const EntryVm *best = nullptr;
   uint64_t bestWeight = 0;
-  // The list is ordered by id, so of equal weights the lower id stays.
+  // The list is ordered by id, so the lower id wins among equal weights.
   for (const EntryVm &vm : list) {
     uint64_t weight = combineHash(vm.Id.hash(), hash);
     if (best && weight <= bestWeight)
--- a/Balsamrack/Membership/OwnershipMap.h
+++ b/Balsamrack/Membership/OwnershipMap.h
@@ -9,29 +9,30 @@
 
 namespace balsamrack {
 
-/// Who owns which backend server, by rendezvous hashing (Thaler, Ravishankar
-/// 1998) over the live daemons of the server's own domain. Daemons on their way
-/// out are left out as long as another one is there. Immutable; thread-safe.
+/// Assigns backend servers to owners by rendezvous hashing (Thaler, Ravishankar
+/// 1998) over the live daemons of the server's domain. Leaving daemons are
+/// considered only if no other one is live. Immutable; thread-safe.
 class OwnershipMap {
 public:
-  /// No daemons. Thread-safe.
+  /// Creates a map without daemons. Thread-safe.
   OwnershipMap() = default;
-  /// Takes the live daemons out of \p members. Thread-safe.
+  /// Creates a map of the live daemons in \p members. Thread-safe.
   static OwnershipMap create(const MemberMap &members);
 
-  /// Owner of \p server in \p domain; nothing when no daemon of the domain is
-  /// live. Thread-safe.
+  /// Returns the owner of \p server in \p domain; nothing if no daemon of the
+  /// domain is live. Thread-safe.
   std::optional<EntryVm> ownerOf(const ServerId &server,
                                  const DomainId &domain) const;
-  /// Who would own it if its owner went. Thread-safe.
+  /// Returns the next owner of \p server if its owner fails. Thread-safe.
   std::optional<EntryVm> successorOf(const ServerId &server,
                                      const DomainId &domain) const;
-  /// Live daemons of \p domain, best rank for \p server first, those on their
-  /// way out after the others: while a server moves, the next in rank may still
-  /// hold it. Thread-safe.
+  /// Returns the live daemons of \p domain, best rank for \p server first,
+  /// leaving ones after the others. While a server moves, the next in rank may
+  /// still own it. Thread-safe.
   std::vector<EntryVm> ranked(const ServerId &server,
                               const DomainId &domain) const;
-  /// Number of live daemons that may own servers of \p domain. Thread-safe.
+  /// Returns the number of live daemons that may own servers of \p domain.
+  /// Thread-safe.
   size_t candidates(const DomainId &domain) const;
 
 private:
--- a/Balsamrack/Membership/OwnershipTracker.cpp
+++ b/Balsamrack/Membership/OwnershipTracker.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Said when no lease of another daemon can be running.
+/// Reported when no dead daemon of the domain can still hold a lease.
 constexpr Duration NoLeaseRunning{3'600'000'000};
 
 } // namespace
@@ -150,8 +150,8 @@
 
 void OwnershipTracker::on(const HandOverReceived &event) {
   const OwnershipHandOver &message = event.Message;
-  // Updates of a daemon or of a run that is not known as live yet; it asks
-  // again.
+  // The sender or its incarnation is not known as live yet: ignore the message,
+  // requests are repeated.
   const MemberView *sender = findLivePeer(message.From, message.Run);
   if (!sender)
     return;
@@ -163,8 +163,8 @@
 
 void OwnershipTracker::onRequest(const EntryVm &asker,
                                  const OwnershipHandOver &message) {
-  // Guards against a release to one who holds another daemon for dead that we
-  // hold for live (or the other way round): that one may be the owner.
+  // Never release a server to a requester with another view of the live
+  // daemons: a daemon that only one side considers live may be the owner.
   if (message.LiveHash != LiveHash)
     return;
   OwnershipHandOver answer = this->message(message.Sequence);
@@ -201,8 +201,8 @@
 }
 
 void OwnershipTracker::onReply(const OwnershipHandOver &message) {
-  // Guards against an answer to an earlier question that comes late: the peer
-  // may have become the owner since.
+  // Ignore late replies to earlier requests: the peer may have become the owner
+  // since.
   if (message.Sequence != Sequence || message.LiveHash != LiveHash)
     return;
   for (const ServerId &id : message.Held)
@@ -253,7 +253,7 @@
     fresh =
         fresh || (entry.Configured && entry.CurrentPhase == Phase::NotOwned &&
                   entry.RankedFirst);
-  // A new sequence keeps answers for an earlier want of a server from counting.
+  // A new sequence invalidates replies to earlier requests for the same server.
   if (fresh)
     restartRequests();
   for (auto it = Servers.begin(); it != Servers.end();) {
@@ -273,7 +273,8 @@
       setPhase(id, entry, Phase::NotOwned);
     return;
   }
-  // An owner that is not first any more goes on until it is asked last.
+  // An owner that no longer ranks first keeps the server until all others have
+  // released it to the new owner.
   if (entry.CurrentPhase == Phase::NotOwned && entry.RankedFirst)
     beginRequest(id, entry);
   else if (entry.CurrentPhase == Phase::Requesting && !entry.RankedFirst)
@@ -286,7 +287,7 @@
   NextRequestAt = Now + Settings.OwnershipRequestPeriod;
   uint32_t left = Settings.OwnershipRequestsPerPeriod;
   std::vector<const MemberView *> order = peers();
-  // Whoever was asked longest ago comes first.
+  // Start with the peers whose last request is the oldest.
   std::stable_sort(order.begin(), order.end(),
                    [this](const MemberView *a, const MemberView *b) {
                      return LastRequestAt[a->Record.Vm.Id] <
@@ -305,12 +306,12 @@
     const Entry &entry = Servers.at(server);
     if (entry.ReleasedBy.count(id))
       continue;
-    // The owner is asked last once nothing else is waited for, so that the
-    // server goes unserved for one round trip only.
+    // Ask the owner to release only once nothing else is missing, so that the
+    // server is unserved for only one round trip.
     if (isOnlyHolderMissing(entry, id))
       last.Wanted.push_back(server);
-    // A holder is asked again too: it may have lost the server meanwhile, and
-    // with two such holders neither would ever be the last.
+    // Ask other holders again as well: they may have given up the server since.
+    // With two stale holders, neither would ever be the only one missing.
     else
       first.Wanted.push_back(server);
   }
@@ -368,7 +369,8 @@
 bool OwnershipTracker::isStartupComplete() const {
   if (Now >= StartedAt + Settings.takeoverWait())
     return true;
-  // Without any peer it can't be told whether there is none or none was found.
+  // With no known peer, it is unclear whether none exists or none was found
+  // yet.
   if (Members.size() < 2)
     return false;
   return std::all_of(Listed.begin(), Listed.end(),
--- a/Balsamrack/Membership/OwnershipTracker.h
+++ b/Balsamrack/Membership/OwnershipTracker.h
@@ -15,62 +15,65 @@
 
 namespace balsamrack {
 
-/// Which servers of its domain this daemon owns. Guards against two owners
-/// while daemons hold different views of the membership: it shows as two
-/// daemons that each find themselves first in the rendezvous order. A daemon
-/// therefore owns a server only after every live daemon of the domain has
-/// released it to it (Ricart, Agrawala 1981), each holding the same daemons for
-/// live, and after the leases of all others have ended. The present owner goes
-/// on until it is asked last, so a planned move leaves the server unserved for
-/// one round trip only. Deterministic; not thread-safe.
+/// Tracks which servers of its domain this daemon owns. While daemons have
+/// different views of the membership, two of them may each rank first for a
+/// server by rendezvous hashing. To prevent two owners, a daemon owns a server
+/// only after every live daemon of the domain has released it (Ricart, Agrawala
+/// 1981) with the same view of the live daemons, and after the leases of dead
+/// daemons and of earlier incarnations have ended. The current owner keeps the
+/// server until all others have released it, so a planned move leaves the
+/// server unserved for only one round trip. Deterministic; not thread-safe.
 class OwnershipTracker {
 public:
-  /// A tracker that owns nothing. Error kInvalidArgument for bad settings.
-  /// Thread-safe.
+  /// Creates a tracker that owns no server. Returns kInvalidArgument for
+  /// invalid settings. Thread-safe.
   static absl::StatusOr<std::unique_ptr<OwnershipTracker>>
   create(const MembershipSettings &settings, const EntryVm &self,
          Incarnation run, TimePoint now);
 
-  /// Takes one event and says what to do. Precondition: \p now is not before
-  /// that of the call before. Not thread-safe.
+  /// Handles one event and returns the actions to carry out, in order.
+  /// Precondition: \p now never decreases between calls. Not thread-safe.
   std::vector<OwnershipAction> step(TimePoint now, const OwnershipEvent &event);
 
-  /// True while this daemon owns \p server. Not thread-safe.
+  /// Returns whether this daemon owns \p server. Not thread-safe.
   bool owns(const ServerId &server) const;
-  /// Owned servers, ordered by id. Not thread-safe.
+  /// Returns the owned servers, ordered by id. Not thread-safe.
   std::vector<ServerId> owned() const;
-  /// Servers that are wanted, but not owned yet. Not thread-safe.
+  /// Returns the servers that are requested, but not owned yet. Not
+  /// thread-safe.
   std::vector<ServerId> wanted() const;
-  /// Who said last that it holds a wanted server: where to send requests until
-  /// it is released. Not thread-safe.
+  /// Returns a daemon that has reported to own the requested server \p server;
+  /// callers' requests go there until it is released. Not thread-safe.
   std::optional<VmId> holderOf(const ServerId &server) const;
-  /// When the next OwnershipTicked is due. Not thread-safe.
+  /// Returns when the next OwnershipTicked is due. Not thread-safe.
   TimePoint nextWakeup() const { return NextRequestAt; }
 
 private:
-  /// Where a server stands with this daemon.
+  /// Ownership state of a server on this daemon.
   enum class Phase {
-    NotOwned,   ///< Another daemon should own it, or does.
-    Requesting, ///< This one should; it asks the others.
-    Owned,      ///< This one does.
-    Releasing,  ///< Lost, but the daemon may still be dispatching.
+    NotOwned,   ///< Owned, or to be owned, by another daemon.
+    Requesting, ///< This daemon ranks first and requests it from the others.
+    Owned,      ///< Owned by this daemon.
+    Releasing,  ///< Given up, but dispatches may still be leaving.
   };
-  /// Whom to tell once a server has stopped.
+  /// The release message to send once dispatching has stopped.
   struct PendingRelease {
-    EntryVm Vm;            ///< Who asked last; empty id for nobody.
-    uint64_t Sequence = 0; ///< Of its question.
+    EntryVm Vm;            ///< Latest requester; empty id for none.
+    uint64_t Sequence = 0; ///< Sequence of its request.
   };
-  /// What is known of one server.
+  /// State of one server.
   struct Entry {
-    Phase CurrentPhase = Phase::NotOwned; ///< Where it stands.
-    bool RankedFirst = false;   ///< This daemon is first in rank for it.
-    bool Configured = true;     ///< A ticket still places it here.
-    std::set<VmId> ReleasedBy;  ///< Who released it under Sequence.
-    std::set<VmId> HeldBy;      ///< Who said under Sequence that it holds it.
-    bool HandedOver = false;    ///< Its owner was among those who released it.
-    TimePoint OtherLeasesEnd;   ///< The others' leases have ended by then.
-    HandedOverServer LastKnown; ///< What is known of it.
-    PendingRelease Release;     ///< While Stopping.
+    Phase CurrentPhase = Phase::NotOwned; ///< Ownership state.
+    bool RankedFirst = false;             ///< This daemon ranks first for it.
+    bool Configured =
+        true; ///< The configuration in force lists it in this domain.
+    std::set<VmId> ReleasedBy; ///< Peers that released it under Sequence.
+    std::set<VmId> HeldBy;    ///< Peers that reported under Sequence to own it.
+    bool HandedOver = false;  ///< One of ReleasedBy owned it.
+    TimePoint OtherLeasesEnd; ///< By then the leases of daemons that the peers
+                              ///< consider dead have ended.
+    HandedOverServer LastKnown; ///< Latest known condition.
+    PendingRelease Release;     ///< Set while Releasing.
   };
 
   OwnershipTracker(const MembershipSettings &settings, const EntryVm &self,
@@ -113,23 +116,23 @@
   void explain(const ServerId &server, const std::string &rule,
                const std::string &result, const VmId &peer);
 
-  const MembershipSettings Settings;       ///< Times.
-  const EntryVm Self;                      ///< This daemon's VM.
-  const Incarnation Run;                   ///< This daemon's run.
-  const TimePoint StartedAt;               ///< When it started.
-  TimePoint Now;                           ///< Of the event being handled.
-  OwnershipMap Map;                        ///< From Members.
-  MemberMap Members;                       ///< Of the own domain, as last told.
-  uint64_t LiveHash = 0;                   ///< Of Members.
-  std::set<VmId> Listed;                   ///< As last told.
-  std::map<ServerId, Entry> Servers;       ///< All that is known.
-  std::set<ServerId> WantedIds;            ///< Those in Requesting.
-  bool RanksOutdated = true;               ///< Mine is to be reckoned anew.
-  bool PhasesOutdated = true;              ///< Phases are to be gone through.
-  std::map<VmId, TimePoint> LastRequestAt; ///< Under Sequence.
-  uint64_t Sequence = 1;                   ///< Of the present questions.
-  TimePoint NextRequestAt;                 ///< When questions are due again.
-  std::vector<OwnershipAction> Actions;    ///< Of the event being handled.
+  const MembershipSettings Settings; ///< Periods and lease times.
+  const EntryVm Self;                ///< This daemon's VM.
+  const Incarnation Run;             ///< Incarnation of this daemon.
+  const TimePoint StartedAt;         ///< Start time of this daemon.
+  TimePoint Now;                     ///< Time of the event being handled.
+  OwnershipMap Map;                  ///< Built from Members.
+  MemberMap Members;                 ///< Daemons of the own domain.
+  uint64_t LiveHash = 0;             ///< Hash of the live daemons in Members.
+  std::set<VmId> Listed;             ///< Latest ListedPeers.
+  std::map<ServerId, Entry> Servers; ///< All known servers.
+  std::set<ServerId> WantedIds;      ///< Servers in phase Requesting.
+  bool RanksOutdated = true;         ///< RankedFirst must be recomputed.
+  bool PhasesOutdated = true;        ///< reconcile() must visit all servers.
+  std::map<VmId, TimePoint> LastRequestAt; ///< By peer, under Sequence.
+  uint64_t Sequence = 1;                   ///< Number of the current requests.
+  TimePoint NextRequestAt;                 ///< When requests are repeated.
+  std::vector<OwnershipAction> Actions;    ///< Result of the current step.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Membership/ProbeOrder.cpp
+++ b/Balsamrack/Membership/ProbeOrder.cpp
@@ -15,8 +15,8 @@
   return list;
 }
 
-/// Fisher-Yates, own code since std::shuffle differs between libraries and a
-/// replay must see the same order.
+/// Fisher-Yates shuffle. std::shuffle differs between standard libraries, and a
+/// replay must give the same order.
 void shuffle(std::vector<VmId> &list, RandomSource &random) {
   for (size_t i = list.size(); i > 1; --i)
     std::swap(list[i - 1], list[random.below(i)]);
--- a/Balsamrack/Membership/ProbeOrder.h
+++ b/Balsamrack/Membership/ProbeOrder.h
@@ -10,26 +10,26 @@
 
 namespace balsamrack {
 
-/// Whom to probe next: each member once a round, in an order that is shuffled
-/// anew each round (SWIM, section 4.3), which bounds the time until a given
-/// member is probed. Not thread-safe.
+/// Round-robin probe order, reshuffled each round (SWIM, section 4.3). Each
+/// member is probed once a round, which bounds the time until a failure is
+/// detected. Not thread-safe.
 class ProbeOrder {
 public:
-  /// Says which members take part.
+  /// Selects the members to probe.
   using Filter = std::function<bool(const MemberView &)>;
 
-  /// The next member that \p filter, or nothing when there is none. Not
-  /// thread-safe.
+  /// Returns the next member that \p filter accepts, or nothing if there is
+  /// none. Not thread-safe.
   std::optional<EntryVm> next(const MemberMap &members, const Filter &filter,
                               RandomSource &random);
 
 private:
-  std::vector<VmId>
-      RemainingInRound; ///< Left of this round; taken from the end.
+  std::vector<VmId> RemainingInRound; ///< Remaining members of this round,
+                                      ///< removed from the end.
 };
 
-/// Up to \p count different members that \p filter, at random. Thread-safe
-/// but for \p random.
+/// Returns up to \p count distinct random members that \p filter accepts.
+/// Thread-safe but for \p random.
 std::vector<EntryVm> pickRandom(const MemberMap &members,
                                 const ProbeOrder::Filter &filter, size_t count,
                                 RandomSource &random);
--- a/Balsamrack/Membership/SwimMembership.cpp
+++ b/Balsamrack/Membership/SwimMembership.cpp
@@ -10,15 +10,16 @@
 
 namespace {
 
-/// A process that did not tick for so many periods was paused.
+/// A process whose last tick is more than this many probe periods ago counts as
+/// paused.
 constexpr int PausePeriods = 2;
-/// A whole table is sent to starters at most this often: at the start of a
-/// whole fleet everybody is new to everybody.
+/// Minimum time between two full tables sent to newly started daemons. When a
+/// whole fleet starts, every daemon is new to every other one.
 constexpr Duration FullTablePeriod{500'000};
-/// A peer with newer tickets is told at most this often.
+/// Minimum time between two PeerHasNewer actions.
 constexpr Duration StateRequestPeriod{250'000};
-/// A renewal older than this part of the lease makes the next probe go to the
-/// own domain, whoever's turn it is.
+/// When the last renewal is older than this fraction (1/N) of the lease, the
+/// next probe goes to the own domain, out of turn.
 constexpr int RenewalAgeDivisor = 3;
 
 } // namespace
@@ -54,7 +55,8 @@
 }
 
 void SwimMembership::on(const MembershipTicked &) {
-  // Daemons that start together would otherwise probe in step for ever.
+  // The first probe is sent relative to the first tick, so that daemons that
+  // start together do not probe in lockstep.
   if (LastTick == TimePoint{}) {
     NextProbe = Now;
     StartupEnd = Now + Settings.StartSpan;
@@ -69,7 +71,7 @@
   reportTableChanges();
   if (Now < NextProbe)
     return;
-  // After a late tick the lost periods are not made up for.
+  // Do not send probes for periods missed by a late tick.
   NextProbe = std::max(NextProbe + (Now < StartupEnd ? Settings.StartPeriod
                                                      : Settings.ProbePeriod),
                        Now);
@@ -86,20 +88,21 @@
   if (LastTick == TimePoint{} || !slept)
     return;
   LastTick = Now;
-  // Guards against two paused daemons that wake together, held for dead by the
-  // rest, and renew each other's leases without ever hearing of it: after a
-  // pause a daemon renews nobody until it was renewed itself.
+  // Two daemons that were paused and resume together may both be considered
+  // dead by the rest. They must not renew each other's leases: after a pause a
+  // daemon renews no lease until its own has been renewed.
   RenewedSincePause = false;
   PauseEndedAt = Now;
-  // Guards against a paused process that takes its own absence for that of the
-  // others (Lifeguard: Dadgar, Phillips, Currey 2017): on waking all its probes
-  // are over time, though answers wait unread in its sockets.
+  // A paused process must not take its own pause for a failure of its peers
+  // (Lifeguard: Dadgar, Phillips, Currey 2017): when it resumes, all its probes
+  // have timed out, although answers wait unread in its sockets.
   Probes.clear();
   Table.extendSuspicions(gap);
 }
 
 bool SwimMembership::mayRenewLeases() const {
-  // When the whole domain slept nobody is proven; by then all leases are over.
+  // If the whole domain was paused, no daemon can be renewed first; after
+  // takeoverWait all leases have ended.
   return RenewedSincePause || Now - PauseEndedAt >= Settings.takeoverWait();
 }
 
@@ -128,7 +131,7 @@
 
 void SwimMembership::sendPingRequests(uint64_t sequence,
                                       const EntryVm &target) {
-  // Only members are worth the question; a hint is just tried again later.
+  // Indirect probes are sent for members only; hints are retried later.
   if (Table.all().count(target.Id) == 0)
     return;
   auto others = pickRandom(
@@ -173,7 +176,7 @@
   bool domain = (ProbeOwnDomainNext || leaseAges) && !liveDomainPeers().empty();
   ProbeOwnDomainNext = !domain;
   std::optional<EntryVm> target;
-  // A domain that may have fallen silent is asked before the usual round.
+  // A domain that may have become silent is probed before the usual round.
   std::optional<DomainId> silent = Table.findSilentDomain();
   if (!domain && silent) {
     auto there = pickRandom(
@@ -203,20 +206,21 @@
 void SwimMembership::probeUnreachable() {
   if (Now < NextUnreachableProbe)
     return;
-  // The dead are tried too: after a cut inside the own domain each side holds
-  // the other for dead, and neither would ever hear of the other again.
+  // Dead daemons are probed too: after a partition inside the own domain each
+  // side considers the other dead, and without probes they would never find
+  // each other again.
   auto gone = [](const MemberView &m) {
     return m.Unreachable || m.Record.State == MemberState::Dead;
   };
   auto goneHere = [&](const MemberView &m) {
     return gone(m) && m.Record.Vm.Domain == Self.Domain;
   };
-  // The own domain comes first: a cut-off region must not delay the finding of
-  // a daemon with which ownership has to be settled.
+  // Prefer the own domain: an unreachable region must not delay contact with a
+  // daemon that shares ownership with this one.
   auto targets = pickRandom(Table.all(), goneHere, 1, Random);
   if (targets.empty() || Random.below(2) == 0)
     targets = pickRandom(Table.all(), gone, 1, Random);
-  // Jitter keeps the fleet from trying a healed domain all at once.
+  // Jitter spreads the fleet's probes of a domain that recovers.
   Duration wait = Settings.UnreachableProbePeriod;
   NextUnreachableProbe = Now + wait / 2 +
                          Duration(static_cast<int64_t>(Random.below(
@@ -236,14 +240,15 @@
     return;
   auto it = Table.all().find(sender.Vm.Id);
   bool started = it == Table.all().end() || it->second.Record.Run < sender.Run;
-  // Updates of us come before the answer, so that it carries the refutation.
+  // Merge updates about this daemon before answering, so that the answer
+  // carries the refutation.
   mergeGossip(from, ping.Updates);
   Table.apply(Now, sender, from.Id);
   Hints.forget(sender.Vm.Id);
   Table.recordContact(Now, sender.Vm.Id);
   reportTableChanges();
-  // Guards against the leave message of a daemon that was never heard of here:
-  // the table keeps no updates of it, and nobody waits for an answer.
+  // The leave message of an unknown daemon adds no entry to the table, and its
+  // sender does not wait for an answer.
   bool known = Table.all().count(sender.Vm.Id) != 0;
   if (known && Table.self().State != MemberState::Left)
     sendAck(sender.Vm, ping, started);
@@ -258,7 +263,7 @@
     NextFullTable = Now + FullTablePeriod;
   Gossip updates = full ? Composer.composeFull(Table.all(), to)
                         : Composer.compose(Table.all(), to);
-  // A run that is over learns of its successor, and that nothing was renewed.
+  // An outdated incarnation is told of its successor; its lease is not renewed.
   const MemberRecord &known = Table.all().at(to.Id).Record;
   if (known.Run > ping.Sender.Run)
     updates.Members.insert(updates.Members.begin(), known);
@@ -302,13 +307,13 @@
   Hints.forget(ack.About);
   Table.recordContact(Now, ack.About);
   reportTableChanges();
-  // An answer through others proves its life, but it was not us whom it
-  // answered, so it renews nothing.
+  // An indirect answer proves that the target is alive, but it does not renew
+  // this daemon's lease, since the target answered another daemon.
   bool direct = from.Id == ack.About;
   if (!direct || !ack.Renews || ack.Sender.Vm.Domain != Self.Domain)
     return;
-  // The peer renews only when it holds this run for alive; if not, its answer
-  // carries updates of us that say so (GossipComposer).
+  // The peer renews only an incarnation that it considers alive; otherwise its
+  // answer contains a record that says so (GossipComposer).
   for (const MemberRecord &record : ack.Updates.Members)
     if (record.Vm.Id == Self.Id &&
         (record.State != MemberState::Alive || record.Run != Run))
@@ -325,7 +330,7 @@
     if (from.Domain == Self.Domain && Composer.queueCondition(condition))
       Actions.push_back(ConditionReceived{condition});
   compareDigests(from, updates.Held);
-  // Before anything is sent: DeclaredDead has to go first.
+  // DeclaredDead must precede any message that is sent.
   reportTableChanges();
 }
 
@@ -372,7 +377,8 @@
     return;
   Table.announceLeaving(Now, MemberState::Left);
   reportTableChanges();
-  // Nobody will probe us any more, so the leave message is sent out by itself.
+  // No daemon probes this one any more, so the leave record is sent in probes
+  // of its own.
   auto ofDomain = [this](const MemberView &m) { return isDomainPeer(m); };
   auto anyone = [this](const MemberView &m) { return isPeer(m); };
   auto told =
--- a/Balsamrack/Membership/SwimMembership.h
+++ b/Balsamrack/Membership/SwimMembership.h
@@ -14,12 +14,12 @@
 
 namespace balsamrack {
 
-/// The Membership that Membership::create makes. Each ProbePeriod it sends one
-/// probe, by turns to the own domain, on which ownership depends, and to the
-/// rest of the fleet. Not thread-safe.
+/// SWIM implementation of Membership. Each ProbePeriod it sends one probe,
+/// alternately to the own domain, on which ownership depends, and to the rest
+/// of the fleet. Not thread-safe.
 class SwimMembership final : public Membership {
 public:
-  /// Preconditions: \p settings were checked, \p self has an id, \p run is not
+  /// Preconditions: settings.check() passed, \p self has an id, \p run is not
   /// zero. Thread-safe.
   SwimMembership(const MembershipSettings &settings, const EntryVm &self,
                  Incarnation run, uint64_t seed);
@@ -35,17 +35,17 @@
   std::optional<TimePoint> nextWakeup() const override;
 
 private:
-  /// A probe of ours that has no answer yet.
+  /// A probe sent by this daemon that is not answered yet.
   struct Probe {
-    EntryVm Target;        ///< Who is probed.
-    TimePoint SentAt;      ///< When.
-    bool Indirect = false; ///< Others were asked to probe it too.
+    EntryVm Target;        ///< Probed daemon.
+    TimePoint SentAt;      ///< Send time.
+    bool Indirect = false; ///< PingRequests were sent to other daemons.
   };
-  /// A probe that a peer asked us for.
+  /// A probe sent on behalf of a peer.
   struct RelayedProbe {
-    EntryVm Requester;     ///< Who asked.
-    uint64_t Sequence = 0; ///< Its number of the probe.
-    TimePoint SentAt;      ///< When we passed it on.
+    EntryVm Requester;     ///< Sender of the PingRequest.
+    uint64_t Sequence = 0; ///< Sequence of the PingRequest.
+    TimePoint SentAt;      ///< Send time of the probe.
   };
 
   void on(const MembershipTicked &event);
@@ -80,30 +80,32 @@
   bool isPeer(const MemberView &member) const;
   bool isDomainPeer(const MemberView &member) const;
 
-  const MembershipSettings Settings;       ///< Times and limits.
-  const EntryVm Self;                      ///< This daemon's VM, as it started.
-  const Incarnation Run;                   ///< This daemon's run.
-  SeededRandom Random;                     ///< Order and jitter.
-  MemberTable Table;                       ///< Who is there.
-  HintList Hints;                          ///< Who may be there.
-  GossipComposer Composer;                 ///< What rides along.
-  ProbeOrder DomainOrder;                  ///< Own domain's round.
-  ProbeOrder FleetOrder;                   ///< The other domains' round.
-  std::map<uint64_t, Probe> Probes;        ///< Unanswered, by sequence.
-  std::map<uint64_t, RelayedProbe> Relays; ///< Passed on, by sequence.
-  uint64_t LastSequence = 0;               ///< Of probes.
-  TimePoint Now;                           ///< Of the event being handled.
+  const MembershipSettings Settings; ///< Periods and limits.
+  const EntryVm Self;                ///< This daemon's VM at its start.
+  const Incarnation Run;             ///< Incarnation of this daemon.
+  SeededRandom Random;               ///< For probe order and jitter.
+  MemberTable Table;                 ///< Known daemons.
+  HintList Hints;                    ///< VMs that have not answered yet.
+  GossipComposer Composer;           ///< Selects piggybacked updates.
+  ProbeOrder DomainOrder;            ///< Probe round of the own domain.
+  ProbeOrder FleetOrder;             ///< Probe round of the other domains.
+  std::map<uint64_t, Probe> Probes;  ///< Unanswered probes by sequence.
+  std::map<uint64_t, RelayedProbe> Relays; ///< Relayed probes by sequence.
+  uint64_t LastSequence = 0;               ///< Of the last probe sent.
+  TimePoint Now;                           ///< Time of the event being handled.
   TimePoint LastTick;                      ///< Zero before the first one.
-  TimePoint StartupEnd;                    ///< Probes come quicker until then.
+  TimePoint StartupEnd;                    ///< StartPeriod applies until then.
   TimePoint NextProbe;                     ///< When the next probe is due.
-  TimePoint NextUnreachableProbe;          ///< When the next one there is due.
-  TimePoint NextFullTable;                 ///< Whole tables are sent this late.
-  TimePoint NextStateRequest;              ///< PeerHasNewer is told this late.
-  TimePoint PauseEndedAt;         ///< End of the last pause; zero: none.
-  bool RenewedSincePause = true;  ///< A peer renewed us since PauseEndedAt.
-  TimePoint LastRenewal;          ///< Newest SentAt of a renewal.
-  bool ProbeOwnDomainNext = true; ///< Whose turn the next probe is.
-  std::vector<MembershipAction> Actions; ///< Of the event being handled.
+  TimePoint NextUnreachableProbe; ///< When the next probe of an unreachable or
+                                  ///< dead daemon is due.
+  TimePoint NextFullTable;        ///< No full table is sent before.
+  TimePoint NextStateRequest;     ///< No PeerHasNewer is reported before.
+  TimePoint PauseEndedAt;         ///< End of the last pause; zero if none.
+  bool RenewedSincePause =
+      true; ///< False from a pause until a peer renews this daemon's lease.
+  TimePoint LastRenewal;          ///< Latest SentAt of a lease renewal.
+  bool ProbeOwnDomainNext = true; ///< The next probe goes to the own domain.
+  std::vector<MembershipAction> Actions; ///< Result of the current step.
 };
 
 } // namespace balsamrack
