--- a/Balsamrack/Published/PublishedMessages.h
+++ b/Balsamrack/Published/PublishedMessages.h
@@ -8,47 +8,48 @@
 
 namespace balsamrack {
 
-/// What a daemon holds of one section.
+/// Summary of what a daemon holds of one section.
 struct SectionDigest {
-  Revision CompleteUpTo;    ///< Complete up to here; zero: nothing.
-  Revision LastChange;      ///< See PublishedStore::lastChange().
+  Revision
+      CompleteUpTo;    ///< Complete up to this revision; zero: nothing is held.
+  Revision LastChange; ///< See PublishedStore::lastChange().
   uint64_t PresentHash = 0; ///< See PublishedStore::presentHash().
   Revision HistoryFrom;     ///< See PublishedStore::historyFrom().
-  uint32_t ObjectCount = 0; ///< How many exist.
-  Duration Age{0}; ///< Since the publishing service said to a reader that
-                   ///< nothing newer exists.
+  uint32_t ObjectCount = 0; ///< Number of existing objects.
+  Duration Age{0}; ///< Time since the publishing service confirmed to a reader
+                   ///< that nothing newer exists.
   uint64_t VerifiedBy = 0;   ///< VmId::hash() of that reader.
-  uint32_t VerifierRank = 0; ///< Zero: a regular reader; else one more than its
-                             ///< place among its domain's daemons.
+  uint32_t VerifierRank = 0; ///< Zero for a regular reader; otherwise one more
+                             ///< than its rank among the daemons of its domain.
 };
 
-/// Says what is held here, for a peer to compare.
+/// Tells a peer what the sender holds, for comparison.
 struct PublishedDigest {
-  std::vector<SectionDigest> Digests; ///< One a section, in their order.
-  bool Answer = false;                ///< Answers a digest: needs none itself.
-  bool Relay = false; ///< Carries a new proof: pass it on within the failure
-                      ///< domain.
+  std::vector<SectionDigest> Digests; ///< One per section, in order.
+  bool Answer = false; ///< Answer to a digest; not to be answered itself.
+  bool Relay = false;  ///< Carries a new verification, to be relayed within the
+                       ///< failure domain.
 };
 
-/// What a daemon lacks of one section.
+/// Request for the missing objects of one section.
 struct SectionRequest {
-  Revision After; ///< Held up to here.
+  Revision After; ///< The sender is complete up to this revision.
   /// See PublishedStore::bucketHashes(); empty when the peer's history reaches
   /// back to After.
   std::vector<uint32_t> BucketHashes;
 };
 
-/// Asks a peer for what is lacking here.
+/// Requests missing objects from a peer.
 struct PublishedRequest {
-  std::vector<SectionRequest> Sections; ///< One a section, in their order.
+  std::vector<SectionRequest> Sections; ///< One per section, in order.
 };
 
-/// What a peer lacks, or what has just changed.
+/// Answer to a request, or a recent change.
 struct PublishedUpdate {
-  std::vector<PublishedChanges> Changes; ///< At most one a section.
-  std::vector<SectionDigest> Digests;    ///< As in a digest.
-  bool Relayed = false; ///< Passed on within a failure domain, or an answer to
-                        ///< a request: not to be passed on.
+  std::vector<PublishedChanges> Changes; ///< At most one per section.
+  std::vector<SectionDigest> Digests;    ///< As in PublishedDigest.
+  bool Relayed = false; ///< Relayed within a failure domain, or an answer to a
+                        ///< request; not to be relayed again.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Published/PublishedSource.h
+++ b/Balsamrack/Published/PublishedSource.h
@@ -10,26 +10,27 @@
 
 /// One read of the publishing service.
 struct PublishedRead {
-  PublishedSection Section = PublishedSection::Servers; ///< What to read.
-  Revision After;   ///< Zero: list all; else wait for changes after this.
-  Duration Wait{0}; ///< How long the service may wait for a change.
+  PublishedSection Section = PublishedSection::Servers; ///< Section to read.
+  Revision After; ///< Zero: list all objects; otherwise watch for changes after
+                  ///< this revision.
+  Duration Wait{0}; ///< Maximum time that the service waits for a change.
   bool AllowStale =
-      false; ///< An answer some seconds old will do, and is cheaper.
+      false; ///< Accepts an answer that is some seconds old, which is cheaper.
 };
 
-/// Where operators and servers publish. Reads cost the platform, so whoever
-/// reads is chosen with care (StateExchange).
+/// The publishing service that operators and servers write to. Reads cost the
+/// platform, so StateExchange limits the number of readers.
 class PublishedSource {
 public:
-  /// Gets the result: changes, or an error (step read-platform): kOutOfRange
-  /// when the history after the revision asked for is no longer there.
+  /// Receives the changes, or an error (step read-platform): kOutOfRange if the
+  /// history after the requested revision is no longer available.
   using Done = std::function<void(absl::StatusOr<PublishedChanges>)>;
 
   virtual ~PublishedSource() = default;
-  /// Begins \p read; \p done is called exactly once, on a thread of the source,
+  /// Starts \p read. \p done is called exactly once, on a thread of the source,
   /// and must not block. Never blocks. Thread-safe.
   virtual void read(const PublishedRead &read, Done done) = 0;
-  /// Ends all reads early, with an error. Thread-safe.
+  /// Aborts all reads with an error. Thread-safe.
   virtual void cancelAll() = 0;
 };
 
--- a/Balsamrack/Published/PublishedState.h
+++ b/Balsamrack/Published/PublishedState.h
@@ -14,62 +14,63 @@
 
 namespace balsamrack {
 
-/// A position in the history of what operators and servers publish: one counter
-/// that rises with each change of anything.
+/// Revision of the published state: a single counter that increases with each
+/// change.
 using Revision = NumberId<struct RevisionTag>;
 
-/// A service that a route leads to, and its part of the route's new flows.
+/// A target service of a route and its share of the route's new flows.
 struct RouteTarget {
-  ServiceId Service;   ///< Where new flows go.
-  uint32_t Weight = 1; ///< Against the other targets; zero: none.
+  ServiceId Service;   ///< Service that receives new flows.
+  uint32_t Weight = 1; ///< Relative to the other targets; zero: no new flows.
 
   friend bool operator==(const RouteTarget &a, const RouteTarget &b) {
     return a.Service == b.Service && a.Weight == b.Weight;
   }
 };
 
-/// An address that callers use, and where its new flows go.
+/// An address that callers connect to, and the targets of its new flows.
 struct PublishedRoute {
-  Address At;                       ///< What callers connect to.
+  Address At;                       ///< Address that callers connect to.
   std::vector<RouteTarget> Targets; ///< At least one.
   Duration Objective{0};   ///< Latency objective of its requests; zero: none.
-  Duration Timeout{0};     ///< Of its requests; zero: not given.
-  bool Idempotent = false; ///< Its requests may run more than once: callers
-                           ///< repeat them after any failure.
+  Duration Timeout{0};     ///< Timeout of its requests; zero: not set.
+  bool Idempotent = false; ///< Its requests may be executed more than once:
+                           ///< callers retry them after any failure.
 };
 
-/// What operators say of a service, apart from its servers.
+/// Operators' settings for a service, apart from its servers.
 struct PublishedService {
-  ServiceId Id;             ///< Name.
-  double ColdPerSecond = 0; ///< New flows a second that a cold server bears;
-                            ///< zero: no figure is given.
+  ServiceId Id; ///< Name.
+  double ColdPerSecond =
+      0; ///< New flows per second that a cold server can take; zero: not set.
 };
 
-/// The operators' newest configuration, whole.
+/// The operators' complete current configuration.
 struct OperatorConfiguration {
-  uint64_t Version = 0;                   ///< The operators' own number.
+  uint64_t Version = 0; ///< Version number assigned by the operators.
   std::vector<PublishedRoute> Routes;     ///< All routes.
   std::vector<PublishedService> Services; ///< All services.
-  Duration IdleTimeout{0}; ///< A flow that is silent for longer may be
-                           ///< forgotten; zero: not given.
+  Duration IdleTimeout{
+      0}; ///< A flow that is idle for longer may be dropped; zero: not set.
 };
 
-/// What a backend server publishes of itself.
+/// Entry that a backend server publishes about itself.
 struct PublishedServer {
-  BackendServer Server; ///< Who, where, for which service.
-  uint64_t Tag = 0;     ///< Names it on each datagram that is meant for it.
-  uint64_t Born = 0;    ///< Tells lifetimes under the same id apart.
-  Duration ColdLeft{0}; ///< How much longer it is slow, when written.
+  BackendServer Server; ///< Id, address and service.
+  uint64_t Tag = 0; ///< Identifies it in each datagram that is addressed to it.
+  uint64_t Born = 0; ///< Distinguishes successive instances with the same id.
+  Duration ColdLeft{0}; ///< Remaining warm-up time when the entry was written.
 };
 
-/// Operators have taken this failure domain out of service.
+/// A failure domain that operators have taken out of service.
 struct DomainOutOfService {
-  DomainId Domain; ///< Which.
+  DomainId Domain; ///< The domain.
 };
 
-/// The two parts of what is published; each is read and completed by itself.
+/// The two sections of the published state, which are read and completed
+/// independently.
 enum class PublishedSection {
-  Operators, ///< Configuration and failure domains that are out.
+  Operators, ///< Configuration and failure domains out of service.
   Servers,   ///< Backend servers.
 };
 /// Number of sections.
@@ -78,37 +79,40 @@
 constexpr std::array<PublishedSection, PublishedSections> AllSections = {
     PublishedSection::Operators, PublishedSection::Servers};
 
-/// Name of a section in lower case. Thread-safe.
+/// Returns the lower-case name of \p section. Thread-safe.
 const char *sectionName(PublishedSection section);
 
-/// The state of one object. Monostate: it is gone.
+/// Content of one object. Monostate: deleted.
 using PublishedContent =
     std::variant<std::monostate, std::shared_ptr<const OperatorConfiguration>,
                  std::shared_ptr<const PublishedServer>, DomainOutOfService>;
 
 /// One published object at one revision.
 struct PublishedObject {
-  PublishedSection Section = PublishedSection::Servers; ///< Where it belongs.
-  std::string Name;         ///< Unique within its section.
-  Revision At;              ///< When it got this state.
-  PublishedContent Content; ///< The state.
+  PublishedSection Section =
+      PublishedSection::Servers; ///< Section of the object.
+  std::string Name;              ///< Unique within its section.
+  Revision At;                   ///< Revision of its last change.
+  PublishedContent Content;      ///< Content at that revision.
 
-  /// True when the object is no longer published. Thread-safe.
+  /// Returns whether the object has been deleted. Thread-safe.
   bool isDeleted() const {
     return std::holds_alternative<std::monostate>(Content);
   }
 };
 
-/// What happened in one section between two revisions.
+/// Changes in one section between two revisions.
 struct PublishedChanges {
-  PublishedSection Section = PublishedSection::Servers; ///< Which section.
-  Revision After; ///< Every change after this one is contained; zero: all
-                  ///< objects that exist are contained.
-  Revision UpTo;  ///< Up to this one.
-  std::vector<PublishedObject> Objects; ///< The newest state of what changed.
-  uint32_t BucketCount = 0; ///< Not zero: the list is not by revision, but
-                            ///< holds what exists of some buckets.
-  std::vector<uint32_t> Buckets = {}; ///< Those: each below BucketCount.
+  PublishedSection Section = PublishedSection::Servers; ///< The section.
+  Revision After; ///< Contains every change after this revision; zero: contains
+                  ///< all existing objects.
+  Revision UpTo;  ///< Last revision covered.
+  std::vector<PublishedObject>
+      Objects;              ///< Changed objects in their newest state.
+  uint32_t BucketCount = 0; ///< Not zero: not a list by revision, but the
+                            ///< existing objects of some of this many buckets.
+  std::vector<uint32_t> Buckets =
+      {}; ///< Those buckets, each below BucketCount.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Published/PublishedStore.cpp
+++ b/Balsamrack/Published/PublishedStore.cpp
@@ -10,8 +10,8 @@
 
 constexpr unsigned HashBits = 64;
 
-/// Bucket of the object \p name among \p count of them. Halves of a bucket are
-/// neighbours in twice as many.
+/// Returns the bucket of the object \p name among \p count buckets. With twice
+/// as many, each bucket splits into two adjacent ones.
 uint32_t bucketOf(const std::string &name, uint32_t count) {
   return static_cast<uint32_t>(
       (static_cast<unsigned __int128>(stableHash(name)) * count) >> HashBits);
@@ -71,8 +71,8 @@
 void PublishedStore::dropOldTombstones(SectionContent &from) {
   while (from.Tombstones.size() > MaxTombstones) {
     auto it = from.Objects.find(from.Tombstones.front());
-    // Only what is complete makes up for what is forgotten: beyond it an older
-    // listing would bring the object back.
+    // Keep tombstones beyond CompleteUpTo: without them, an older listing would
+    // restore the deleted object.
     bool beyond = it != from.Objects.end() && it->second.isDeleted() &&
                   it->second.At > from.CompleteUpTo;
     if (beyond)
@@ -107,13 +107,14 @@
       remove(into, object, changes.UpTo);
       changed.push_back(object);
     }
-  // Guards against a removed object that lives on at a peer: a listing does not
-  // tell what was removed before it, so neither can its holder.
+  // A listing does not show earlier deletions. Move HistoryFrom, so that this
+  // daemon does not answer a peer with an incomplete list of changes, which
+  // would leave a deleted object there.
   if (whole && changes.UpTo > into.CompleteUpTo) {
     into.HistoryFrom = std::max(into.HistoryFrom, changes.UpTo);
     into.LastChange = std::max(into.LastChange, changes.UpTo);
   }
-  // A list of changes that begins after what is held leaves a gap, so it does
+  // A list of changes that starts after CompleteUpTo leaves a gap, so it does
   // not complete the section.
   if (whole || (!byBuckets && changes.After <= into.CompleteUpTo))
     into.CompleteUpTo = std::max(into.CompleteUpTo, changes.UpTo);
@@ -128,7 +129,8 @@
   if (into.CompleteUpTo == Revision{} || into.CompleteUpTo < lastChange) {
     if (presentHash != into.PresentHash)
       return false;
-    // The same objects exist, but what came and went in between is not known.
+    // The same objects exist, but objects created and deleted in between are
+    // unknown.
     into.HistoryFrom = std::max(into.HistoryFrom, as);
     into.LastChange = std::max(into.LastChange, lastChange);
   }
--- a/Balsamrack/Published/PublishedStore.h
+++ b/Balsamrack/Published/PublishedStore.h
@@ -11,94 +11,103 @@
 
 namespace balsamrack {
 
-/// All that is known of what operators and servers publish, merged from reads
-/// and from peers: the highest revision wins for each object, and nothing ever
-/// goes back within one life. Order, repetition and gaps of delivery don't
-/// matter. Deterministic. Not thread-safe.
+/// State that operators and servers publish, merged from reads and from peers.
+/// The highest revision of each object wins, and no object returns to an
+/// earlier revision while the process runs. Updates may be reordered, repeated
+/// or lost. Deterministic. Not thread-safe.
 ///
-/// Failure guarded against: a daemon that was cut off brings back an object
-/// that is long gone (a dropped route, a server whose address now belongs to
-/// another service). Each section knows up to which revision it is complete; an
-/// unknown object that is older than that must have gone, and stays away.
+/// A daemon that returns from a partition must not restore deleted objects,
+/// such as a dropped route, or a server whose address now belongs to another
+/// service. Each section therefore records up to which revision it is complete:
+/// an unknown object with an older revision must have been deleted and is
+/// ignored.
 class PublishedStore {
 public:
-  /// Tombstones of removed objects are kept up to this number, so that a peer
-  /// that lags can be answered with a list of changes; one that lags further
-  /// compares buckets. More are kept only beyond a gap, until it is filled.
+  /// Maximum number of tombstones of deleted objects. With them, a peer that
+  /// lags can be sent a list of changes; one that lags further compares
+  /// buckets. More are kept only for revisions beyond a gap, until it is
+  /// filled.
   static constexpr size_t MaxTombstones = 1000;
-  /// Most buckets that a section's objects are compared by.
+  /// Maximum number of buckets by which a section's objects are compared.
   static constexpr uint32_t MaxBuckets = 1024;
 
-  /// Merges \p changes; returns the objects whose state changed, as they are
-  /// now. An object that disappears because a complete listing lacks it is
-  /// among them.
+  /// Merges \p changes and returns the objects whose state changed, in their
+  /// new state, including those deleted because a complete listing does not
+  /// contain them.
   std::vector<PublishedObject> merge(const PublishedChanges &changes);
 
-  /// Up to which revision \p section is completely known; zero: not at all.
+  /// Returns the revision up to which \p section is completely known; zero if
+  /// it is not.
   Revision completeRevision(PublishedSection section) const {
     return contentOf(section).CompleteUpTo;
   }
-  /// No change in \p section after this one is known, up to completeRevision().
-  /// Not always a change that is held: a listing tells what exists, not when
-  /// the last object was removed, so it counts as a change itself.
+  /// Returns the revision of the last known change in \p section. A listing
+  /// shows which objects exist, but not when the last one was deleted, so it
+  /// counts as a change itself.
   Revision lastChange(PublishedSection section) const {
     return contentOf(section).LastChange;
   }
-  /// A peer knows that nothing in \p section has changed after \p lastChange,
-  /// up to \p as, and holds objects with \p presentHash. When \p section is
-  /// complete here up to \p lastChange, or the same objects are held, it is
-  /// complete up to \p as; true then. Without the second way each daemon that
-  /// starts, and has only listed, would send everything to all others.
+  /// Marks \p section as complete up to \p as without a transfer, and returns
+  /// whether that was possible. A peer has reported that nothing changed
+  /// between \p lastChange and \p as, and that its objects have \p presentHash.
+  /// This requires that \p section is complete up to \p lastChange, or that the
+  /// same objects are held. Without the second condition, each newly started
+  /// daemon, which only has a listing, would send everything to all others.
   bool extendCompleteness(PublishedSection section, Revision lastChange,
                           Revision as, uint64_t presentHash);
-  /// Hash of the names and revisions of the objects of \p section that exist.
+  /// Returns the hash of the names and revisions of the existing objects of \p
+  /// section.
   uint64_t presentHash(PublishedSection section) const {
     return contentOf(section).PresentHash;
   }
-  /// Changes after this revision are known, those of removed objects too;
-  /// whoever holds less compares buckets.
+  /// Returns the revision after which all changes are known, deletions
+  /// included. A peer that is complete only up to an earlier one has to compare
+  /// buckets.
   Revision historyFrom(PublishedSection section) const {
     return contentOf(section).HistoryFrom;
   }
-  /// Number of objects of \p section that exist.
+  /// Returns the number of existing objects of \p section.
   size_t objectCount(PublishedSection section) const {
     return contentOf(section).ObjectCount;
   }
-  /// Hashes of the objects of \p section that exist, in \p count buckets by
-  /// the hash of their names. Two holders of a section send each other only
-  /// what is in buckets that differ, whatever their histories know.
+  /// Returns hashes of the existing objects of \p section in \p count buckets,
+  /// which are chosen by the hash of the name. Two daemons need to exchange
+  /// only objects in buckets that differ, whatever history they hold.
   /// Precondition: isValidBucketCount(count).
   std::vector<uint32_t> bucketHashes(PublishedSection section,
                                      uint32_t count) const;
-  /// What exists in buckets whose hashes differ from \p theirs, from bucket
-  /// \p first on, until there are \p most objects. Precondition:
+  /// Returns the existing objects in buckets whose hashes differ from \p
+  /// theirs, starting at bucket \p first; stops after the bucket that brings
+  /// the count to \p most objects or more. Precondition:
   /// isValidBucketCount(theirs.size()).
   PublishedChanges differencesFrom(PublishedSection section,
                                    const std::vector<uint32_t> &theirs,
                                    uint32_t first, size_t most) const;
-  /// True for a power of two up to MaxBuckets.
+  /// Returns true for a power of two up to MaxBuckets.
   static bool isValidBucketCount(size_t count) {
     return count > 0 && count <= MaxBuckets && (count & (count - 1)) == 0;
   }
-  /// True when all sections are completely known up to some revision.
+  /// Returns whether all sections are completely known up to some revision.
   bool isComplete() const;
-  /// What a holder of \p section up to \p after lacks.
+  /// Returns the changes that a peer needs which holds \p section up to \p
+  /// after: a full listing if the history does not reach back that far.
   PublishedChanges changesAfter(PublishedSection section, Revision after) const;
-  /// The objects of \p section that exist, by name.
+  /// Returns the existing objects of \p section, ordered by name.
   std::vector<PublishedObject> objects(PublishedSection section) const;
 
 private:
-  /// What is held of one section.
+  /// Content of one section.
   struct SectionContent {
-    Revision CompleteUpTo; ///< Nothing up to here is unknown.
+    Revision CompleteUpTo; ///< All changes up to here are known.
     Revision LastChange;   ///< See lastChange().
-    Revision HistoryFrom;  ///< Objects that went up to here may not be known.
-    std::map<std::string, PublishedObject> Objects;  ///< Gone ones included.
-    uint64_t PresentHash = 0;                        ///< See presentHash().
-    size_t ObjectCount = 0;                          ///< See objectCount().
-    std::array<uint64_t, MaxBuckets> BucketHashes{}; ///< Present, by bucket.
+    Revision HistoryFrom;  ///< Deletions up to here may be unknown.
+    std::map<std::string, PublishedObject>
+        Objects;              ///< By name, tombstones included.
+    uint64_t PresentHash = 0; ///< See presentHash().
+    size_t ObjectCount = 0;   ///< See objectCount().
+    std::array<uint64_t, MaxBuckets> BucketHashes{}; ///< PresentHash by bucket.
     std::deque<std::string>
-        Tombstones; ///< Names of gone objects, oldest first.
+        Tombstones; ///< Names of deleted objects, oldest first.
   };
 
   const SectionContent &contentOf(PublishedSection section) const {
--- a/Balsamrack/Published/StateExchange.cpp
+++ b/Balsamrack/Published/StateExchange.cpp
@@ -9,16 +9,17 @@
 
 namespace {
 
-/// Daemons of each other domain that hear of a change at once.
+/// Daemons of each other domain that a change is sent to at once.
 constexpr size_t OtherDomainFanout = 2;
-/// Daemons of each other domain that hear of a proof at once: one that is lost
-/// is made up for by the next.
+/// Daemons of each other domain that get the digest of a new verification; a
+/// lost one is replaced by the next.
 constexpr size_t OtherDomainDigestFanout = 1;
-/// The wait before a takeover doubles so many times at most.
+/// Maximum number of doublings of the wait before a takeover.
 constexpr size_t MaxTakeoverDoublings = 6;
-/// Peers that get a digest of a first listing.
+/// Peers that get a digest after a first listing.
 constexpr size_t FirstListingFanout = 2;
-/// Peers asked for updates after a pause.
+/// Peers per group (own domain, other domains) that get a request after a
+/// pause.
 constexpr size_t PauseRequestFanout = 2;
 
 } // namespace
@@ -29,7 +30,8 @@
 
 void StateExchange::setPeers(const std::vector<EntryVm> &peers) {
   Peers = peers;
-  // By hash, so that no VM is special by its name; the same order everywhere.
+  // Order by hash, so that the rank does not follow from the VM's name; all
+  // daemons compute the same order.
   uint64_t own = Self.Id.hash();
   uint64_t ownDomain = Self.Domain.hash();
   RankInDomain = 0;
@@ -46,7 +48,7 @@
 }
 
 bool StateExchange::isLeftToOtherSection(PublishedSection section) const {
-  // While the service is away one section finds out when it is back.
+  // While the service is unavailable, only one section polls it.
   return std::any_of(
       AllSections.begin(), AllSections.end(), [&](PublishedSection other) {
         return other != section && at(other).ServiceUnavailable &&
@@ -87,8 +89,8 @@
     read.After = held;
     read.Wait = Settings.WatchTimeout;
   }
-  // A first listing may be old: the watch that follows, or a peer, brings it up
-  // to date.
+  // A first listing may be stale: the watch that follows, or a peer, completes
+  // it.
   read.AllowStale = list && held == Revision{} && state.Failures == 0;
   Actions.emplace_back(StartRead{read});
 }
@@ -133,9 +135,9 @@
     setVerified(read.Section, now, Self.Id.hash(), readerRank());
   Revision before = Store.completeRevision(read.Section);
   std::vector<PublishedObject> changed = merge(*result, VmId());
-  // What a daemon lists first is no update to those that run; whoever lacks it
-  // asks. Told to all, it would cost each daemon of a fleet that starts two
-  // dozen copies of everything.
+  // A first listing is no update for running daemons; those that miss it
+  // request it. If it were broadcast, each daemon of a starting fleet would
+  // receive two dozen copies of everything.
   if (!changed.empty() && before != Revision{})
     broadcastToFleet(now,
                      read.After == Revision{}
@@ -172,10 +174,10 @@
 PublishedChanges
 StateExchange::changesOfListing(PublishedSection section,
                                 std::vector<PublishedObject> changed) const {
-  // Guards against a publishing service that drops its history in a release:
-  // each listing in place of a watch would go to the whole fleet as it is. A
-  // list that begins where it ends completes nobody; the hash of all objects,
-  // which comes with it, does.
+  // If the publishing service drops its history during a rollout, listings
+  // replace watches. Send only the changed objects, not the whole listing, to
+  // the fleet. Since After equals UpTo, this list completes no receiver that is
+  // behind; the hash of all objects in the digest does.
   Revision as = Store.completeRevision(section);
   return {section, as, as, std::move(changed)};
 }
@@ -184,9 +186,9 @@
                                       const PublishedRead &read) {
   if (!read.AllowStale)
     return now + readPeriodOf(read.Section);
-  // Guards against a fleet that starts: each daemon that does not know the
-  // others yet would take itself for the reader. The first that reads proves
-  // the state of all.
+  // When a whole fleet starts, each daemon that does not know its peers yet
+  // would act as a reader. After the random wait, the first one that reads
+  // verifies the state of all others.
   auto span = static_cast<uint64_t>(Settings.StartSpan.count());
   return now + Settings.StartWait +
          Duration(static_cast<int64_t>(Random.below(span)));
@@ -196,7 +198,7 @@
                                  const absl::Status &status) {
   SectionState &state = at(read.Section);
   if (status.code() == absl::StatusCode::kOutOfRange) {
-    // The service has dropped the history that we would need.
+    // The service no longer has the history that a watch needs.
     state.ListingRequired = true;
     state.NextRead = now + Settings.OperatorsPeriod;
     return;
@@ -206,15 +208,16 @@
         SourceChanged{read.Section, false, std::string(status.message())});
   ++state.Failures;
   state.ServiceUnavailable = status.code() == absl::StatusCode::kUnavailable;
-  // The first daemon of a domain finds out for the others when the service is
-  // back.
+  // The first-ranked daemon of a domain polls the service on behalf of the
+  // others.
   bool first = RankInDomain == 0;
   Duration most = first ? Settings.MaxBackoff : Settings.MaxBackoffOfLaterRanks;
   Duration wait = first ? Settings.MinBackoff : most / 2;
   for (uint32_t i = 1; i < state.Failures && wait < most; ++i)
     wait *= 2;
   wait = std::min(wait, most);
-  // Jitter keeps daemons that lost the service together from coming back so.
+  // Jitter prevents daemons that lost the service at the same time from
+  // retrying at the same time.
   auto half = static_cast<uint64_t>(wait.count() / 2);
   state.NextRead =
       now + wait / 2 + Duration(static_cast<int64_t>(Random.below(half + 1)));
@@ -239,7 +242,7 @@
       chosen.push_back(vm);
       continue;
     }
-    // Reservoir: each of those seen is as likely to be among the chosen.
+    // Reservoir sampling: all peers are equally likely to be chosen.
     uint64_t place = Random.below(seen);
     if (place < most)
       chosen[place] = vm;
@@ -321,7 +324,8 @@
 }
 
 TimePoint StateExchange::nextWakeup() const {
-  // What only the age of a proof calls for is found out when a digest is due.
+  // Takeovers after the maximum age of a verification are checked when a digest
+  // is due.
   TimePoint next = NextDigest;
   for (PublishedSection section : AllSections) {
     const SectionState &state = at(section);
--- a/Balsamrack/Published/StateExchange.h
+++ b/Balsamrack/Published/StateExchange.h
@@ -15,147 +15,158 @@
 
 namespace balsamrack {
 
-/// Times and limits of the state exchange.
+/// Periods and limits of the state exchange.
 struct StateExchangeSettings {
-  /// How long a watch of the publishing service waits. Its answer proves that
-  /// the service still speaks to its reader.
+  /// How long a watch waits at the publishing service. Its answer shows that
+  /// the reader can still reach the service.
   Duration WatchTimeout{2'000'000};
-  /// Failure domains whose first daemon reads all the time. Two, so that one
-  /// that fails or is cut off delays nothing.
+  /// Number of failure domains whose first-ranked daemon is a regular reader.
+  /// Two, so that the failure or partition of one reader causes no delay.
   size_t RegularReaders = 2;
-  /// Age of the last such proof from which other daemons read too. A watch and
-  /// its way to all peers fit in.
+  /// Age of the last verification from which other daemons read as well. Long
+  /// enough for a watch and the distribution of its result to all peers.
   Duration TakeoverAge{2'600'000};
-  /// Further wait of the second daemon of a domain; each one after it waits
-  /// twice as long, so that few ask a service that is away.
+  /// Additional wait of the second daemon of a domain; it grows exponentially
+  /// with the rank, so that few daemons call an unavailable service.
   Duration TakeoverStep{200'000};
-  /// A daemon younger than this may not know its peers yet: it reads only when
-  /// none of them proves its state in time.
+  /// A daemon that started less than this ago may not know its peers yet: after
+  /// a first listing it reads only if no peer verifies its state in time.
   Duration StartSpan{2'000'000};
-  /// Least wait for that proof; up to StartSpan is added at random.
+  /// Minimum wait for that verification; up to StartSpan is added at random.
   Duration StartWait{300'000};
-  Duration DigestPeriod{250'000}; ///< Between digests to one random peer each.
-  /// One request is under way at a time; it counts as lost after this.
+  Duration DigestPeriod{250'000}; ///< Period of digests to one random peer.
+  /// Only one request is outstanding at a time; it counts as lost after this.
   Duration RequestTimeout{400'000};
-  /// Least number of objects after which an answer by buckets ends. It fills a
-  /// link of 10 Mbit/s for some 20 ms, so that callers' packets pass.
+  /// An answer by buckets ends once it holds at least this many objects. Such
+  /// an answer occupies a link of 10 Mbit/s for about 20 ms, so that callers'
+  /// packets are not held up.
   size_t ObjectsPerAnswer = 256;
-  Duration MinBackoff{250'000};   ///< Between reads, after a failure.
-  Duration MaxBackoff{2'000'000}; ///< After many failures, for the first
-                                  ///< daemon of a domain.
-  /// As MaxBackoff, for the others: the first one's digest ends their wait.
+  Duration MinBackoff{250'000}; ///< Wait before a read after the first failure.
+  Duration MaxBackoff{2'000'000}; ///< Maximum wait after failures, for the
+                                  ///< first-ranked daemon of a domain.
+  /// As MaxBackoff, for the other daemons; a digest of the first-ranked one
+  /// ends their wait.
   Duration MaxBackoffOfLaterRanks{8'000'000};
-  /// Between reads of the operators' section, whatever the service answers.
+  /// Minimum time between reads of the operators' section.
   Duration OperatorsPeriod{20'000};
-  /// As above, of the servers' section: a release changes several servers a
-  /// second, and each change would cost a call of each reader.
+  /// Minimum time between reads of the servers' section. A rollout changes
+  /// several servers per second, and without this limit each change would cost
+  /// a call by every reader.
   Duration ServersPeriod{500'000};
-  /// Peers of the own domain that get a change at once; others learn of it by
-  /// digests.
+  /// Maximum number of peers of the own domain that a change is sent to at
+  /// once; others learn of it by digests.
   size_t DomainFanout = 64;
-  /// Most changes of servers that go to a whole domain at once. Of more, the
-  /// reader only advertises, and daemons copy them from each other: else the
-  /// reader's link fills.
+  /// Maximum number of changed servers that are broadcast. Larger changes are
+  /// only advertised by a digest, and daemons copy them from each other;
+  /// otherwise the reader's link would fill.
   size_t MaxBroadcastObjects = 32;
-  size_t AdvertiseFanout = 3; ///< Peers that are advertised to.
-  /// A fleet up to this size gets every change at once.
+  size_t AdvertiseFanout =
+      3; ///< Peers of the own domain that get an advertisement.
+  /// Every change is sent to all daemons if the number of peers is at most
+  /// this.
   size_t FullBroadcastFleetSize = 16;
 };
 
-/// Send some peers the same message.
+/// Send the same message to some peers.
 struct SendStateMessage {
-  std::vector<EntryVm> To; ///< Whom; at least one.
+  std::vector<EntryVm> To; ///< Receivers; at least one.
   std::variant<PublishedDigest, PublishedRequest, PublishedUpdate> Message;
 };
-/// Read the publishing service; answer by handleReadResult().
+/// Read the publishing service; pass the result to handleReadResult().
 struct StartRead {
-  PublishedRead Read; ///< See there.
+  PublishedRead Read; ///< The read to start.
 };
-/// Something changed in a section.
+/// Objects of a section changed.
 struct StateChanged {
-  PublishedSection Section = PublishedSection::Servers; ///< Where.
-  std::vector<PublishedObject> Changed; ///< Objects in their new state.
-  VmId From; ///< The peer that sent it; empty: read here.
+  PublishedSection Section = PublishedSection::Servers; ///< The section.
+  std::vector<PublishedObject> Changed; ///< Changed objects in their new state.
+  VmId From; ///< Peer that sent the change; empty if read by this daemon.
 };
-/// The service became, or ceased to be, readable from here.
+/// The service became readable or unreadable for this daemon.
 struct SourceChanged {
-  PublishedSection Section = PublishedSection::Servers; ///< By which reads.
-  bool Readable = false; ///< It answered; else it failed.
-  std::string Error;     ///< Why, when it failed.
+  PublishedSection Section =
+      PublishedSection::Servers; ///< Section of the read.
+  bool Readable = false;         ///< True if the read succeeded.
+  std::string Error;             ///< Failure of the read; empty on success.
 };
 
-/// All that a StateExchange asks for, in order.
+/// Actions that a StateExchange returns, to be carried out in order.
 using StateExchangeAction =
     std::variant<SendStateMessage, StartRead, StateChanged, SourceChanged>;
 
-/// Who reads the publishing service, and how its state spreads.
+/// Decides which daemons read the publishing service, and distributes the
+/// published state among daemons.
 ///
-/// The first daemons of two failure domains read. A few changes go to their own
-/// domain and to one or two daemons of each other one, which relay them; of
-/// many changes they advertise a digest. By anti-entropy all daemons compare
-/// digests with one random peer a quarter second, and whoever is behind copies
-/// what it lacks (StateExchangeSync.cpp). A daemon without a proof of freshness
-/// for some seconds reads by itself, so updates depend neither on its own path
-/// to the service nor on any single daemon. The load of the service grows
-/// neither with the fleet nor with its failure domains. Deterministic. Not
-/// thread-safe.
+/// The first-ranked daemons of two failure domains are regular readers. They
+/// send small changes to their own domain and to one or two daemons of each
+/// other domain, which relay them; large changes are advertised by a digest.
+/// For anti-entropy, every daemon compares digests with one random peer every
+/// 250 ms, and a daemon that is behind copies what it misses
+/// (StateExchangeSync.cpp). A daemon whose state has not been verified for some
+/// seconds reads the service itself, so updates depend neither on its own path
+/// to the service nor on any single daemon. The load on the service grows
+/// neither with the fleet nor with the number of failure domains.
+/// Deterministic. Not thread-safe.
 class StateExchange {
 public:
-  /// An exchange for \p self that holds nothing. Precondition: \p random
+  /// Creates an exchange for \p self without any state. Precondition: \p random
   /// outlives it.
   StateExchange(const StateExchangeSettings &settings, const EntryVm &self,
                 RandomSource &random);
 
-  /// What is held.
+  /// Returns the state held by this daemon.
   const PublishedStore &store() const { return Store; }
-  /// Since when \p section was last proved to be the newest; zero: never.
+  /// Returns when a reader last confirmed that the held state of \p section is
+  /// the newest; zero if never.
   TimePoint verifiedAt(PublishedSection section) const {
     return at(section).VerifiedAt;
   }
-  /// True when this daemon is a regular reader.
+  /// Returns whether this daemon is a regular reader.
   bool isRegularReader() const {
     return RankInDomain == 0 && RankOfDomain < Settings.RegularReaders;
   }
 
-  /// These daemons live, this one left out.
+  /// Sets the live daemons, this one excluded.
   void setPeers(const std::vector<EntryVm> &peers);
-  /// Time has passed; to be called by nextWakeup().
+  /// Starts due reads and digests. Call by nextWakeup() at the latest.
   std::vector<StateExchangeAction> tick(TimePoint now);
-  /// This process was paused: what it holds may be old.
+  /// Requests updates from some peers after a pause of this process, since its
+  /// state may be outdated.
   std::vector<StateExchangeAction> requestAfterPause(TimePoint now);
-  /// A read that was asked for has ended.
+  /// Handles the result of a read requested by StartRead.
   std::vector<StateExchangeAction>
   handleReadResult(TimePoint now, const PublishedRead &read,
                    absl::StatusOr<PublishedChanges> result);
-  /// A peer's message came in.
+  /// Handles a digest from a peer.
   std::vector<StateExchangeAction> handleDigest(TimePoint now,
                                                 const EntryVm &from,
                                                 const PublishedDigest &digest);
-  /// As above.
+  /// Handles a request from a peer.
   std::vector<StateExchangeAction>
   handleRequest(TimePoint now, const EntryVm &from,
                 const PublishedRequest &request);
-  /// As above.
+  /// Handles an update from a peer.
   std::vector<StateExchangeAction> handleUpdate(TimePoint now,
                                                 const EntryVm &from,
                                                 const PublishedUpdate &update);
-  /// When tick() is due.
+  /// Returns when tick() is due.
   TimePoint nextWakeup() const;
 
 private:
-  /// What is known and under way for one section.
+  /// State of one section.
   struct SectionState {
-    TimePoint VerifiedAt;         ///< See verifiedAt().
-    uint64_t VerifiedBy = 0;      ///< As in SectionDigest, of that proof.
-    uint32_t VerifierRank = 0;    ///< As above.
-    bool Reading = false;         ///< A read is under way.
-    bool ListingRequired = false; ///< The history that a watch needs is gone.
-    bool TakenOver = false; ///< Reads although it is no regular reader, until
-                            ///< one of a lower rank does.
+    TimePoint VerifiedAt;      ///< See verifiedAt().
+    uint64_t VerifiedBy = 0;   ///< See SectionDigest.
+    uint32_t VerifierRank = 0; ///< See SectionDigest.
+    bool Reading = false;      ///< A read is in progress.
+    bool ListingRequired =
+        false; ///< The service has dropped the history that a watch needs.
+    bool TakenOver = false; ///< Reads although it is not a regular reader,
+                            ///< until a daemon of lower rank does.
     bool ServiceUnavailable =
-        false;             ///< The last read failed as the service was away.
-    TimePoint NextRead;    ///< Not before.
-    uint32_t Failures = 0; ///< In a row.
+        false; ///< The last read failed since the service was unavailable.
+    TimePoint NextRead;    ///< Earliest time of the next read.
+    uint32_t Failures = 0; ///< Consecutive failures.
   };
 
   SectionState &at(PublishedSection section) {
@@ -211,17 +222,18 @@
   const StateExchangeSettings Settings;
   const EntryVm Self;
   RandomSource &Random;
-  PublishedStore Store;                                 ///< What is held.
+  PublishedStore Store;                                 ///< The held state.
   std::array<SectionState, PublishedSections> Sections; ///< By section.
-  std::vector<EntryVm> Peers;                           ///< Who lives.
-  size_t RankInDomain = 0;   ///< In the order of the own domain's daemons.
-  size_t RankOfDomain = 0;   ///< Of the own domain in the order of all domains.
-  TimePoint StartedAt;       ///< Of the first tick.
-  TimePoint NextRequest;     ///< Not before; see RequestTimeout.
-  VmId AskedPeer;            ///< Who got the last request.
-  TimePoint NextDigest;      ///< Of one random peer.
-  bool OwnDomainNext = true; ///< Whose turn the next digest is.
-  std::vector<StateExchangeAction> Actions; ///< Of the call under way.
+  std::vector<EntryVm> Peers; ///< Live daemons, except this one.
+  size_t RankInDomain = 0;    ///< Rank among the daemons of the own domain.
+  size_t RankOfDomain = 0;    ///< Rank of the own domain among all domains.
+  TimePoint StartedAt;        ///< Time of the first tick.
+  TimePoint
+      NextRequest; ///< Earliest time of the next request; see RequestTimeout.
+  VmId AskedPeer;  ///< Peer that the outstanding request was sent to.
+  TimePoint NextDigest;      ///< When the next digest to a random peer is due.
+  bool OwnDomainNext = true; ///< Toggles between the own and other domains.
+  std::vector<StateExchangeAction> Actions; ///< Result of the current call.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Published/StateExchangeSync.cpp
+++ b/Balsamrack/Published/StateExchangeSync.cpp
@@ -3,18 +3,21 @@
 
 #include "Balsamrack/Published/StateExchange.h"
 
-// The part of StateExchange that compares what peers hold and copies what is
-// lacking.
+// Part of StateExchange: compares digests with peers and copies missing
+// objects.
 
 namespace balsamrack {
 
 namespace {
 
-/// A proof of this age or more proves nothing; keeps sums of ages in range.
+/// Age of a section that was never verified. Also caps reported ages, so that
+/// sums of ages stay in range.
 constexpr Duration MaxVerificationAge{3'600'000'000};
-/// A proof that is newer than the last by less is not passed on.
+/// A verification is relayed only if it is newer than the last one by more than
+/// this.
 constexpr Duration MinRelayInterval{500'000};
-/// Objects a bucket: more make answers longer, fewer make requests longer.
+/// Target number of objects per bucket: more lengthen answers, fewer lengthen
+/// requests.
 constexpr size_t ObjectsPerBucket = 4;
 
 uint32_t bucketCountFor(size_t objects) {
@@ -73,8 +76,9 @@
 
 void StateExchange::requestIfBehind(TimePoint now, const EntryVm &peer,
                                     const std::vector<SectionDigest> &theirs) {
-  // Guards against a link that fills with answers: whoever lags is behind each
-  // peer that it hears of while the first answer is under way.
+  // Only one request is outstanding at a time. A daemon that lags is behind
+  // every peer whose digest arrives before the first answer, and the answers to
+  // all of them would fill its link.
   if (!isBehind(theirs) || now < NextRequest)
     return;
   NextRequest = now + Settings.RequestTimeout;
@@ -91,7 +95,7 @@
     if (theirs.CompleteUpTo > Store.completeRevision(section))
       Store.extendCompleteness(section, theirs.LastChange, theirs.CompleteUpTo,
                                theirs.PresentHash);
-    // What they had proved to be the newest is no newer than what is held.
+    // The state that the peer verified as newest is already held here.
     bool held = theirs.CompleteUpTo != Revision{} &&
                 theirs.CompleteUpTo <= Store.completeRevision(section);
     if (!held || theirs.Age >= MaxVerificationAge)
@@ -151,12 +155,12 @@
     answer.Changes.push_back(Store.changesAfter(section, request.After));
     return;
   }
-  // Without hashes the digest that goes with the answer has to do: the peer
-  // learns from it that it needs to send them.
+  // Without valid bucket hashes, send only the digest with the answer; it tells
+  // the peer to request by buckets.
   size_t count = request.BucketHashes.size();
   if (!PublishedStore::isValidBucketCount(count))
     return;
-  // From a random bucket on, so that daemons that start together learn of
+  // Start at a random bucket, so that daemons that start together receive
   // different servers first.
   auto first = static_cast<uint32_t>(Random.below(count));
   answer.Changes.push_back(Store.differencesFrom(
@@ -170,7 +174,7 @@
   for (const PublishedChanges &changes : update.Changes)
     changed = !merge(changes, from.Id).empty() || changed;
   mergeDigests(now, update.Digests);
-  // An answer that brought nothing would bring nothing again.
+  // Do not repeat a request whose answer changed nothing.
   if (from.Id == AskedPeer && (changed || !isBehind(update.Digests))) {
     NextRequest = now;
     AskedPeer = VmId();
