--- a/UnitTests/Membership/FleetSimulation.cpp
+++ b/UnitTests/Membership/FleetSimulation.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Bytes of one message with state.
+/// Maximum size of one StateUpdate in bytes.
 constexpr size_t StateBytes = 16'384;
 
 template <class T> T valueOrDie(absl::StatusOr<T> made) {
@@ -41,7 +41,7 @@
   step(i, MembershipEvent(PlatformList{Listed}));
   step(i, OwnershipEvent(ListedPeers{Nodes[i]->Members->listedDomainPeers()}));
   step(i, OwnershipEvent(DomainServersChanged{Nodes[i]->Servers}));
-  // Ticks of different daemons don't fall together.
+  // Spread the ticks of different daemons.
   at(Now + Duration(static_cast<int64_t>(Random.below(
                static_cast<uint64_t>(SimulationOptions.Tick.count())))),
      [this, i] { tick(i); });
@@ -140,7 +140,7 @@
               (Cut && Cut(node.Vm, to));
   if (lost)
     return;
-  // Answers go back on the connection on which the question came.
+  // Replies use the connection of the request.
   auto reply = ReplyTo.find(to.Id);
   size_t receiver = reply != ReplyTo.end() ? reply->second : it->second;
   at(Now + SimulationOptions.Latency,
@@ -189,8 +189,8 @@
 void FleetSimulation::step(size_t i, const MembershipEvent &event) {
   for (const auto &action : Nodes[i]->Members->step(Now, event))
     act(i, action);
-  // Once a step: the first answer to a starter carries a whole domain's
-  // updates.
+  // Publish once per step, since the first answer to a starting daemon carries
+  // the records of a whole domain.
   if (std::exchange(Nodes[i]->MembersChangePending, false))
     publishMembers(i);
 }
--- a/UnitTests/Membership/MembershipTest.cpp
+++ b/UnitTests/Membership/MembershipTest.cpp
@@ -36,7 +36,7 @@
     auto it = all.find(VmId(name(whom)));
     if (it != all.end())
       return it->second;
-    // Nobody of that name is known: certainly not live.
+    // Unknown daemons count as not live.
     MemberView unknown;
     unknown.Record.State = MemberState::Dead;
     return unknown;
@@ -48,12 +48,12 @@
   FleetSimulation Fleet{FleetSimulation::Options()}; ///< Under test.
 };
 
-// Story: a daemon leaves and Announces that it leaves to one that has just
-// started and never heard of it. The starter ended with an exception, and its
-// callers' flows had to find another daemon. Cause: updates that an unknown
-// daemon has left is of no use and not kept, and the answer looked its sender
-// up all the same.
-TEST(MembershipLeaveTest, FromAStrangerIsPassedOver) {
+// A daemon that has just started receives the leave message of a daemon that it
+// does not know. Guards against a crash: the table does not store departed
+// unknown daemons, but the answer looked up the sender in it and threw an
+// exception. The callers' flows of the crashed daemon then had to move to
+// another one.
+TEST(MembershipLeaveTest, FromAnUnknownDaemonIsIgnored) {
   auto members =
       Membership::create(MembershipSettings(), vm("vm-1", "bern-a"), {7}, 1);
   ASSERT_TRUE(members.ok());
@@ -70,15 +70,16 @@
   }
 }
 
-TEST_F(MembershipTest, EverybodyIsFound) {
+TEST_F(MembershipTest, AllDaemonsAreFound) {
   for (size_t i = 0; i < 9; ++i) {
     EXPECT_EQ(Fleet.nodes()[i]->Members->members().size(), 9U);
     EXPECT_EQ(Fleet.nodes()[i]->Members->liveDomainPeers().size(), 2U);
   }
 }
 
-// A VM dies and the platform goes on listing it. It is found dead and stays
-// dead: a list is a hint, only an answer proves life.
+// A VM dies but remains in the platform's list. It must be detected as dead and
+// stay dead: the list is only a hint, only an answer shows that a daemon is
+// alive.
 TEST_F(MembershipTest, DeadButListedIsNotResurrected) {
   Fleet.kill(2);
   Fleet.run(10 * Second);
@@ -90,9 +91,9 @@
     EXPECT_FALSE(seen(i, 2).live());
 }
 
-// A daemon is stopped for longer than the suspicion lasts, then goes on. It
-// finds out that it is held for dead and refutes it: its run stays the same.
-TEST_F(MembershipTest, WakesAndRefutes) {
+// A daemon is paused for longer than the suspicion time and resumes. It must
+// learn that it was declared dead and refute that under the same incarnation.
+TEST_F(MembershipTest, RefutesAfterAPause) {
   Fleet.pause(2);
   Fleet.run(10 * Second);
   EXPECT_EQ(seen(0, 2).Record.State, MemberState::Dead);
@@ -101,14 +102,14 @@
   for (size_t i : {0, 1, 3, 8})
     EXPECT_EQ(seen(i, 2).Record.State, MemberState::Alive);
   EXPECT_GT(seen(0, 2).Record.Refutation, 0U);
-  // Its own sleep was no reason to suspect the others.
+  // Its own pause must not make it suspect the others.
   EXPECT_EQ(seen(2, 0).Record.State, MemberState::Alive);
   EXPECT_EQ(seen(0, 1).Record.State, MemberState::Alive);
 }
 
-// One link between two daemons is broken. Others reach both, so nobody is
-// declared dead.
-TEST_F(MembershipTest, OneBrokenLinkKillsNobody) {
+// One link between two daemons is broken. Others reach both, so no daemon may
+// be declared dead.
+TEST_F(MembershipTest, OneBrokenLinkMarksNoDaemonDead) {
   Fleet.setCut([](const EntryVm &a, const EntryVm &b) {
     auto pair = std::minmax(a.Id, b.Id);
     return pair.first == VmId("vm-0") && pair.second == VmId("vm-1");
@@ -119,9 +120,10 @@
       EXPECT_NE(updates.State, MemberState::Dead) << updates.Vm.Id.str();
 }
 
-// A failure domain is cut off for ten minutes. Behind the cut everybody goes
-// on; on both sides the others are unreachable, which is not dead, and their
-// servers are not given to anyone. After the heal all are there again.
+// A failure domain is partitioned for ten minutes while its daemons keep
+// running. Each side must consider the other unreachable, not dead, so that its
+// servers are not reassigned. After the partition all daemons must be live
+// again.
 TEST_F(MembershipTest, CutDomainIsUnreachableNotDead) {
   Fleet.setCut([](const EntryVm &a, const EntryVm &b) {
     return (a.Domain == DomainId("bern-a")) != (b.Domain == DomainId("bern-a"));
@@ -149,10 +151,10 @@
   EXPECT_TRUE(told);
 }
 
-// A paused owner wakes and hears that it is dead. Whoever took its servers
-// over waits for its lease only; so it has to give up all ownership before
-// anybody hears that it lives and renews that lease.
-TEST(MembershipStepTest, HeldForDeadComesBeforeTheRefutation) {
+// A paused owner resumes and learns that it was declared dead. The new owner of
+// its servers waits only for its lease to end, so it must give up all servers
+// before any peer learns that it is alive and renews that lease.
+TEST(MembershipStepTest, DeclaredDeadPrecedesTheRefutation) {
   auto made = Membership::create({}, vm("vm-1", "bern-a"), {1}, 1);
   ASSERT_TRUE(made.ok());
   Ping ping{5, {vm("vm-2", "bern-a"), {1}, 0, MemberState::Alive}, {}};
@@ -163,9 +165,9 @@
   EXPECT_TRUE(std::holds_alternative<DeclaredDead>(actions.front()));
 }
 
-// The answer of a peer that holds us for dead or for another run proves that
-// the peer lives, but it renews nothing.
-TEST(MembershipStepTest, AnAckOfAPeerThatHoldsUsForDeadRenewsNothing) {
+// The answer of a peer that considers this daemon dead shows that the peer is
+// alive, but must not renew this daemon's lease.
+TEST(MembershipStepTest, AckOfAPeerThatConsidersUsDeadDoesNotRenew) {
   for (bool dead : {false, true}) {
     auto made = Membership::create({}, vm("vm-1", "bern-a"), {1}, 1);
     ASSERT_TRUE(made.ok());
@@ -188,10 +190,11 @@
   }
 }
 
-// Two daemons of a domain on one host are stopped together, and the rest takes
-// over. When they wake, the first thing that each hears may be the other. If
-// they renewed each other's leases, both would go on beside the new owners.
-TEST(MembershipStepTest, AfterAPauseItRenewsNobodyUntilItIsRenewed) {
+// Two daemons of a domain on one host are paused together, and the others take
+// over their servers. After they resume, each may first receive a message from
+// the other. If they renewed each other's leases, both would dispatch in
+// parallel with the new owners.
+TEST(MembershipStepTest, RenewsNoLeaseAfterAPauseUntilRenewed) {
   auto made = Membership::create({}, vm("vm-1", "bern-a"), {1}, 1);
   ASSERT_TRUE(made.ok());
   EntryVm other = vm("vm-2", "bern-a");
@@ -209,15 +212,15 @@
   now += 10 * Second;
   EXPECT_FALSE(renews(now));
   (*made)->step(now, MembershipTicked{});
-  // The probe that this tick sent is answered by one who may renew.
+  // A peer that may renew leases answers the probe of this tick.
   Ack ack{1, other.Id, {other, {1}, 0, MemberState::Alive}, {}};
   (*made)->step(now, MessageReceived{other, ack});
   EXPECT_TRUE(renews(now));
 }
 
 struct Pair {
-  MemberRecord Lower;  ///< Loses.
-  MemberRecord Higher; ///< Wins.
+  MemberRecord Lower;  ///< The superseded record.
+  MemberRecord Higher; ///< The superseding record.
 };
 
 class StateOrderTest : public testing::TestWithParam<Pair> {};
--- a/UnitTests/Membership/OwnershipFenceTest.cpp
+++ b/UnitTests/Membership/OwnershipFenceTest.cpp
@@ -13,7 +13,7 @@
   void SetUp() override {
     Fence = std::move(OwnershipFence::create(Settings, Now)).value();
   }
-  /// Ticks every 50 ms, as a running process does.
+  /// Ticks every 50 ms, like a running process.
   void tickFor(Duration span) {
     for (TimePoint end = Now + span; Now < end; Now += Duration(50'000))
       Fence->onTick(Now);
@@ -38,9 +38,9 @@
   EXPECT_EQ(Fence->expiries(), 0U);
 }
 
-// An owner is cut off from its domain. Others will take its servers over once
-// its lease has ended; from that moment on it must not dispatch, though nobody
-// tells it anything.
+// An owner is partitioned from its domain. Other daemons take over its servers
+// once its lease has ended. From then on it must not dispatch, although it
+// receives no message.
 TEST_F(OwnershipFenceTest, StopsWhenNoPeerRenews) {
   Fence->setPeers({Peer}, Now);
   tickAndHearFor(Second);
@@ -51,8 +51,8 @@
   EXPECT_FALSE(may());
 }
 
-// The process is stopped for an hour. The first thing it does on waking is to
-// dispatch, before its tick ran and before it read anything.
+// The process is stopped for an hour, and tries to dispatch after it resumes,
+// before its tick runs and before it reads any message.
 TEST_F(OwnershipFenceTest, PauseIsSeenBeforeTheNextTick) {
   tickFor(10 * Second);
   EXPECT_TRUE(may());
@@ -60,8 +60,9 @@
   EXPECT_FALSE(may());
 }
 
-// After the pause it reads the answer to a probe from before it. That answer
-// says that the peer held us for alive an hour ago, which proves nothing now.
+// After a pause, the daemon reads the answer to a probe that was sent before
+// it. The answer only shows that the peer considered it alive an hour ago, so
+// it must not renew the lease.
 TEST_F(OwnershipFenceTest, AnswerFromBeforeThePauseDoesNotCount) {
   Fence->setPeers({Peer}, Now);
   tickAndHearFor(Second);
@@ -78,8 +79,8 @@
   EXPECT_TRUE(may());
 }
 
-// The ownership is put back for one expiry while the next one has begun: the
-// restart of the first must not end the second.
+// Ownership is given up for one expiry when the next one has already begun: the
+// restart for the first must not end the second.
 TEST_F(OwnershipFenceTest, RestartOfAnEarlierExpiryDoesNothing) {
   Fence->setPeers({Peer}, Now);
   Now += 10 * Second;
@@ -94,9 +95,9 @@
   EXPECT_FALSE(may());
 }
 
-// The only daemon of a domain sleeps. Another one may have been started
-// meanwhile, which it does not know yet: it waits for a whole takeover time.
-TEST_F(OwnershipFenceTest, AloneAfterAPauseItWaits) {
+// The only daemon of a domain is paused. Another one that it does not know yet
+// may have started in the meantime, so it must wait for takeoverWait.
+TEST_F(OwnershipFenceTest, LoneDaemonWaitsAfterAPause) {
   tickFor(Second);
   Now += 100 * Second;
   TimePoint woke = Now;
@@ -106,9 +107,9 @@
   EXPECT_LE(Now - woke, Settings.takeoverWait() + Duration(100'000));
 }
 
-// The other daemon of a domain of two dies. The survivor serves on without a
-// expiry: death is found within its lease.
-TEST_F(OwnershipFenceTest, SurvivorOfTwoServesOn) {
+// One of the two daemons of a domain dies. The other one must keep serving
+// without an expiry, since the death is detected within its lease.
+TEST_F(OwnershipFenceTest, SurvivorOfTwoKeepsAuthority) {
   Fence->setPeers({Peer}, Now);
   tickAndHearFor(Second);
   tickFor(Settings.LeaseTime - Duration(200'000));
--- a/UnitTests/Membership/OwnershipFleetTest.cpp
+++ b/UnitTests/Membership/OwnershipFleetTest.cpp
@@ -8,8 +8,8 @@
 
 constexpr Duration Second{1'000'000};
 
-/// Some daemons of one domain and of others, with the servers of that domain.
-/// After each event no server may have two daemons that would dispatch to it.
+/// Daemons of the domain bern-a with its servers, and daemons of other domains.
+/// After each event, at most one daemon may dispatch to each server.
 class OwnershipFleetTest : public testing::Test {
 protected:
   void startFleet(size_t own, size_t others,
@@ -46,7 +46,7 @@
     return served;
   }
   bool allServed() const { return servedCount() == Names.size(); }
-  /// Seconds until every server has an owner again, or -1.
+  /// Returns the seconds until every server has an owner, or -1.
   double secondsUntilServed(double limit) {
     TimePoint from = Fleet->now();
     Duration most(static_cast<int64_t>(limit * 1e6));
@@ -58,13 +58,13 @@
 
   std::unique_ptr<FleetSimulation> Fleet; ///< Under test.
   std::vector<std::string> Names;         ///< Servers of bern-a.
-  size_t TwoOwners = 0; ///< Times that a server had two owners.
+  size_t TwoOwners = 0; ///< Number of checks in which a server had two owners.
 };
 
 struct Size {
   size_t Own;    ///< Daemons of the domain.
   size_t Others; ///< Daemons of other domains.
-  double Loss;   ///< Part of the messages that is lost.
+  double Loss;   ///< Fraction of messages that is lost.
 };
 
 class OwnershipSizeTest : public OwnershipFleetTest,
@@ -77,16 +77,17 @@
   }
 };
 
-// A whole fleet starts at once. Callers get their first answers within two
-// seconds, since the daemons of a domain only have to agree among themselves.
+// A whole fleet starts at once. All servers must have an owner within two
+// seconds, since only the daemons of one domain have to agree.
 TEST_P(OwnershipSizeTest, WholeFleetStartsWithinTwoSeconds) {
   double seconds = secondsUntilServed(10);
   EXPECT_GE(seconds, 0);
   EXPECT_LE(seconds, GetParam().Loss > 0 ? 4 : 2);
 }
 
-// An owner is killed. Sellers on its servers are refused until another daemon
-// can be sure that it is dead and that its lease has ended, then served again.
+// An owner is killed. Callers of its servers are refused until another daemon
+// has detected the death and the lease has ended; then they must be served
+// again.
 TEST_P(OwnershipSizeTest, KilledOwnerIsReplaced) {
   ASSERT_GE(secondsUntilServed(10), 0);
   Fleet->run(3 * Second);
@@ -96,10 +97,10 @@
   EXPECT_LE(seconds, 10);
 }
 
-// The owner is stopped for a minute in the middle of its work and wakes with
-// an old view: it still finds itself first in rank for its servers, which
-// others own by now. It must dispatch to none of them before they gave it back.
-TEST_P(OwnershipSizeTest, PausedOwnerWakesWithoutAuthority) {
+// An owner is paused for a minute and resumes with an outdated view, in which
+// it still ranks first for its servers. Other daemons own them by now, so it
+// must not dispatch before they have released them.
+TEST_P(OwnershipSizeTest, PausedOwnerResumesWithoutAuthority) {
   ASSERT_GE(secondsUntilServed(10), 0);
   Fleet->run(3 * Second);
   Fleet->pause(0);
@@ -115,8 +116,8 @@
   EXPECT_FALSE(Fleet->nodes()[0]->Tracker->owned().empty());
 }
 
-// The VM is replaced under its name and address while its servers' leases
-// still run: the new run must not take for granted that the old one is gone.
+// A VM is replaced under the same name and address while the old lease is still
+// running. The new incarnation must not assume that the old one has stopped.
 TEST_P(OwnershipSizeTest, SameVmComesBackWithANewRun) {
   ASSERT_GE(secondsUntilServed(10), 0);
   Fleet->run(3 * Second);
@@ -129,8 +130,8 @@
   EXPECT_FALSE(Fleet->nodes()[again]->Tracker->owned().empty());
 }
 
-// An operator restarts a daemon gracefully. Its servers move to the others
-// without a moment in which nobody serves them, message times apart.
+// A daemon is shut down gracefully. Its servers must move to the others without
+// being unserved for longer than message round trips.
 TEST_P(OwnershipSizeTest, GracefulLeaveKeepsServersServed) {
   ASSERT_GE(secondsUntilServed(10), 0);
   Fleet->run(3 * Second);
@@ -154,8 +155,9 @@
   EXPECT_TRUE(handedOver);
 }
 
-// Three daemons are replaced one after the other, each before the one before
-// has settled: views differ all the time, servers have one owner all the time.
+// All daemons of a domain are replaced in turn, each before the previous
+// replacement has completed. Views differ throughout, but no server may have
+// two owners.
 TEST_P(OwnershipSizeTest, RollingKillsNeverGiveTwoOwners) {
   ASSERT_GE(secondsUntilServed(10), 0);
   for (size_t i = 0; i < GetParam().Own; ++i) {
@@ -167,9 +169,9 @@
   EXPECT_GE(secondsUntilServed(40), 0);
 }
 
-// A VM is stopped by its host, a new one is started under its name, and then
-// the host lets the old one go on: two processes under one name and address.
-TEST_P(OwnershipSizeTest, OldRunWakesBesideTheNewOne) {
+// The host pauses a VM, a new one starts under the same name, and then the old
+// one resumes: two processes have the same name and address.
+TEST_P(OwnershipSizeTest, OldIncarnationResumesBesideTheNewOne) {
   ASSERT_GE(secondsUntilServed(10), 0);
   Fleet->run(3 * Second);
   Fleet->pause(0);
@@ -192,9 +194,9 @@
                                       static_cast<int>(item.param.Loss * 100));
                          });
 
-// The daemons of a domain lose each other and the rest, one after the other,
-// stop and wake at random, and messages get lost. Whatever happens short of a
-// cut inside the domain, no server has two owners, and in the end all have one.
+// Daemons of a domain are paused, resumed, killed and replaced at random, with
+// message loss. Without a partition inside the domain, no server may ever have
+// two owners, and in the end each must have one.
 class OwnershipChaosTest : public OwnershipFleetTest,
                            public testing::WithParamInterface<uint64_t> {};
 
@@ -213,7 +215,7 @@
     if (paused) {
       Fleet->resume(i);
     } else if (random.below(3) == 0) {
-      // Half of the replaced ones linger and wake later.
+      // Half of the replaced daemons are only paused and resume later.
       bool lingers = random.below(2) == 0;
       lingers ? Fleet->pause(i) : Fleet->kill(i);
       latest[name] = Fleet->start(name, "bern-a");
--- a/UnitTests/Membership/OwnershipTrackerTest.cpp
+++ b/UnitTests/Membership/OwnershipTrackerTest.cpp
@@ -9,11 +9,11 @@
 const DomainId Domain("bern-a");
 const ServerId Server("booking-01");
 
-/// vm-1 and vm-2 with one server. The test plays vm-2.
+/// vm-1 and vm-2 with one server. The test acts as vm-2.
 class OwnershipTrackerTest : public testing::Test {
 protected:
   void SetUp() override {
-    // The test needs vm-1 to be first in rank; names decide that.
+    // Find a name for vm-1 that ranks first for the server.
     for (int i = 0; Self.Id.empty(); ++i) {
       VmId name("vm-" + std::to_string(i));
       MemberMap both{member(name), member(Other.Id)};
@@ -41,7 +41,7 @@
         list.push_back(*item);
     return list;
   }
-  /// The other daemon is there; gives our question to it.
+  /// Makes the other daemon known and returns the request sent to it.
   OwnershipHandOver meet() {
     auto sent = of<SendHandOver>(
         step(MembersChanged{{member(Self.Id), member(Other.Id)}}));
@@ -78,16 +78,16 @@
 }
 
 struct BadAnswer {
-  const char *Name;                   ///< Of the case.
-  void (*Spoil)(OwnershipHandOver &); ///< What is wrong with it.
+  const char *Name;                   ///< Name of the case.
+  void (*Spoil)(OwnershipHandOver &); ///< Makes the reply invalid.
 };
 
 class BadAnswerTest : public OwnershipTrackerTest,
                       public testing::WithParamInterface<BadAnswer> {};
 
-// An answer that doesn't belong to the present question, or comes from one who
-// holds other daemons for live, says nothing of who may dispatch now. Counting
-// it gives a server two owners.
+// A reply to an earlier request, or from a daemon with another view of the live
+// daemons, does not show who may dispatch now. Accepting it would give a server
+// two owners.
 TEST_P(BadAnswerTest, DoesNotCount) {
   OwnershipHandOver answer = answerTo(meet());
   GetParam().Spoil(answer);
@@ -106,9 +106,9 @@
                   [](auto &a) { a.TimeSinceDeadLease = Duration(0); }}),
     [](const auto &item) { return item.param.Name; });
 
-// The peer renewed the lease of a daemon that it holds for dead a second ago.
-// The server is ours only once that lease has ended for sure.
-TEST_F(OwnershipTrackerTest, WaitsForTheLeaseOfTheDead) {
+// The peer renewed the lease of a daemon one second ago that it now considers
+// dead. The server may be acquired only after that lease must have ended.
+TEST_F(OwnershipTrackerTest, WaitsForTheLeaseOfADeadDaemon) {
   OwnershipHandOver answer = answerTo(meet());
   answer.TimeSinceDeadLease = Second;
   step(HandOverReceived{answer});
@@ -120,8 +120,9 @@
   EXPECT_TRUE(Tracker->owns(Server));
 }
 
-// A planned move: the present owner serves on until it is asked last.
-TEST_F(OwnershipTrackerTest, HolderIsAskedAgainAsTheLast) {
+// Planned move: the current owner keeps the server until all others have
+// released it.
+TEST_F(OwnershipTrackerTest, HolderIsAskedAgainOnceAllOthersReleased) {
   OwnershipHandOver held = answerTo(meet());
   held.Servers.clear();
   held.Held = {Server};
@@ -133,8 +134,8 @@
   EXPECT_TRUE(sent[0].Message.AllOthersReleased);
 }
 
-// We own a server and a daemon asks for it that holds us for dead (or another
-// daemon, which may own it): its view is not ours, so it gets no release.
+// A daemon with another view of the live daemons requests a server. It may
+// consider the owner dead, so it must not get a release.
 TEST_F(OwnershipTrackerTest, ReleasesOnlyInAnEqualView) {
   OwnershipHandOver question = meet();
   step(HandOverReceived{answerTo(question)});
@@ -150,8 +151,9 @@
   EXPECT_TRUE(Tracker->owns(Server));
 }
 
-// We leave: the other daemon asks, hears that we hold the server, asks last,
-// and gets it once the daemon has stopped dispatching.
+// This daemon leaves. The other one requests the server, learns who holds it,
+// requests it again as the last, and must get it only after dispatching has
+// stopped.
 TEST_F(OwnershipTrackerTest, ReleasesAfterItHasStopped) {
   OwnershipHandOver question = meet();
   step(HandOverReceived{answerTo(question)});
@@ -179,7 +181,7 @@
   EXPECT_TRUE(released[0].Message.Servers[0].Owned);
 }
 
-TEST_F(OwnershipTrackerTest, ExpiryGivesEverythingBack) {
+TEST_F(OwnershipTrackerTest, ExpiryReleasesAllServers) {
   step(HandOverReceived{answerTo(meet())});
   auto actions = step(AuthorityExpired{});
   EXPECT_EQ(of<StopDispatching>(actions).size(), 1U);
--- a/UnitTests/Published/ExchangeSimulation.h
+++ b/UnitTests/Published/ExchangeSimulation.h
@@ -14,8 +14,9 @@
 
 namespace balsamrack {
 
-/// Exchanges of updates in one process under virtual time, a publishing service
-/// that fails as it is told to, and messages that can be cut.
+/// Simulates the state exchange of a fleet in one process under virtual time,
+/// with a publishing service that can fail and a network that can be
+/// partitioned.
 class ExchangeSimulation {
 public:
   enum class Source { Good, Refuses, Silent };
@@ -24,12 +25,12 @@
     std::unique_ptr<SeededRandom> Random;
     std::unique_ptr<StateExchange> Exchange;
     bool Running = true;
-    bool CutOff = false; ///< From all peers.
+    bool CutOff = false; ///< Partitioned from all peers.
     Source Reads = Source::Good;
     uint64_t Calls = 0;
-    uint64_t Watches = 0; ///< Those of Calls that are no first listing.
+    uint64_t Watches = 0; ///< Calls other than listings.
     uint64_t Messages = 0;
-    uint64_t BytesSent = 0; ///< Of messages, as encoded.
+    uint64_t BytesSent = 0; ///< Size of the encoded messages.
   };
 
   ExchangeSimulation(size_t domains, size_t perDomain, uint64_t seed)
@@ -46,12 +47,12 @@
     publish();
     restartAll();
   }
-  /// Starts node \p i anew, with nothing held.
+  /// Restarts node \p i without any state.
   void restart(size_t i) {
     startEmpty(i);
     updatePeers();
   }
-  /// Starts all nodes anew at once.
+  /// Restarts all nodes at once without any state.
   void restartAll() {
     for (size_t i = 0; i < Nodes.size(); ++i)
       startEmpty(i);
@@ -61,7 +62,7 @@
     Nodes[i].Running = false;
     updatePeers();
   }
-  /// Operators publish a new configuration.
+  /// Publishes a new operator configuration.
   void publish() {
     auto made = std::make_shared<OperatorConfiguration>();
     made->Version = ++Version;
@@ -82,7 +83,7 @@
     }
     answerWatches();
   }
-  /// A server publishes a change.
+  /// Publishes a change of a server.
   void changeServer(const std::string &id = "i-1") {
     auto made = std::make_shared<PublishedServer>();
     made->Server.Id = ServerId(id);
@@ -96,7 +97,7 @@
                    std::shared_ptr<const PublishedServer>(made)}}});
     answerWatches();
   }
-  /// Many servers publish their entries at once.
+  /// Publishes the entries of \p count servers at once.
   void addServers(size_t count) { addServers(0, count); }
   /// As above, servers \p first to \p last - 1.
   void addServers(size_t first, size_t last) {
@@ -119,7 +120,7 @@
     Truth.merge(all);
     answerWatches();
   }
-  /// Many entries are removed at once.
+  /// Removes the entries of servers \p first to \p last - 1 at once.
   void removeServers(size_t first, size_t last) {
     PublishedChanges all{PublishedSection::Servers, {Revisions}, {}, {}};
     for (size_t i = first; i < last; ++i) {
@@ -133,7 +134,7 @@
     Truth.merge(all);
     answerWatches();
   }
-  /// A server's entry is removed.
+  /// Removes the entry of a server.
   void removeServer(const std::string &id) {
     Revisions += 3;
     Truth.merge({PublishedSection::Servers,
@@ -142,7 +143,7 @@
                  {{PublishedSection::Servers, id, {Revisions}, {}}}});
     answerWatches();
   }
-  /// True when all running nodes hold the servers as published.
+  /// Returns whether all running nodes hold the published servers.
   bool allHoldServers() const {
     return std::all_of(Nodes.begin(), Nodes.end(), [this](const Node &it) {
       return !it.Running ||
@@ -184,15 +185,17 @@
   }
 
   std::vector<Node> Nodes;
-  /// Whether messages pass from one node to another; all do by default.
+  /// Returns whether messages pass from one node to another; by default all do.
   std::function<bool(const Node &, const Node &)> Reaches =
       [](const Node &, const Node &) { return true; };
-  bool HistoryDropped = false; ///< No watch can be answered any more.
-  Duration ListingAge{0};      ///< A listing that may be old is up to this old.
-  uint64_t ObjectsTold = 0;    ///< In updates, by all nodes.
-  uint64_t BytesSent = 0;      ///< Of messages, by all nodes, as encoded.
-  uint64_t LongestMessage = 0; ///< In bytes.
-  uint64_t RestlessTicks = 0;  ///< After which another one was due at once.
+  bool HistoryDropped =
+      false;                ///< The service fails every watch with kOutOfRange.
+  Duration ListingAge{0};   ///< Maximum age of a listing that may be stale.
+  uint64_t ObjectsTold = 0; ///< Objects in updates sent by all nodes.
+  uint64_t BytesSent = 0;   ///< Size of the encoded messages of all nodes.
+  uint64_t LongestMessage = 0; ///< Size in bytes.
+  uint64_t RestlessTicks =
+      0; ///< Ticks after which another one was due at once.
   uint64_t Version = 0;
   TimePoint Now{Duration(1'000'000)};
 
--- a/UnitTests/Published/PublishedStoreTest.cpp
+++ b/UnitTests/Published/PublishedStoreTest.cpp
@@ -30,7 +30,7 @@
   return all;
 }
 
-TEST(PublishedStoreTest, AListingSaysWhatExistsAndWhatIsGone) {
+TEST(PublishedStoreTest, ListingAddsAndDeletesObjects) {
   PublishedStore store;
   store.merge({Section, {}, {10}, {server("a", 3), server("b", 4)}});
   auto changed =
@@ -41,9 +41,10 @@
   EXPECT_EQ(store.completeRevision(Section), Revision{20});
 }
 
-// Story: a daemon that was cut off comes back and tells of a server that left
-// long ago. Its address belongs to another service by now.
-TEST(PublishedStoreTest, WhatIsLongGoneStaysAway) {
+// A daemon returns from a partition and sends a server that was deleted long
+// ago. Its address may belong to another service by now, so it must not be
+// restored.
+TEST(PublishedStoreTest, StaleListingDoesNotRestoreDeletedObjects) {
   PublishedStore fresh;
   fresh.merge({Section, {}, {20}, {server("b", 4)}});
   EXPECT_TRUE(fresh.merge({Section, {}, {10}, {server("a", 3), server("b", 4)}})
@@ -63,7 +64,7 @@
   EXPECT_EQ(held(store).count("a"), 0U);
 }
 
-TEST(PublishedStoreTest, ChangesAfterARevisionCarryWhatIsGone) {
+TEST(PublishedStoreTest, ChangesAfterARevisionIncludeDeletions) {
   PublishedStore store;
   store.merge({Section, {}, {10}, {server("a", 3), server("b", 4)}});
   store.merge({Section, {10}, {12}, {goneServer("a", 12)}});
@@ -74,12 +75,12 @@
   EXPECT_EQ(peer.completeRevision(Section), Revision{12});
 }
 
-// Story: operators drop a route. A machine that was cut off from the store
-// still holds it; another one has started since and has listed the store. The
-// first asks the second what it lacks. The second never knew the route and said
-// "nothing", so the first took itself for complete and went on serving the
-// dropped route.
-TEST(PublishedStoreTest, WhoHasOnlyListedTellsEverything) {
+// Operators drop a route while a daemon is partitioned from the store. Another
+// daemon, which started later from a listing, never knew the route. When the
+// first requests changes from it, the answer must be a full listing: with an
+// empty list of changes, the first one considered itself complete and kept
+// serving the dropped route.
+TEST(PublishedStoreTest, StoreWithOnlyAListingAnswersWithAFullListing) {
   PublishedStore cutOff;
   cutOff.merge({Section, {}, {10}, {server("a", 3), server("b", 4)}});
   PublishedStore fresh;
@@ -89,9 +90,10 @@
   EXPECT_EQ(cutOff.completeRevision(Section), Revision{20});
 }
 
-// Story: as above, but the two only compare their newest changes. What was
-// removed is none of the fresh one's changes, so both looked alike.
-TEST(PublishedStoreTest, AListingIsNotWhatWasHeldBefore) {
+// As above, but the daemons only compare their last changes. The deletion is
+// not among the changes of the daemon that started from a listing, so both must
+// not be taken for equal.
+TEST(PublishedStoreTest, NewerListingDoesNotCompleteAnOlderState) {
   PublishedStore cutOff;
   cutOff.merge({Section, {}, {4}, {server("a", 3)}});
   cutOff.merge({Section, {4}, {10}, {server("b", 5)}});
@@ -102,9 +104,9 @@
   EXPECT_EQ(cutOff.completeRevision(Section), Revision{10});
 }
 
-// Load: a daemon starts and lists the store; its peers lag behind its listing
-// by a moment. Nothing has changed in between, and they need not be sent
-// everything.
+// A daemon starts with a listing that is slightly newer than the state of its
+// peers, without any change in between. Guards against the load of sending
+// everything to the peers.
 TEST(PublishedStoreTest, TheSameObjectsCompleteWithoutATransfer) {
   PublishedStore store;
   store.merge({Section, {}, {10}, {server("a", 3), server("b", 4)}});
@@ -115,14 +117,13 @@
   EXPECT_TRUE(store.extendCompleteness(Section, fresh.lastChange(Section), {20},
                                        fresh.presentHash(Section)));
   EXPECT_EQ(store.completeRevision(Section), Revision{20});
-  // What came and went between 12 and 20 is not known, so it isn't told.
+  // Changes between 12 and 20 are unknown, so the answer is a full listing.
   EXPECT_EQ(store.changesAfter(Section, {15}).After, Revision{});
 }
 
-// Story: a daemon hears of many removals that lie beyond what it has
-// completely, so many that it forgets some. An older listing then brings one of
-// the removed servers back to it.
-TEST(PublishedStoreTest, WhatIsGoneBeyondAGapIsNotForgotten) {
+// A daemon receives more deletions beyond a gap than it keeps tombstones for.
+// If it dropped some of them, an older listing would restore a deleted server.
+TEST(PublishedStoreTest, TombstonesBeyondAGapAreKept) {
   PublishedStore store;
   store.merge({Section, {}, {10}, {server("a", 3)}});
   PublishedChanges far{Section, {2000}, {4000}, {goneServer("a", 2500)}};
@@ -136,7 +137,7 @@
   EXPECT_EQ(held(store).count("a"), 0U);
 }
 
-TEST(PublishedStoreTest, WhoLagsTooFarGetsEverything) {
+TEST(PublishedStoreTest, PeerThatLagsTooFarGetsAFullListing) {
   PublishedStore store;
   store.merge({Section, {}, {10}, {server("kept", 1)}});
   uint64_t at = 10;
@@ -158,13 +159,14 @@
   EXPECT_FALSE(store.extendCompleteness(Section, {11}, {30}, 0));
   EXPECT_EQ(store.completeRevision(Section), Revision{10});
   EXPECT_TRUE(store.extendCompleteness(Section, {3}, {20}, 0));
-  // A change that the listing at 10 has seen, such as a removal.
+  // A change that the listing at 10 covers, such as a deletion.
   EXPECT_TRUE(store.extendCompleteness(Section, {5}, {30}, 0));
   EXPECT_EQ(store.completeRevision(Section), Revision{30});
 }
 
-// Story: daemons hear of changes in any order, twice, in lists and in parts.
-// In the end all hold the same, and on the way none ever goes back.
+// Changes arrive in any order, repeatedly, in listings and in partial lists.
+// All daemons must end in the same state, and no object may return to an
+// earlier revision.
 TEST(PublishedStoreTest, AnyOrderOfUpdatesEndsTheSame) {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     SeededRandom random(seed);
@@ -201,7 +203,8 @@
   }
 }
 
-/// What \p asker gets from \p peer when it compares \p buckets of them.
+/// Returns the answer of \p peer to \p asker in a comparison by \p buckets
+/// buckets.
 PublishedChanges differences(const PublishedStore &asker,
                              const PublishedStore &peer, uint32_t buckets) {
   return peer.differencesFrom(Section, asker.bucketHashes(Section, buckets), 0,
@@ -210,9 +213,9 @@
 
 class EachBucketCount : public testing::TestWithParam<uint32_t> {};
 
-// Guards against a removed server that lives on at a daemon which learns the
-// state by buckets, and against one that is newer here and gets lost.
-TEST_P(EachBucketCount, DifferencesTellWhatIsNewAndWhatIsGone) {
+// Guards against a deleted server that remains at a daemon which updates by
+// buckets, and against the loss of a server that is newer there.
+TEST_P(EachBucketCount, DifferencesContainAdditionsAndDeletions) {
   PublishedStore peer;
   peer.merge({Section, {}, {20}, {server("b", 4), server("c", 15)}});
   PublishedStore asker;
@@ -224,9 +227,9 @@
   EXPECT_EQ(asker.completeRevision(Section), Revision{10});
 }
 
-// Guards against a daemon that starts, learns of all servers by buckets, and
-// never takes itself for complete.
-TEST_P(EachBucketCount, ADaemonThatHeldNothingIsCompletedByTheHash) {
+// Guards against a daemon that copies all servers by buckets after its start,
+// but never considers itself complete.
+TEST_P(EachBucketCount, EmptyStoreIsCompletedByTheHash) {
   PublishedStore peer;
   peer.merge({Section, {}, {20}, {server("b", 4), server("c", 15)}});
   PublishedStore starter;
@@ -235,12 +238,12 @@
   EXPECT_TRUE(starter.extendCompleteness(Section, peer.lastChange(Section),
                                          {20}, peer.presentHash(Section)));
   EXPECT_EQ(held(starter), held(peer));
-  // It does not know what came and went before.
+  // It does not know about earlier deletions.
   EXPECT_EQ(starter.historyFrom(Section), Revision{20});
 }
 
-// Guards against answers that never end, or leave something out, when each
-// holds only a part of what differs.
+// With a size limit, each answer holds only some of the differences. Guards
+// against a sequence of answers that never ends or omits objects.
 TEST_P(EachBucketCount, BoundedAnswersEndInTheSameState) {
   constexpr size_t Most = 5;
   for (uint64_t seed = 1; seed <= 30; ++seed) {
--- a/UnitTests/Published/StateExchangeLoadTest.cpp
+++ b/UnitTests/Published/StateExchangeLoadTest.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 constexpr Duration Second{1'000'000};
-/// What a daemon may send for control while servers are released.
+/// Maximum control traffic sent by a daemon during a rollout of servers.
 constexpr double ReleaseBytesPerSecond = 20'000;
-/// Longer messages hold up callers' packets on a link of 10 Mbit/s.
+/// Longer messages would delay callers' packets on a link of 10 Mbit/s.
 constexpr uint64_t LongestMessage = 65'536;
 
-/// A fleet, the servers before it, and how often a server changes.
+/// Size of a fleet and number of its servers.
 struct Fleet {
   const char *Name;
   size_t Domains;
@@ -21,9 +21,9 @@
 
 class EachFleet : public testing::TestWithParam<Fleet> {};
 
-// Guards against daemons that list at different revisions and then send each
-// other everything.
-TEST_P(EachFleet, AStartOfAllCostsLittleAndEndsInOneState) {
+// Guards against daemons that start with listings of different revisions and
+// then send each other everything.
+TEST_P(EachFleet, SimultaneousStartIsCheapAndConverges) {
   ExchangeSimulation fleet(GetParam().Domains, GetParam().PerDomain, 1);
   fleet.addServers(GetParam().Servers);
   fleet.ListingAge = Second * 2;
@@ -57,9 +57,9 @@
                            return std::string(info.param.Name);
                          });
 
-// Guards against a daemon that starts while the store turns it away, and whose
-// peers would each send it everything in one message.
-TEST(StateExchangeLoadTest, AStarterWithoutTheStoreCopiesTheStateOnce) {
+// A daemon starts while the store refuses its reads. Guards against all of its
+// peers sending it everything in one message.
+TEST(StateExchangeLoadTest, StartWithoutTheStoreCopiesTheStateOnce) {
   constexpr size_t Servers = 3000;
   ExchangeSimulation fleet(4, 8, 1);
   fleet.addServers(Servers);
@@ -74,9 +74,10 @@
   EXPECT_LE(fleet.LongestMessage, LongestMessage);
 }
 
-// Guards against a reader whose link fills for seconds, since it sends all that
-// a failure domain's servers have changed to each daemon of its own.
-TEST(StateExchangeLoadTest, ALostDomainsServersFillNobodysLink) {
+// All servers of a failure domain change. Guards against a reader whose link is
+// saturated for seconds since it sends all changes to each daemon of its own
+// domain.
+TEST(StateExchangeLoadTest, ChangesOfAWholeDomainSaturateNoLink) {
   constexpr size_t Servers = 3000, OfDomain = 750, Batch = 250;
   // A tenth of a link of 10 Mbit/s.
   constexpr double LinkBytesPerSecond = 125'000;
--- a/UnitTests/Published/StateExchangeTest.cpp
+++ b/UnitTests/Published/StateExchangeTest.cpp
@@ -6,22 +6,22 @@
 namespace {
 
 constexpr Duration Second{1'000'000};
-/// A change must be in force everywhere within this.
+/// Time within which a change must reach all daemons.
 constexpr Duration InForce{3'000'000};
 
 using Source = ExchangeSimulation::Source;
 
-/// Who can't do what while the change is made.
-struct Trouble {
+/// A failure that is present while the change is made.
+struct Failure {
   const char *Name;
   std::function<void(ExchangeSimulation &)> Begin;
 };
 
-class EachTrouble : public testing::TestWithParam<Trouble> {};
+class EachFailure : public testing::TestWithParam<Failure> {};
 
-// Story: operators drop a route while part of the fleet can't read what they
-// publish, or has just lost its reader. No daemon may go on with old routes.
-TEST_P(EachTrouble, AChangeIsInForceEverywhereInTime) {
+// Operators drop a route while part of the fleet cannot read the publishing
+// service, or has just lost its reader. No daemon may keep the old routes.
+TEST_P(EachFailure, AChangeIsInForceEverywhereInTime) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     ExchangeSimulation fleet(4, 2, seed);
     fleet.run(Second * 3);
@@ -35,50 +35,50 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Troubles, EachTrouble,
-    testing::Values(Trouble{"None", [](ExchangeSimulation &) {}},
-                    Trouble{"AThirdIsTurnedAway",
+    Failures, EachFailure,
+    testing::Values(Failure{"None", [](ExchangeSimulation &) {}},
+                    Failure{"AThirdIsRefused",
                             [](ExchangeSimulation &f) {
                               for (size_t i : {0, 3, 5})
                                 f.Nodes[i].Reads = Source::Refuses;
                             }},
-                    Trouble{"AThirdHearsNothing",
+                    Failure{"AThirdGetsNoAnswer",
                             [](ExchangeSimulation &f) {
                               for (size_t i : {1, 2, 7})
                                 f.Nodes[i].Reads = Source::Silent;
                             }},
-                    Trouble{"OnlyOneReads",
+                    Failure{"OnlyOneReads",
                             [](ExchangeSimulation &f) {
                               for (size_t i = 1; i < f.Nodes.size(); ++i)
                                 f.Nodes[i].Reads = Source::Refuses;
                             }},
-                    Trouble{"TheReadersDie",
+                    Failure{"TheReadersDie",
                             [](ExchangeSimulation &f) {
                               for (size_t i = 0; i < f.Nodes.size(); ++i)
                                 if (f.Nodes[i].Exchange->isRegularReader())
                                   f.kill(i);
                             }},
-                    Trouble{"TheReadersAreTurnedAway",
+                    Failure{"TheReadersAreRefused",
                             [](ExchangeSimulation &f) {
                               for (auto &node : f.Nodes)
                                 if (node.Exchange->isRegularReader())
                                   node.Reads = Source::Refuses;
                             }},
-                    Trouble{"TheReadersHearNothing",
+                    Failure{"TheReadersGetNoAnswer",
                             [](ExchangeSimulation &f) {
                               for (auto &node : f.Nodes)
                                 if (node.Exchange->isRegularReader())
                                   node.Reads = Source::Silent;
                             }},
-                    Trouble{"OneIsCutOffFromItsPeers",
+                    Failure{"OneIsCutOffFromItsPeers",
                             [](ExchangeSimulation &f) {
                               f.Nodes[0].CutOff = true;
                             }}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-// Story: a machine is replaced while the publishing service turns it away. It
-// learns all from its peers.
-TEST(StateExchangeTest, AFreshDaemonLearnsFromItsPeers) {
+// A daemon restarts while the publishing service refuses its reads. It must get
+// the state from its peers.
+TEST(StateExchangeTest, RestartedDaemonCopiesStateFromItsPeers) {
   ExchangeSimulation fleet(2, 2, 1);
   fleet.run(Second * 3);
   fleet.Nodes[0].Reads = Source::Refuses;
@@ -87,8 +87,8 @@
   EXPECT_EQ(fleet.versionAt(0), 1U);
 }
 
-// Load: a release replaces servers, ten changes a second. Each reader would
-// come back for each of them, at the price of a call.
+// A rollout replaces servers with ten changes per second. Guards against
+// readers that call the service once for each change.
 TEST(StateExchangeTest, ManyChangesOfServersCostFewReads) {
   ExchangeSimulation fleet(5, 4, 1);
   fleet.run(Second * 4);
@@ -101,14 +101,15 @@
   uint64_t calls = 0;
   for (const auto &node : fleet.Nodes)
     calls += node.Calls;
-  // Five readers: two reads a second of servers, half a one of operators.
+  // Bound for five readers, with two reads of servers and half a read of
+  // operators per second.
   EXPECT_LE(calls, 5U * 5 * 3);
 }
 
-// Load: 85 daemons start together, and then one a second is replaced. Each
-// lists the service by itself; told to all, each listing would cost its domain
-// and some others a copy of everything, which grows with the fleet and with
-// what is published.
+// 85 daemons start together, and then one per second is restarted. Each lists
+// the service by itself. Guards against broadcasts of these listings, which
+// would send a copy of everything to its domain and to some other daemons; that
+// load grows with the fleet and with the published state.
 TEST(StateExchangeTest, StartsCostFewCopiesOfEverything) {
   ExchangeSimulation fleet(5, 17, 1);
   fleet.run(Second * 5);
@@ -121,8 +122,7 @@
   EXPECT_LE(fleet.ObjectsTold, fleet.Nodes.size() / 2);
 }
 
-/// Reads of the service a second and messages a second, a daemon, in calm
-/// times.
+/// Limits on reads and messages per second and daemon, without changes.
 struct Size {
   const char *Name;
   size_t Domains;
@@ -133,8 +133,8 @@
 
 class EachSize : public testing::TestWithParam<Size> {};
 
-// Load: the fleet grows, the store's rate does not.
-TEST_P(EachSize, CostsADaemonTheSame) {
+// The load per daemon must not grow with the fleet.
+TEST_P(EachSize, LoadPerDaemonIsBounded) {
   ExchangeSimulation fleet(GetParam().Domains, GetParam().PerDomain, 1);
   fleet.run(Second * 5);
   uint64_t calls = 0, messages = 0;
@@ -162,7 +162,7 @@
                            return std::string(info.param.Name);
                          });
 
-/// Calls of all daemons of a fleet in calm times.
+/// Returns the calls of all daemons of a fleet in 20 s without changes.
 uint64_t callsOfFleet(size_t domains, size_t perDomain) {
   ExchangeSimulation fleet(domains, perDomain, 1);
   fleet.run(Second * 8);
@@ -175,15 +175,15 @@
   return calls;
 }
 
-// Guards against a load of the publishing service that grows with the daemons
-// or with their failure domains.
+// Guards against a load on the publishing service that grows with the number of
+// daemons or failure domains.
 TEST(StateExchangeTest, AFleetOfHundredsReadsAsOftenAsASmallOne) {
   EXPECT_LE(callsOfFleet(6, 49), 2 * callsOfFleet(3, 3));
 }
 
-// Guards against a fleet that starts as a whole, in which each daemon takes
-// itself for the reader until it knows the others.
-TEST(StateExchangeTest, AStartOfAllCostsFewWatches) {
+// When a whole fleet starts, each daemon could act as a reader until it knows
+// its peers. Guards against the resulting number of watches.
+TEST(StateExchangeTest, SimultaneousStartCostsFewWatches) {
   ExchangeSimulation fleet(6, 49, 1);
   fleet.run(Second * 3);
   uint64_t watches = 0;
@@ -192,7 +192,7 @@
   EXPECT_LE(watches, fleet.Nodes.size() / 4);
 }
 
-/// Which messages do not pass.
+/// A partition.
 struct Cut {
   const char *Name;
   std::function<bool(const ExchangeSimulation::Node &,
@@ -202,8 +202,8 @@
 
 class EachCut : public testing::TestWithParam<Cut> {};
 
-// Guards against a failure domain that keeps old routes after a cut, although
-// the publishing service still answers it.
+// Guards against a failure domain that keeps old routes during a partition
+// although it can still reach the publishing service.
 TEST_P(EachCut, AChangeIsInForceOnAllSides) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     ExchangeSimulation fleet(6, 4, seed);
@@ -245,16 +245,16 @@
                         }}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-/// Which daemons of a fleet the service answers.
+/// An outage of the publishing service.
 struct Outage {
   const char *Name;
-  bool All; ///< It answers nobody; else it turns the regular readers away.
+  bool All; ///< True: it refuses all daemons; false: only the regular readers.
 };
 
 class EachOutage : public testing::TestWithParam<Outage> {};
 
-/// Calls of all daemons of a fleet in an outage of eight seconds and a release
-/// of ten after it.
+/// Returns the calls of all daemons of a fleet during an outage of eight
+/// seconds and a rollout of ten seconds after it.
 uint64_t callsInOutage(size_t domains, size_t perDomain, bool ofAll) {
   ExchangeSimulation fleet(domains, perDomain, 1);
   fleet.run(Second * 8);
@@ -276,9 +276,9 @@
   return calls;
 }
 
-// Guards against a service that is away and is asked by every daemon of the
-// fleet, and against daemons that go on reading after it is back, kept in step
-// by a release whose changes wake all of them at once.
+// Guards against all daemons calling an unavailable service, and against
+// daemons that keep reading after it has recovered, synchronized by a rollout
+// whose changes wake all of them at once.
 TEST_P(EachOutage, CostsAFleetOfHundredsAsFewCallsAsASmallOne) {
   uint64_t large = callsInOutage(6, 49, GetParam().All);
   uint64_t small = callsInOutage(3, 3, GetParam().All);
@@ -292,11 +292,12 @@
                            return std::string(info.param.Name);
                          });
 
-// Guards against a service that drops its history in a release: each listing
-// that takes the place of a watch went to the whole fleet as it was.
-TEST(StateExchangeTest, AListingAfterALostHistoryTellsWhatChanged) {
+// The service drops its history during a rollout, so that listings replace
+// watches. Guards against sending each full listing to the whole fleet.
+TEST(StateExchangeTest, ListingAfterALostHistorySendsOnlyChanges) {
   constexpr int Servers = 200, Changes = 8;
-  // Two readers, each to two relays of a domain, and twice for answers.
+  // Two readers, each with two relays per domain, and a factor of two for
+  // answers.
   constexpr size_t CopiesOfAll = 8;
   ExchangeSimulation fleet(4, 8, 1);
   for (int i = 0; i < Servers; ++i)
@@ -317,7 +318,7 @@
                   PublishedSection::Servers));
 }
 
-/// How the service behaves while daemons start.
+/// Behaviour of the service while daemons start.
 struct Start {
   const char *Name;
   Source Reads;
@@ -325,9 +326,9 @@
 
 class EachStart : public testing::TestWithParam<Start> {};
 
-// Guards against daemons that spin while they wait: for the service to come
-// back, or to know who else is there.
-TEST_P(EachStart, ADaemonRests) {
+// Guards against daemons that busy-wait for the service to recover or for their
+// peers to become known.
+TEST_P(EachStart, DaemonDoesNotBusyWait) {
   ExchangeSimulation fleet(2, 2, 1);
   for (size_t i = 0; i < fleet.Nodes.size(); ++i) {
     fleet.Nodes[i].Reads = GetParam().Reads;
