--- a/Balsamrack/Membership/OwnershipTracker.cpp
+++ b/Balsamrack/Membership/OwnershipTracker.cpp
@@ -419,13 +419,13 @@
 }
 
 OwnershipHandOver OwnershipTracker::message(uint64_t sequence) const {
-  OwnershipHandOver text;
-  text.From = Self.Id;
-  text.Run = Run;
-  text.Sequence = sequence;
-  text.LiveHash = LiveHash;
-  text.TimeSinceDeadLease = timeSinceDeadLease();
-  return text;
+  OwnershipHandOver handOver;
+  handOver.From = Self.Id;
+  handOver.Run = Run;
+  handOver.Sequence = sequence;
+  handOver.LiveHash = LiveHash;
+  handOver.TimeSinceDeadLease = timeSinceDeadLease();
+  return handOver;
 }
 
 bool OwnershipTracker::owns(const ServerId &server) const {
--- a/Balsamrack/Membership/SwimMembership.cpp
+++ b/Balsamrack/Membership/SwimMembership.cpp
@@ -381,12 +381,12 @@
   // of its own.
   auto ofDomain = [this](const MemberView &m) { return isDomainPeer(m); };
   auto anyone = [this](const MemberView &m) { return isPeer(m); };
-  auto told =
+  auto receivers =
       pickRandom(Table.all(), ofDomain, Settings.IndirectProbes, Random);
   for (const EntryVm &vm :
        pickRandom(Table.all(), anyone, Settings.IndirectProbes, Random))
-    told.push_back(vm);
-  for (const EntryVm &vm : told)
+    receivers.push_back(vm);
+  for (const EntryVm &vm : receivers)
     send(vm,
          Ping{++LastSequence, Table.self(), Composer.compose(Table.all(), vm)});
 }
--- a/UnitTests/Membership/FleetSimulation.cpp
+++ b/UnitTests/Membership/FleetSimulation.cpp
@@ -42,9 +42,9 @@
   step(i, OwnershipEvent(ListedPeers{Nodes[i]->Members->listedDomainPeers()}));
   step(i, OwnershipEvent(DomainServersChanged{Nodes[i]->Servers}));
   // Spread the ticks of different daemons.
-  at(Now + Duration(static_cast<int64_t>(Random.below(
-               static_cast<uint64_t>(SimulationOptions.Tick.count())))),
-     [this, i] { tick(i); });
+  schedule(Now + Duration(static_cast<int64_t>(Random.below(
+                     static_cast<uint64_t>(SimulationOptions.Tick.count())))),
+           [this, i] { tick(i); });
   return i;
 }
 
@@ -83,8 +83,8 @@
   step(i, MembershipEvent(MembershipLeaving{}));
 }
 
-void FleetSimulation::at(TimePoint when, std::function<void()> what) {
-  Events.push({when, ++Turns, std::move(what)});
+void FleetSimulation::schedule(TimePoint when, std::function<void()> what) {
+  Events.push({when, ++LastTurn, std::move(what)});
 }
 
 void FleetSimulation::run(Duration span) {
@@ -125,7 +125,7 @@
   TimePoint next = Now + SimulationOptions.Tick;
   if (auto due = node.Members->nextWakeup(); due && *due > Now)
     next = std::min(next, *due);
-  at(next, [this, i] { tick(i); });
+  schedule(next, [this, i] { tick(i); });
 }
 
 void FleetSimulation::post(size_t from, const EntryVm &to,
@@ -143,17 +143,17 @@
   // Replies use the connection of the request.
   auto reply = ReplyTo.find(to.Id);
   size_t receiver = reply != ReplyTo.end() ? reply->second : it->second;
-  at(Now + SimulationOptions.Latency,
-     [this, receiver, from, message = std::move(message)] {
-       Node &there = *Nodes[receiver];
-       auto handle = [this, receiver, from, message] {
-         deliver(receiver, from, message);
-       };
-       if (there.Running && there.Paused)
-         there.Inbox.push_back(handle);
-       else if (there.Running)
-         handle();
-     });
+  schedule(Now + SimulationOptions.Latency,
+           [this, receiver, from, message = std::move(message)] {
+             Node &there = *Nodes[receiver];
+             auto handle = [this, receiver, from, message] {
+               deliver(receiver, from, message);
+             };
+             if (there.Running && there.Paused)
+               there.Inbox.push_back(handle);
+             else if (there.Running)
+               handle();
+           });
 }
 
 void FleetSimulation::deliver(size_t to, size_t sender,
@@ -188,7 +188,7 @@
 
 void FleetSimulation::step(size_t i, const MembershipEvent &event) {
   for (const auto &action : Nodes[i]->Members->step(Now, event))
-    act(i, action);
+    perform(i, action);
   // Publish once per step, since the first answer to a starting daemon carries
   // the records of a whole domain.
   if (std::exchange(Nodes[i]->MembersChangePending, false))
@@ -197,7 +197,7 @@
 
 void FleetSimulation::step(size_t i, const OwnershipEvent &event) {
   for (const auto &action : Nodes[i]->Tracker->step(Now, event))
-    act(i, action);
+    perform(i, action);
 }
 
 void FleetSimulation::publishMembers(size_t i) {
@@ -206,7 +206,7 @@
   step(i, OwnershipEvent(MembersChanged{node.Members->members()}));
 }
 
-void FleetSimulation::act(size_t i, const MembershipAction &action) {
+void FleetSimulation::perform(size_t i, const MembershipAction &action) {
   Node &node = *Nodes[i];
   if (const auto *send = std::get_if<SendTo>(&action)) {
     std::visit([&](const auto &m) { post(i, send->To, m); }, send->Content);
@@ -227,11 +227,11 @@
   }
 }
 
-void FleetSimulation::act(size_t i, const OwnershipAction &action) {
+void FleetSimulation::perform(size_t i, const OwnershipAction &action) {
   if (const auto *send = std::get_if<SendHandOver>(&action)) {
     post(i, send->To, send->Message);
   } else if (const auto *gain = std::get_if<ServerAcquired>(&action)) {
-    Nodes[i]->Gains.push_back(*gain);
+    Nodes[i]->Acquired.push_back(*gain);
   } else if (const auto *lose = std::get_if<StopDispatching>(&action)) {
     HandedOverServer server;
     server.Condition.Server = lose->Server;
--- a/UnitTests/Membership/FleetSimulation.h
+++ b/UnitTests/Membership/FleetSimulation.h
@@ -46,10 +46,10 @@
         Inbox; ///< Messages received while paused.
     bool MembersChangePending =
         false; ///< Change not yet passed to the tracker.
-    std::vector<ServerAcquired> Gains; ///< All servers acquired.
-    std::vector<MemberRecord> Changes; ///< All member changes.
-    uint64_t SentMessages = 0;         ///< Since the start.
-    uint64_t SentBytes = 0;            ///< By SizeOf.
+    std::vector<ServerAcquired> Acquired; ///< All servers acquired.
+    std::vector<MemberRecord> Changes;    ///< All member changes.
+    uint64_t SentMessages = 0;            ///< Since the start.
+    uint64_t SentBytes = 0;               ///< By SizeOf.
     std::map<int64_t, uint64_t>
         BytesOfSecond; ///< Bytes sent in each virtual second.
   };
@@ -110,21 +110,21 @@
       return a.At != b.At ? a.At > b.At : a.Turn > b.Turn;
     }
   };
-  void at(TimePoint when, std::function<void()> what);
+  void schedule(TimePoint when, std::function<void()> what);
   void tick(size_t i);
   void post(size_t from, const EntryVm &to, PeerMessage message);
   void deliver(size_t to, size_t from, const PeerMessage &message);
   void step(size_t i, const MembershipEvent &event);
   void step(size_t i, const OwnershipEvent &event);
-  void act(size_t i, const MembershipAction &action);
-  void act(size_t i, const OwnershipAction &action);
+  void perform(size_t i, const MembershipAction &action);
+  void perform(size_t i, const OwnershipAction &action);
   void mergeInto(size_t i, const std::vector<ObjectState> &objects);
   void publishMembers(size_t i);
 
   const Options SimulationOptions;          ///< Parameters.
   SeededRandom Random;                      ///< Source of message loss.
   TimePoint Now{Duration(1'000'000)};       ///< Virtual time.
-  uint64_t Turns = 0;                       ///< Number of events.
+  uint64_t LastTurn = 0;                    ///< Number of events.
   uint64_t LastRun = 0;                     ///< Last incarnation assigned.
   std::priority_queue<Event> Events;        ///< Pending events.
   std::vector<std::unique_ptr<Node>> Nodes; ///< All daemons.
--- a/UnitTests/Membership/OwnershipFenceTest.cpp
+++ b/UnitTests/Membership/OwnershipFenceTest.cpp
@@ -24,7 +24,7 @@
       Fence->renewLease(Peer, Now, Now);
     }
   }
-  bool may() const { return Fence->mayDispatch(Now); }
+  bool mayDispatch() const { return Fence->mayDispatch(Now); }
 
   MembershipSettings Settings;           ///< Defaults.
   TimePoint Now{Second};                 ///< Virtual time.
@@ -34,7 +34,7 @@
 TEST_F(OwnershipFenceTest, HoldsWhilePeersRenew) {
   Fence->setPeers({Peer}, Now);
   tickAndHearFor(60 * Second);
-  EXPECT_TRUE(may());
+  EXPECT_TRUE(mayDispatch());
   EXPECT_EQ(Fence->expiries(), 0U);
 }
 
@@ -46,18 +46,18 @@
   tickAndHearFor(Second);
   TimePoint last = Now - Duration(50'000);
   Now = last + Settings.LeaseTime - Duration(1);
-  EXPECT_TRUE(may());
+  EXPECT_TRUE(mayDispatch());
   Now = last + Settings.LeaseTime;
-  EXPECT_FALSE(may());
+  EXPECT_FALSE(mayDispatch());
 }
 
 // The process is stopped for an hour, and tries to dispatch after it resumes,
 // before its tick runs and before it reads any message.
 TEST_F(OwnershipFenceTest, PauseIsSeenBeforeTheNextTick) {
   tickFor(10 * Second);
-  EXPECT_TRUE(may());
+  EXPECT_TRUE(mayDispatch());
   Now += 3600 * Second;
-  EXPECT_FALSE(may());
+  EXPECT_FALSE(mayDispatch());
 }
 
 // After a pause, the daemon reads the answer to a probe that was sent before
@@ -74,9 +74,9 @@
   Now += Duration(10'000);
   Fence->renewLease(Peer, sent, Now);
   EXPECT_EQ(Fence->state(Now), AuthorityState::Renewed);
-  EXPECT_FALSE(may());
+  EXPECT_FALSE(mayDispatch());
   Fence->restart(Fence->expiries(), Now);
-  EXPECT_TRUE(may());
+  EXPECT_TRUE(mayDispatch());
 }
 
 // Ownership is given up for one expiry when the next one has already begun: the
@@ -92,7 +92,7 @@
   Fence->renewLease(Peer, Now, Now);
   EXPECT_GT(Fence->expiries(), expiry);
   Fence->restart(expiry, Now);
-  EXPECT_FALSE(may());
+  EXPECT_FALSE(mayDispatch());
 }
 
 // The only daemon of a domain is paused. Another one that it does not know yet
@@ -115,7 +115,7 @@
   tickFor(Settings.LeaseTime - Duration(200'000));
   Fence->setPeers({}, Now);
   tickFor(10 * Second);
-  EXPECT_TRUE(may());
+  EXPECT_TRUE(mayDispatch());
   EXPECT_EQ(Fence->expiries(), 0U);
 }
 
--- a/UnitTests/Membership/OwnershipFleetTest.cpp
+++ b/UnitTests/Membership/OwnershipFleetTest.cpp
@@ -150,7 +150,7 @@
   EXPECT_LE(unserved.count(), GetParam().Loss > 0 ? 1'000'000 : 60'000);
   bool handedOver = false;
   for (const auto &node : Fleet->nodes())
-    for (const ServerAcquired &gain : node->Gains)
+    for (const ServerAcquired &gain : node->Acquired)
       handedOver = handedOver || gain.Kind == AcquisitionKind::HandedOver;
   EXPECT_TRUE(handedOver);
 }
--- a/UnitTests/Membership/OwnershipTrackerTest.cpp
+++ b/UnitTests/Membership/OwnershipTrackerTest.cpp
@@ -42,13 +42,13 @@
     return list;
   }
   /// Makes the other daemon known and returns the request sent to it.
-  OwnershipHandOver meet() {
+  OwnershipHandOver addPeer() {
     auto sent = of<SendHandOver>(
         step(MembersChanged{{member(Self.Id), member(Other.Id)}}));
     EXPECT_EQ(sent.size(), 1U);
     return sent.empty() ? OwnershipHandOver() : sent[0].Message;
   }
-  OwnershipHandOver answerTo(const OwnershipHandOver &question) const {
+  OwnershipHandOver replyTo(const OwnershipHandOver &question) const {
     OwnershipHandOver answer;
     answer.From = Other.Id;
     answer.Run = {1};
@@ -69,17 +69,17 @@
 };
 
 TEST_F(OwnershipTrackerTest, OwnsOnceThePeerReleased) {
-  OwnershipHandOver question = meet();
+  OwnershipHandOver question = addPeer();
   ASSERT_EQ(question.Wanted.size(), 1U);
   EXPECT_FALSE(Tracker->owns(Server));
-  auto gains = of<ServerAcquired>(step(HandOverReceived{answerTo(question)}));
+  auto gains = of<ServerAcquired>(step(HandOverReceived{replyTo(question)}));
   ASSERT_EQ(gains.size(), 1U);
   EXPECT_EQ(gains[0].Kind, AcquisitionKind::FirstOwner);
 }
 
 struct BadAnswer {
-  const char *Name;                   ///< Name of the case.
-  void (*Spoil)(OwnershipHandOver &); ///< Makes the reply invalid.
+  const char *Name;                     ///< Name of the case.
+  void (*Corrupt)(OwnershipHandOver &); ///< Makes the reply invalid.
 };
 
 class BadAnswerTest : public OwnershipTrackerTest,
@@ -89,8 +89,8 @@
 // daemons, does not show who may dispatch now. Accepting it would give a server
 // two owners.
 TEST_P(BadAnswerTest, DoesNotCount) {
-  OwnershipHandOver answer = answerTo(meet());
-  GetParam().Spoil(answer);
+  OwnershipHandOver answer = replyTo(addPeer());
+  GetParam().Corrupt(answer);
   step(HandOverReceived{answer});
   EXPECT_FALSE(Tracker->owns(Server));
 }
@@ -109,7 +109,7 @@
 // The peer renewed the lease of a daemon one second ago that it now considers
 // dead. The server may be acquired only after that lease must have ended.
 TEST_F(OwnershipTrackerTest, WaitsForTheLeaseOfADeadDaemon) {
-  OwnershipHandOver answer = answerTo(meet());
+  OwnershipHandOver answer = replyTo(addPeer());
   answer.TimeSinceDeadLease = Second;
   step(HandOverReceived{answer});
   Now += Settings.takeoverWait() - Second - Duration(1);
@@ -123,7 +123,7 @@
 // Planned move: the current owner keeps the server until all others have
 // released it.
 TEST_F(OwnershipTrackerTest, HolderIsAskedAgainOnceAllOthersReleased) {
-  OwnershipHandOver held = answerTo(meet());
+  OwnershipHandOver held = replyTo(addPeer());
   held.Servers.clear();
   held.Held = {Server};
   step(HandOverReceived{held});
@@ -137,8 +137,8 @@
 // A daemon with another view of the live daemons requests a server. It may
 // consider the owner dead, so it must not get a release.
 TEST_F(OwnershipTrackerTest, ReleasesOnlyInAnEqualView) {
-  OwnershipHandOver question = meet();
-  step(HandOverReceived{answerTo(question)});
+  OwnershipHandOver question = addPeer();
+  step(HandOverReceived{replyTo(question)});
   ASSERT_TRUE(Tracker->owns(Server));
   OwnershipHandOver theirs = question;
   theirs.From = Other.Id;
@@ -155,8 +155,8 @@
 // requests it again as the last, and must get it only after dispatching has
 // stopped.
 TEST_F(OwnershipTrackerTest, ReleasesAfterItHasStopped) {
-  OwnershipHandOver question = meet();
-  step(HandOverReceived{answerTo(question)});
+  OwnershipHandOver question = addPeer();
+  step(HandOverReceived{replyTo(question)});
   MemberMap leaving{member(Self.Id), member(Other.Id)};
   leaving.at(Self.Id).Record.Vm.Leaving = true;
   step(MembersChanged{leaving});
@@ -182,7 +182,7 @@
 }
 
 TEST_F(OwnershipTrackerTest, ExpiryReleasesAllServers) {
-  step(HandOverReceived{answerTo(meet())});
+  step(HandOverReceived{replyTo(addPeer())});
   auto actions = step(AuthorityExpired{});
   EXPECT_EQ(of<StopDispatching>(actions).size(), 1U);
   EXPECT_FALSE(Tracker->owns(Server));
--- a/UnitTests/Published/ExchangeSimulation.h
+++ b/UnitTests/Published/ExchangeSimulation.h
@@ -67,19 +67,20 @@
     auto made = std::make_shared<OperatorConfiguration>();
     made->Version = ++Version;
     Revisions += 3;
-    Truth.merge({PublishedSection::Operators,
-                 {Revisions - 3},
-                 {Revisions},
-                 {{PublishedSection::Operators,
-                   "config",
-                   {Revisions},
-                   std::shared_ptr<const OperatorConfiguration>(made)}}});
+    ServiceState.merge(
+        {PublishedSection::Operators,
+         {Revisions - 3},
+         {Revisions},
+         {{PublishedSection::Operators,
+           "config",
+           {Revisions},
+           std::shared_ptr<const OperatorConfiguration>(made)}}});
     if (Version == 1) {
-      Truth.merge({PublishedSection::Operators,
-                   {},
-                   {Revisions},
-                   Truth.objects(PublishedSection::Operators)});
-      Truth.merge({PublishedSection::Servers, {}, {Revisions}, {}});
+      ServiceState.merge({PublishedSection::Operators,
+                          {},
+                          {Revisions},
+                          ServiceState.objects(PublishedSection::Operators)});
+      ServiceState.merge({PublishedSection::Servers, {}, {Revisions}, {}});
     }
     answerWatches();
   }
@@ -88,13 +89,13 @@
     auto made = std::make_shared<PublishedServer>();
     made->Server.Id = ServerId(id);
     Revisions += 3;
-    Truth.merge({PublishedSection::Servers,
-                 {Revisions - 3},
-                 {Revisions},
-                 {{PublishedSection::Servers,
-                   id,
-                   {Revisions},
-                   std::shared_ptr<const PublishedServer>(made)}}});
+    ServiceState.merge({PublishedSection::Servers,
+                        {Revisions - 3},
+                        {Revisions},
+                        {{PublishedSection::Servers,
+                          id,
+                          {Revisions},
+                          std::shared_ptr<const PublishedServer>(made)}}});
     answerWatches();
   }
   /// Publishes the entries of \p count servers at once.
@@ -117,7 +118,7 @@
                              std::shared_ptr<const PublishedServer>(made)});
     }
     all.UpTo = {Revisions};
-    Truth.merge(all);
+    ServiceState.merge(all);
     answerWatches();
   }
   /// Removes the entries of servers \p first to \p last - 1 at once.
@@ -131,16 +132,16 @@
                              {}});
     }
     all.UpTo = {Revisions};
-    Truth.merge(all);
+    ServiceState.merge(all);
     answerWatches();
   }
   /// Removes the entry of a server.
   void removeServer(const std::string &id) {
     Revisions += 3;
-    Truth.merge({PublishedSection::Servers,
-                 {Revisions - 3},
-                 {Revisions},
-                 {{PublishedSection::Servers, id, {Revisions}, {}}}});
+    ServiceState.merge({PublishedSection::Servers,
+                        {Revisions - 3},
+                        {Revisions},
+                        {{PublishedSection::Servers, id, {Revisions}, {}}}});
     answerWatches();
   }
   /// Returns whether all running nodes hold the published servers.
@@ -150,7 +151,7 @@
              (it.Exchange->store().completeRevision(
                   PublishedSection::Servers) != Revision{} &&
               it.Exchange->store().presentHash(PublishedSection::Servers) ==
-                  Truth.presentHash(PublishedSection::Servers));
+                  ServiceState.presentHash(PublishedSection::Servers));
     });
   }
   void run(Duration span) {
@@ -163,8 +164,8 @@
       }
       for (size_t i = 0; i < Nodes.size(); ++i)
         if (Nodes[i].Running && Now >= Nodes[i].Exchange->nextWakeup()) {
-          act(i, Nodes[i].Exchange->tick(Now));
-          RestlessTicks += Nodes[i].Exchange->nextWakeup() <= Now ? 1 : 0;
+          perform(i, Nodes[i].Exchange->tick(Now));
+          BusyTicks += Nodes[i].Exchange->nextWakeup() <= Now ? 1 : 0;
         }
     }
   }
@@ -191,11 +192,10 @@
   bool HistoryDropped =
       false;                ///< The service fails every watch with kOutOfRange.
   Duration ListingAge{0};   ///< Maximum age of a listing that may be stale.
-  uint64_t ObjectsTold = 0; ///< Objects in updates sent by all nodes.
+  uint64_t ObjectsSent = 0; ///< Objects in updates sent by all nodes.
   uint64_t BytesSent = 0;   ///< Size of the encoded messages of all nodes.
   uint64_t LongestMessage = 0; ///< Size in bytes.
-  uint64_t RestlessTicks =
-      0; ///< Ticks after which another one was due at once.
+  uint64_t BusyTicks = 0; ///< Ticks after which another one was due at once.
   uint64_t Version = 0;
   TimePoint Now{Duration(1'000'000)};
 
@@ -210,7 +210,7 @@
   };
   struct Watch {
     size_t Node;
-    uint64_t Life;
+    uint64_t Restart;
     PublishedRead Read;
     bool Open = true;
   };
@@ -220,22 +220,22 @@
     node.Random = std::make_unique<SeededRandom>(Random.next());
     node.Exchange = std::make_unique<StateExchange>(StateExchangeSettings(),
                                                     node.Vm, *node.Random);
-    ++Lives;
+    ++LastRestart;
   }
   void takeSnapshot() {
     if (ListingAge == Duration{0} || Now < NextSnapshot)
       return;
     NextSnapshot = Now + SnapshotPeriod;
-    Snapshots.emplace_back(Now, Truth);
+    Snapshots.emplace_back(Now, ServiceState);
     while (Snapshots.front().first + ListingAge < Now)
       Snapshots.pop_front();
   }
   const PublishedStore &listed(const PublishedRead &read) {
     return read.AllowStale && !Snapshots.empty()
                ? Snapshots[Random.below(Snapshots.size())].second
-               : Truth;
+               : ServiceState;
   }
-  void after(Duration wait, std::function<void()> what) {
+  void schedule(Duration wait, std::function<void()> what) {
     Events.push({Now + wait, ++Orders, std::move(what)});
   }
   void updatePeers() {
@@ -254,14 +254,14 @@
       ++i;
     return i;
   }
-  void act(size_t i, const std::vector<StateExchangeAction> &actions) {
+  void perform(size_t i, const std::vector<StateExchangeAction> &actions) {
     for (const StateExchangeAction &action : actions) {
       if (const auto *send = std::get_if<SendStateMessage>(&action)) {
         countBytes(i, *send);
         for (const EntryVm &to : send->To)
           deliver(i, to, *send);
       } else if (const auto *read = std::get_if<StartRead>(&action))
-        begin(i, read->Read);
+        startRead(i, read->Read);
     }
   }
   void countBytes(size_t from, const SendStateMessage &send) {
@@ -276,57 +276,61 @@
     ++Nodes[from].Messages;
     if (const auto *update = std::get_if<PublishedUpdate>(&send.Message))
       for (const PublishedChanges &it : update->Changes)
-        ObjectsTold += it.Objects.size();
+        ObjectsSent += it.Objects.size();
     size_t to = indexOf(peer.Id);
     SendStateMessage copy{{}, send.Message};
-    after(Duration(2'000), [this, from, to, copy] {
+    schedule(Duration(2'000), [this, from, to, copy] {
       if (!Nodes[to].Running || Nodes[from].CutOff || Nodes[to].CutOff ||
           !Reaches(Nodes[from], Nodes[to]))
         return;
       StateExchange &at = *Nodes[to].Exchange;
       const EntryVm &sender = Nodes[from].Vm;
       if (const auto *offer = std::get_if<PublishedDigest>(&copy.Message))
-        act(to, at.handleDigest(Now, sender, *offer));
+        perform(to, at.handleDigest(Now, sender, *offer));
       else if (const auto *request =
                    std::get_if<PublishedRequest>(&copy.Message))
-        act(to, at.handleRequest(Now, sender, *request));
+        perform(to, at.handleRequest(Now, sender, *request));
       else if (const auto *update = std::get_if<PublishedUpdate>(&copy.Message))
-        act(to, at.handleUpdate(Now, sender, *update));
+        perform(to, at.handleUpdate(Now, sender, *update));
     });
   }
-  void begin(size_t i, const PublishedRead &read) {
+  void startRead(size_t i, const PublishedRead &read) {
     ++Nodes[i].Calls;
     Nodes[i].Watches += read.After == Revision{} ? 0 : 1;
-    auto watch = std::make_shared<Watch>(Watch{i, Lives, read});
+    auto watch = std::make_shared<Watch>(Watch{i, LastRestart, read});
     if (HistoryDropped && read.After != Revision{}) {
-      after(Duration(4'000),
-            [this, watch] { end(*watch, absl::OutOfRangeError("410")); });
+      schedule(Duration(4'000), [this, watch] {
+        complete(*watch, absl::OutOfRangeError("410"));
+      });
       return;
     }
     if (Nodes[i].Reads == Source::Refuses) {
-      after(Duration(4'000),
-            [this, watch] { end(*watch, absl::UnavailableError("503")); });
+      schedule(Duration(4'000), [this, watch] {
+        complete(*watch, absl::UnavailableError("503"));
+      });
       return;
     }
-    after(read.Wait + Duration(700'000),
-          [this, watch] { end(*watch, absl::UnavailableError("timeout")); });
+    schedule(read.Wait + Duration(700'000), [this, watch] {
+      complete(*watch, absl::UnavailableError("timeout"));
+    });
     if (Nodes[i].Reads == Source::Silent)
       return;
     if (read.After == Revision{}) {
-      after(Duration(4'000), [this, watch] {
-        end(*watch, listed(watch->Read).changesAfter(watch->Read.Section, {}));
+      schedule(Duration(4'000), [this, watch] {
+        complete(*watch,
+                 listed(watch->Read).changesAfter(watch->Read.Section, {}));
       });
       return;
     }
     Watches.push_back(watch);
-    after(read.Wait, [this, watch] { answer(*watch); });
-    after(Duration(4'000), [this] { answerWatches(); });
+    schedule(read.Wait, [this, watch] { answer(*watch); });
+    schedule(Duration(4'000), [this] { answerWatches(); });
   }
   void answerWatches() {
     std::vector<std::shared_ptr<Watch>> open;
     for (auto &watch : Watches)
       if (watch->Open &&
-          Truth.lastChange(watch->Read.Section) > watch->Read.After)
+          ServiceState.lastChange(watch->Read.Section) > watch->Read.After)
         answer(*watch);
       else if (watch->Open)
         open.push_back(watch);
@@ -334,29 +338,30 @@
   }
   void answer(Watch &watch) {
     if (Nodes[watch.Node].Reads == Source::Good)
-      end(watch, Truth.changesAfter(watch.Read.Section, watch.Read.After));
+      complete(watch,
+               ServiceState.changesAfter(watch.Read.Section, watch.Read.After));
   }
-  void end(Watch &watch, absl::StatusOr<PublishedChanges> result) {
+  void complete(Watch &watch, absl::StatusOr<PublishedChanges> result) {
     if (!watch.Open)
       return;
     watch.Open = false;
     size_t i = watch.Node;
     PublishedRead read = watch.Read;
-    after(Duration(2'000), [this, i, read, result = std::move(result)] {
+    schedule(Duration(2'000), [this, i, read, result = std::move(result)] {
       if (Nodes[i].Running)
-        act(i, Nodes[i].Exchange->handleReadResult(Now, read, result));
+        perform(i, Nodes[i].Exchange->handleReadResult(Now, read, result));
     });
   }
 
   static constexpr Duration SnapshotPeriod{250'000};
 
   SeededRandom Random;
-  PublishedStore Truth;
+  PublishedStore ServiceState;
   std::deque<std::pair<TimePoint, PublishedStore>> Snapshots; ///< Of Truth.
   TimePoint NextSnapshot;
   uint64_t Revisions = 0;
   uint64_t Orders = 0;
-  uint64_t Lives = 0;
+  uint64_t LastRestart = 0;
   std::vector<std::shared_ptr<Watch>> Watches;
   std::priority_queue<Event, std::vector<Event>, std::greater<Event>> Events;
 };
--- a/UnitTests/Published/StateExchangeLoadTest.cpp
+++ b/UnitTests/Published/StateExchangeLoadTest.cpp
@@ -67,10 +67,10 @@
   ASSERT_TRUE(fleet.allHoldServers());
   fleet.Nodes[0].Reads = ExchangeSimulation::Source::Refuses;
   fleet.restart(0);
-  fleet.ObjectsTold = fleet.LongestMessage = 0;
+  fleet.ObjectsSent = fleet.LongestMessage = 0;
   fleet.run(Second);
   EXPECT_TRUE(fleet.allHoldServers());
-  EXPECT_LE(fleet.ObjectsTold, Servers * 3 / 2);
+  EXPECT_LE(fleet.ObjectsSent, Servers * 3 / 2);
   EXPECT_LE(fleet.LongestMessage, LongestMessage);
 }
 
--- a/UnitTests/Published/StateExchangeTest.cpp
+++ b/UnitTests/Published/StateExchangeTest.cpp
@@ -7,7 +7,7 @@
 
 constexpr Duration Second{1'000'000};
 /// Time within which a change must reach all daemons.
-constexpr Duration InForce{3'000'000};
+constexpr Duration MaxPropagationTime{3'000'000};
 
 using Source = ExchangeSimulation::Source;
 
@@ -29,7 +29,7 @@
     GetParam().Begin(fleet);
     fleet.run(Second / 2);
     fleet.publish();
-    fleet.run(InForce);
+    fleet.run(MaxPropagationTime);
     EXPECT_TRUE(fleet.allHoldVersion(2)) << "seed " << seed;
   }
 }
@@ -113,13 +113,13 @@
 TEST(StateExchangeTest, StartsCostFewCopiesOfEverything) {
   ExchangeSimulation fleet(5, 17, 1);
   fleet.run(Second * 5);
-  EXPECT_LE(fleet.ObjectsTold, fleet.Nodes.size() * 2);
-  fleet.ObjectsTold = 0;
+  EXPECT_LE(fleet.ObjectsSent, fleet.Nodes.size() * 2);
+  fleet.ObjectsSent = 0;
   for (size_t i = 0; i < 10; ++i) {
     fleet.restart(i * 7 % fleet.Nodes.size());
     fleet.run(Second);
   }
-  EXPECT_LE(fleet.ObjectsTold, fleet.Nodes.size() / 2);
+  EXPECT_LE(fleet.ObjectsSent, fleet.Nodes.size() / 2);
 }
 
 /// Limits on reads and messages per second and daemon, without changes.
@@ -213,7 +213,7 @@
     for (uint64_t version = 2; version <= 4; ++version) {
       fleet.run(Duration(100'000 + 300'000 * static_cast<int64_t>(version)));
       fleet.publish();
-      fleet.run(InForce);
+      fleet.run(MaxPropagationTime);
       EXPECT_TRUE(fleet.allHoldVersion(version))
           << "seed " << seed << " version " << version;
     }
@@ -303,7 +303,7 @@
   for (int i = 0; i < Servers; ++i)
     fleet.changeServer("i-" + std::to_string(i));
   fleet.run(Second * 6);
-  fleet.ObjectsTold = 0;
+  fleet.ObjectsSent = 0;
   fleet.HistoryDropped = true;
   for (int i = 0; i < Changes; ++i) {
     fleet.changeServer("i-" + std::to_string(i));
@@ -311,7 +311,7 @@
   }
   fleet.HistoryDropped = false;
   fleet.run(Second * 3);
-  EXPECT_LE(fleet.ObjectsTold, CopiesOfAll * Changes * fleet.Nodes.size());
+  EXPECT_LE(fleet.ObjectsSent, CopiesOfAll * Changes * fleet.Nodes.size());
   for (const auto &node : fleet.Nodes)
     EXPECT_EQ(node.Exchange->store().presentHash(PublishedSection::Servers),
               fleet.Nodes[0].Exchange->store().presentHash(
@@ -335,7 +335,7 @@
     fleet.restart(i);
   }
   fleet.run(Second * 5);
-  EXPECT_EQ(fleet.RestlessTicks, 0U);
+  EXPECT_EQ(fleet.BusyTicks, 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Starts, EachStart,
