--- /dev/null
+++ b/Balsamrack/Daemon/PacketForwarder.cpp
@@ -0,0 +1,234 @@
+#include "Balsamrack/Daemon/PacketForwarder.h"
+
+#include <poll.h>
+#include <sys/eventfd.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <array>
+#include <cstring>
+#include <utility>
+#include <vector>
+
+namespace balsamrack {
+
+namespace {
+
+constexpr Duration MetricsPeriod{1'000'000};
+constexpr int64_t MicrosPerMilli = 1000;
+/// Batches before timers get their turn.
+constexpr int MaxBatchesPerIteration = 8;
+
+const char *modeName(const RoutedBackend &server) {
+  if (server.Presence == ServerPresence::Gone)
+    return "gone";
+  if (server.Presence == ServerPresence::Replaced)
+    return "replaced";
+  if (server.DomainOut)
+    return "domain-out";
+  if (server.Presence == ServerPresence::Expired)
+    return "lapsed";
+  return server.Published->Server.Mode == ServerMode::Active ? "active"
+                                                             : "draining";
+}
+
+} // namespace
+
+PacketForwarder::PacketForwarder(const PacketRouterSettings &settings,
+                                 const PacketCodec &codec,
+                                 std::unique_ptr<PacketSocket> socket,
+                                 const Clock &clock, uint64_t seed,
+                                 PacketTelemetry &telemetry, OnPause onPause)
+    : Codec(codec), Socket(std::move(socket)), Time(clock),
+      TelemetrySink(telemetry), OnPaused(std::move(onPause)),
+      WakeEvent(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)), Random(seed),
+      Router(settings, Random), Thread([this] { run(); }) {}
+
+PacketForwarder::~PacketForwarder() {
+  stop();
+  close(WakeEvent);
+}
+
+void PacketForwarder::stop() {
+  if (Stopping.exchange(true))
+    return;
+  wakeUp();
+  Thread.join();
+}
+
+void PacketForwarder::wakeUp() {
+  uint64_t one = 1;
+  // A full counter wakes the thread as well.
+  (void)!write(WakeEvent, &one, sizeof one);
+}
+
+void PacketForwarder::setRoutes(std::shared_ptr<const PacketRoutes> routes) {
+  std::lock_guard<std::mutex> hold(Lock);
+  Router.setRoutes(std::move(routes));
+  updateReachability();
+  // Whether servers can be reached is tried at once, not when the thread looks
+  // around next.
+  if (!Router.hasProvenReachability())
+    wakeUp();
+}
+
+void PacketForwarder::setFleet(size_t daemons, size_t self) {
+  std::lock_guard<std::mutex> hold(Lock);
+  Router.setFleet(daemons, self);
+}
+
+void PacketForwarder::setFresh() {
+  std::lock_guard<std::mutex> hold(Lock);
+  StaleUntil = {};
+  Router.setFresh();
+}
+
+FlowExplanation PacketForwarder::explain(const FlowKey &key) {
+  std::lock_guard<std::mutex> hold(Lock);
+  return Router.explain(Time.now(), key);
+}
+
+ForwarderStatus PacketForwarder::status() {
+  std::lock_guard<std::mutex> hold(Lock);
+  return {Router.routes() ? Router.routes()->Version : 0, Router.flows(),
+          Router.daemons(), Router.silentServers()};
+}
+
+std::vector<ForwarderServerStatus> PacketForwarder::servers() {
+  std::vector<ForwarderServerStatus> all;
+  std::lock_guard<std::mutex> hold(Lock);
+  TimePoint now = Time.now();
+  const std::vector<ServerEntry> &table = Router.servers().all();
+  for (ServerIndex i = 0; i < table.size(); ++i) {
+    const ServerEntry &it = table[i];
+    if (!it.InUse)
+      continue;
+    const BackendServer &what = it.Backend.Published->Server;
+    all.push_back({what.Id, what.Service, what.Domain, what.At,
+                   modeName(it.Backend), it.InProgress, it.Share,
+                   Router.isSilent(i), now < it.Backend.ColdUntil});
+  }
+  return all;
+}
+
+void PacketForwarder::forward(const PacketTarget &to, const uint8_t *packet,
+                              size_t n) {
+  size_t prefix = Codec.prefixBytes();
+  if (prefix + n > PacketSocket::MaxPacketBytes)
+    return;
+  uint8_t *out = Socket->prepare(to.At, prefix + n);
+  Codec.writePrefix(out, to.Tag);
+  std::memcpy(out + prefix, packet, n);
+  Codec.writeToken(out + prefix, to.Token);
+}
+
+void PacketForwarder::reset(const PacketHeader &head) {
+  std::array<uint8_t, PacketCodec::MaxHeaderBytes> packet{};
+  size_t n = Codec.writeReset(head, packet.data());
+  // Callers take packets at their own address and at our port.
+  Endpoint caller = head.Flow.Caller;
+  caller.Port = Socket->at().Port;
+  std::memcpy(Socket->prepare(caller, n), packet.data(), n);
+}
+
+void PacketForwarder::wait() {
+  std::vector<pollfd> polled{{Socket->fd(), POLLIN, 0}, {WakeEvent, POLLIN, 0}};
+  Prober.addPollFds(polled);
+  TimePoint now = Time.now();
+  TimePoint until = std::min(now + MaxPollWait, Prober.nextTimeout());
+  {
+    std::lock_guard<std::mutex> hold(Lock);
+    until = std::min(until, Router.nextWakeup());
+  }
+  int64_t micros = std::max<int64_t>(0, (until - now).count());
+  auto millis =
+      static_cast<int>((micros + MicrosPerMilli - 1) / MicrosPerMilli);
+  poll(polled.data(), polled.size(), millis);
+  uint64_t count = 0;
+  // Nothing to read: another descriptor ended the wait, or the time is over.
+  (void)!read(WakeEvent, &count, sizeof count);
+}
+
+void PacketForwarder::detectPause(TimePoint now) {
+  bool paused =
+      LastIterationAt != TimePoint{} && now - LastIterationAt > PauseThreshold;
+  LastIterationAt = now;
+  if (paused) {
+    // Guards against a process that wakes after seconds and sends new flows by
+    // routes and servers that have changed meanwhile.
+    {
+      std::lock_guard<std::mutex> hold(Lock);
+      StaleUntil = now + MaxStaleTime;
+      Router.setStale();
+    }
+    OnPaused();
+    return;
+  }
+  std::lock_guard<std::mutex> hold(Lock);
+  if (StaleUntil != TimePoint{} && now >= StaleUntil) {
+    StaleUntil = {};
+    Router.setFresh();
+  }
+}
+
+void PacketForwarder::receivePackets(TimePoint now) {
+  for (int batch = 0; batch < MaxBatchesPerIteration; ++batch) {
+    size_t n = Socket->receive([&](uint8_t *packet, size_t bytes) {
+      auto head = Codec.decode(packet, bytes);
+      if (head) {
+        Router.handlePacket(now, *head, packet, bytes, *this);
+        return;
+      }
+      PacketEvent event;
+      event.Kind = PacketEventKind::Dropped;
+      event.Reason = PacketReason::Malformed;
+      TelemetrySink.recordEvent(event);
+    });
+    Received += n;
+    if (n < PacketSocket::BatchSize)
+      return;
+  }
+}
+
+void PacketForwarder::updateReachability() {
+  bool proved = Router.hasProvenReachability();
+  if (ReachabilityConfirmed.exchange(proved) == proved)
+    return;
+  TelemetrySink.log(
+      LogLine(Part::Entry, proved ? Severity::Info : Severity::Warning,
+              proved ? "servers-in-reach" : "servers-out-of-reach")
+          .text("reach", reachStateName(Router.reachState()))
+          .number("silent", Router.silentServers()));
+}
+
+void PacketForwarder::publishMetrics(TimePoint now) {
+  if (now < NextMetricsAt)
+    return;
+  NextMetricsAt = now + MetricsPeriod;
+  TelemetrySink.setPacketMetrics(Socket->counters(), Router);
+}
+
+void PacketForwarder::run() {
+  while (!Stopping) {
+    wait();
+    TimePoint now = Time.now();
+    detectPause(now);
+    std::vector<ConnectionAttemptResult> ended = Prober.takeFinished(now);
+    std::vector<ConnectionAttempt> due;
+    {
+      std::lock_guard<std::mutex> hold(Lock);
+      for (const ConnectionAttemptResult &it : ended)
+        Router.handleAttemptResult(now, it.Server, it.Result, *this);
+      receivePackets(now);
+      Router.tick(now, *this);
+      due = Router.dueAttempts(now);
+      updateReachability();
+      publishMetrics(now);
+    }
+    Socket->flush();
+    for (const ConnectionAttempt &it : due)
+      Prober.start(now, it);
+  }
+}
+
+} // namespace balsamrack
--- a/Balsamrack/Packets/FlowExplanation.h
+++ b/Balsamrack/Packets/FlowExplanation.h
@@ -4,15 +4,15 @@
 #include <vector>
 
 #include "Balsamrack/Decisions/OpeningChoice.h"
-#include "Balsamrack/Packets/FlowMemory.h"
 #include "Balsamrack/Packets/PacketEvents.h"
+#include "Balsamrack/Packets/PacketFlowTable.h"
 
 namespace balsamrack {
 
 /// A server that a new flow could go to, as the placing sees it.
 struct ExplainedCandidate {
-  ServerId Server;                       ///< Which.
-  OpeningRank Rank = OpeningRank::Usual; ///< See there.
+  ServerId Server;                        ///< Which.
+  OpeningRank Rank = OpeningRank::Normal; ///< See there.
   double Wait = 0;         ///< Expected, in flows a slot, costs included.
   uint32_t InProgress = 0; ///< Flows of this daemon that it works on.
   double Share = 0;        ///< Of its slots, this daemon's.
@@ -26,10 +26,10 @@
 struct FlowExplanation {
   bool Known = false;                   ///< The flow is remembered.
   FlowStage Stage = FlowStage::Opening; ///< Meaningful when known.
-  ServerId Home;                        ///< As above; where its packets go.
-  uint32_t Tries = 0;                   ///< As above; see RememberedFlow.
+  ServerId HomeServer;                  ///< As above; where its packets go.
+  uint32_t Tries = 0;                   ///< As above; see TrackedFlow.
   Duration Age{0};                      ///< As above; since it was seen first.
-  Duration Quiet{0};                    ///< As above; since its last packet.
+  Duration Idle{0};                     ///< As above; since its last packet.
 
   PacketReason Refused = PacketReason::None; ///< A new flow would be reset, or
                                              ///< dropped, for this.
