--- a/UnitTests/Membership/OwnershipTrackerTest.cpp
+++ b/UnitTests/Membership/OwnershipTrackerTest.cpp
@@ -9,11 +9,11 @@
 const DomainId Domain("bern-a");
 const ServerId Server("booking-01");
 
-/// vm-1 and vm-2 with one server. The test plays vm-2.
+/// vm-1 and vm-2 with one server. The test acts as vm-2.
 class OwnershipTrackerTest : public testing::Test {
 protected:
   void SetUp() override {
-    // The test needs vm-1 to be first in rank; names decide that.
+    // Find a name for vm-1 that ranks first for the server.
     for (int i = 0; Self.Id.empty(); ++i) {
       VmId name("vm-" + std::to_string(i));
       MemberMap both{member(name), member(Other.Id)};
@@ -41,14 +41,14 @@
         list.push_back(*item);
     return list;
   }
-  /// The other daemon is there; gives our question to it.
-  OwnershipHandOver meet() {
+  /// Makes the other daemon known and returns the request sent to it.
+  OwnershipHandOver addPeer() {
     auto sent = of<SendHandOver>(
         step(MembersChanged{{member(Self.Id), member(Other.Id)}}));
     EXPECT_EQ(sent.size(), 1U);
     return sent.empty() ? OwnershipHandOver() : sent[0].Message;
   }
-  OwnershipHandOver answerTo(const OwnershipHandOver &question) const {
+  OwnershipHandOver replyTo(const OwnershipHandOver &question) const {
     OwnershipHandOver answer;
     answer.From = Other.Id;
     answer.Run = {1};
@@ -69,28 +69,28 @@
 };
 
 TEST_F(OwnershipTrackerTest, OwnsOnceThePeerReleased) {
-  OwnershipHandOver question = meet();
+  OwnershipHandOver question = addPeer();
   ASSERT_EQ(question.Wanted.size(), 1U);
   EXPECT_FALSE(Tracker->owns(Server));
-  auto gains = of<ServerAcquired>(step(HandOverReceived{answerTo(question)}));
+  auto gains = of<ServerAcquired>(step(HandOverReceived{replyTo(question)}));
   ASSERT_EQ(gains.size(), 1U);
   EXPECT_EQ(gains[0].Kind, AcquisitionKind::FirstOwner);
 }
 
 struct BadAnswer {
-  const char *Name;                   ///< Of the case.
-  void (*Spoil)(OwnershipHandOver &); ///< What is wrong with it.
+  const char *Name;                     ///< Name of the case.
+  void (*Corrupt)(OwnershipHandOver &); ///< Makes the reply invalid.
 };
 
 class BadAnswerTest : public OwnershipTrackerTest,
                       public testing::WithParamInterface<BadAnswer> {};
 
-// An answer that doesn't belong to the present question, or comes from one who
-// holds other daemons for live, says nothing of who may dispatch now. Counting
-// it gives a server two owners.
+// A reply to an earlier request, or from a daemon with another view of the live
+// daemons, does not show who may dispatch now. Accepting it would give a server
+// two owners.
 TEST_P(BadAnswerTest, DoesNotCount) {
-  OwnershipHandOver answer = answerTo(meet());
-  GetParam().Spoil(answer);
+  OwnershipHandOver answer = replyTo(addPeer());
+  GetParam().Corrupt(answer);
   step(HandOverReceived{answer});
   EXPECT_FALSE(Tracker->owns(Server));
 }
@@ -106,10 +106,10 @@
                   [](auto &a) { a.TimeSinceDeadLease = Duration(0); }}),
     [](const auto &item) { return item.param.Name; });
 
-// The peer renewed the lease of a daemon that it holds for dead a second ago.
-// The server is ours only once that lease has ended for sure.
-TEST_F(OwnershipTrackerTest, WaitsForTheLeaseOfTheDead) {
-  OwnershipHandOver answer = answerTo(meet());
+// The peer renewed the lease of a daemon one second ago that it now considers
+// dead. The server may be acquired only after that lease must have ended.
+TEST_F(OwnershipTrackerTest, WaitsForTheLeaseOfADeadDaemon) {
+  OwnershipHandOver answer = replyTo(addPeer());
   answer.TimeSinceDeadLease = Second;
   step(HandOverReceived{answer});
   Now += Settings.takeoverWait() - Second - Duration(1);
@@ -120,9 +120,10 @@
   EXPECT_TRUE(Tracker->owns(Server));
 }
 
-// A planned move: the present owner serves on until it is asked last.
-TEST_F(OwnershipTrackerTest, HolderIsAskedAgainAsTheLast) {
-  OwnershipHandOver held = answerTo(meet());
+// Planned move: the current owner keeps the server until all others have
+// released it.
+TEST_F(OwnershipTrackerTest, HolderIsAskedAgainOnceAllOthersReleased) {
+  OwnershipHandOver held = replyTo(addPeer());
   held.Servers.clear();
   held.Held = {Server};
   step(HandOverReceived{held});
@@ -133,11 +134,11 @@
   EXPECT_TRUE(sent[0].Message.AllOthersReleased);
 }
 
-// We own a server and a daemon asks for it that holds us for dead (or another
-// daemon, which may own it): its view is not ours, so it gets no release.
+// A daemon with another view of the live daemons requests a server. It may
+// consider the owner dead, so it must not get a release.
 TEST_F(OwnershipTrackerTest, ReleasesOnlyInAnEqualView) {
-  OwnershipHandOver question = meet();
-  step(HandOverReceived{answerTo(question)});
+  OwnershipHandOver question = addPeer();
+  step(HandOverReceived{replyTo(question)});
   ASSERT_TRUE(Tracker->owns(Server));
   OwnershipHandOver theirs = question;
   theirs.From = Other.Id;
@@ -150,11 +151,12 @@
   EXPECT_TRUE(Tracker->owns(Server));
 }
 
-// We leave: the other daemon asks, hears that we hold the server, asks last,
-// and gets it once the daemon has stopped dispatching.
+// This daemon leaves. The other one requests the server, learns who holds it,
+// requests it again as the last, and must get it only after dispatching has
+// stopped.
 TEST_F(OwnershipTrackerTest, ReleasesAfterItHasStopped) {
-  OwnershipHandOver question = meet();
-  step(HandOverReceived{answerTo(question)});
+  OwnershipHandOver question = addPeer();
+  step(HandOverReceived{replyTo(question)});
   MemberMap leaving{member(Self.Id), member(Other.Id)};
   leaving.at(Self.Id).Record.Vm.Leaving = true;
   step(MembersChanged{leaving});
@@ -179,8 +181,8 @@
   EXPECT_TRUE(released[0].Message.Servers[0].Owned);
 }
 
-TEST_F(OwnershipTrackerTest, ExpiryGivesEverythingBack) {
-  step(HandOverReceived{answerTo(meet())});
+TEST_F(OwnershipTrackerTest, ExpiryReleasesAllServers) {
+  step(HandOverReceived{replyTo(addPeer())});
   auto actions = step(AuthorityExpired{});
   EXPECT_EQ(of<StopDispatching>(actions).size(), 1U);
   EXPECT_FALSE(Tracker->owns(Server));
