--- a/Balsamrack/Flows/EntryPlacement.cpp
+++ b/Balsamrack/Flows/EntryPlacement.cpp
@@ -1,4 +1,4 @@
-// The placement half of EntryRouter::State: where a packet goes next.
+// Placement steps of EntryRouter::State: choose where a packet goes next.
 #include <algorithm>
 
 #include "Balsamrack/Core/Errors.h"
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// May a new flow that was refused for this reason be offered to another
-/// server? Those are obstacles of the one server or its owner.
+/// True if a new flow refused for this reason may be offered to another server,
+/// because the reason concerns only the one server or its owner.
 bool isRetryableElsewhere(Reason why) {
   switch (why) {
   case Reason::QueueFull:
@@ -63,10 +63,11 @@
     explain(p, DecisionKind::KeyJudged, "key-granted", "may run", {}, {});
     return place(p);
   }
-  // Guards against a deposit that ends unknown during a rolling restart: one
-  // guardian has closed its memory and the other has not got what that one
-  // passes on, or this daemon has just started and met nobody. A moment later
-  // there is somebody who can vouch.
+  // Resend the claims for a while before refusing. During a rolling restart one
+  // replica may have stopped granting keys while the other has not received its
+  // hand-over yet, or this daemon has just started and knows no peers. Refusing
+  // at once would end the request with an unknown outcome, although a replica
+  // with the key's history becomes available shortly.
   if (Now < p.ClaimResendUntil &&
       p.Keys.mayBecomeGranted(View->KeyReplicas, Settings)) {
     p.ClaimResendDue = true;
@@ -77,12 +78,13 @@
           p.Keys.hasMissingReply() ? "a guardian gave no answer"
                                    : "may not run",
           {}, {});
-  // True, and better for the caller than "unknown": it may simply come back.
+  // The request provably did not run, so the caller may retry safely, which it
+  // could not after "unknown".
   if (p.Keys.isProvenNotRun(Settings))
     return end(p, OutcomeKind::NotRun, why, {}, jitteredRetryAfter(),
                "key-proved-new");
-  // Coming back helps when another attempt is under way or a guardian was out
-  // of reach; a key whose guardians are all fresh stays unknown for long.
+  // A retry helps if another attempt is in progress or a replica was
+  // unreachable. A key whose replicas are all fresh stays unknown for long.
   bool comeBack = why == Reason::KeyInProgress || p.Keys.hasMissingReply();
   end(p, OutcomeKind::OutcomeUnknown, why, {},
       comeBack ? jitteredRetryAfter() : Duration(0), "idempotency-key");
@@ -110,7 +112,7 @@
     return false;
   const RoutedServer *server = route.findByHash(token->ServerHash);
   if (p.Head.FirstOfFlow) {
-    // A first packet that is sent again may go back, but need not.
+    // A retransmitted first packet may return to the same server, but need not.
     if (!server || !server->acceptsNewFlows())
       return false;
   }
@@ -118,9 +120,9 @@
     forwardToFlowServer(p, *server, true, "token");
     return true;
   }
-  // The server is not listed. Either the token's ticket has not come into
-  // force here yet: then another server would break the flow, and the ticket
-  // arrives within seconds. Or the server was deleted: the flow is over.
+  // The server is not in the view. If the token's ticket is not in force here
+  // yet, another server would break the flow, and the ticket arrives within
+  // seconds. Otherwise the server was deleted and the flow has ended.
   if (token->Ticket > View->Ticket)
     end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, {}, jitteredRetryAfter(),
         "token-of-later-ticket");
@@ -145,8 +147,8 @@
                                               const ServiceRoute &route) {
   if (route.Servers.empty())
     return end(p, OutcomeKind::GivenUp, Reason::NoServer, {}, {}, "no-server");
-  // Most flows live on their first candidate: hand the packet over right away,
-  // its owner says if not.
+  // Most flows are bound to their first candidate: forward the packet without a
+  // search; the owner replies FlowElsewhere if the flow is not bound there.
   const RoutedServer &best =
       route.Servers[route.Rank.firstCandidate(rankKey(p))];
   if (best.DomainInService && best.isReachable())
@@ -161,8 +163,8 @@
   if (!server.DomainInService)
     return end(p, OutcomeKind::GivenUp, Reason::DomainOut, id, {},
                "domain-out");
-  // Its server may well be alive: moving the flow would break it for good,
-  // while the obstacle may go away.
+  // The server may still be alive. Moving the flow would break it permanently,
+  // while the domain or owner may become reachable again.
   if (!server.DomainReachable)
     return end(p, OutcomeKind::NotRun, Reason::DomainUnreachable, id,
                jitteredRetryAfter(), "domain-unreachable");
@@ -177,7 +179,7 @@
                                                  const char *rule) {
   const ServiceRoute *route = View->findService(p.Head.Service);
   const RoutedServer *home = route ? route->find(server) : nullptr;
-  // A peer with a later ticket names a server that is not in force here yet.
+  // The peer has a later ticket, with a server that is not in force here yet.
   if (!home)
     return end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, server,
                jitteredRetryAfter(), "server-of-later-ticket");
@@ -232,7 +234,8 @@
   case FlowSearch::Conclusion::NotFound:
     break;
   }
-  // Idle for too long, or lost by more failures than the layers stand.
+  // The flow was idle for too long, or more failures than the lookup layers
+  // tolerate removed all records of it: bind it anew.
   const ServiceRoute *route = View->findService(p.Head.Service);
   const RoutedServer *server =
       route ? chooseForNewFlow(*route, rankKey(p), {}) : nullptr;
@@ -278,7 +281,8 @@
   const RoutedServer *server =
       p.OpensFlow ? chooseForNewFlow(*route, rankKey(p), p.TriedServers)
                   : route->find(p.Outstanding->Server);
-  // The same owner may still have the request under the same id.
+  // Do not retry on the lost owner, which may still have the request under the
+  // same id.
   return server && server->DomainInService && server->isReachable() &&
          server->Owner.Id != lost && consumeRetry(p);
 }
@@ -286,9 +290,9 @@
 void EntryRouter::State::handleOwnerLoss(EntryPacket &p, bool notSent) {
   const EntryPacket::OutstandingForward gone = *p.Outstanding;
   if (!notSent) {
-    // Whether the owner passed the request on before it vanished can't be
-    // known. A second run would charge a deposit twice, so only a request that
-    // may run twice is tried again, once.
+    // It is unknown whether the owner dispatched the request before it was
+    // lost. A second run could, for example, charge a deposit twice, so only
+    // idempotent requests are retried, and only once.
     bool retry = reserveRetryAfterOwnerLoss(p, gone.To.Id);
     p.MayHaveRun = true;
     p.LostServer = gone.Server;
--- a/Balsamrack/Flows/EntryRouter.cpp
+++ b/Balsamrack/Flows/EntryRouter.cpp
@@ -10,12 +10,14 @@
 
 namespace {
 
-/// Did the ending, as the owner told it, leave the server untouched?
+/// True if the ending that the owner reported proves that the server did not
+/// run the request.
 bool provablyNotRun(OutcomeKind how) {
   return how == OutcomeKind::NotRun || how == OutcomeKind::GivenUp;
 }
 
-/// "answered", or "not-run, queue-full".
+/// Formats an ending and its reason, such as "answered" or "not-run,
+/// queue-full".
 std::string formatEnding(const Outcome &outcome) {
   if (outcome.Why == Reason::None)
     return outcomeKindName(outcome.How);
@@ -62,7 +64,8 @@
   EntryPacket &p = it->second;
   p.Head = event.Head;
   p.Token = event.Token;
-  // A key must outlive its request at the guardians.
+  // The key's replicas must remember the key for longer than the request can
+  // run.
   if (p.claimsKey())
     p.Head.Remaining = std::min(p.Head.Remaining, Settings.KeyMemory / 2);
   p.Deadline = Now + p.Head.Remaining;
@@ -85,15 +88,15 @@
 
 void EntryRouter::State::on(const OwnerReplied &event) {
   EntryPacket *p = find(event.Result.Request);
-  // A late answer of an owner that no longer has the request, or one crossed
-  // with another's, must not be taken for the present owner's: a refusal would
-  // start a second run while the first goes on.
+  // Ignore late replies of an owner that no longer has the request, and replies
+  // that crossed with another owner's. Taking such a refusal for the current
+  // owner's would start a second run while the first is still in progress.
   if (!p || !p->Outstanding || p->Outstanding->To.Id != event.From)
     return;
   bool elsewhere = event.Result.How == OutcomeKind::NotRun &&
                    event.Result.Why == Reason::FlowElsewhere;
-  // An owner never answers "elsewhere" when it was told to take the flow in:
-  // such an answer is the duplicate of an earlier one.
+  // An owner that was told to accept the flow never replies FlowElsewhere, so
+  // such a reply is a duplicate of an earlier one.
   if (elsewhere && p->Outstanding->AcceptFlow)
     return;
   if (!elsewhere && !event.Result.Server.empty() &&
@@ -233,7 +236,8 @@
 
 void EntryRouter::State::end(EntryPacket &p, Outcome outcome,
                              const char *rule) {
-  // An owner vanished with the request: it may have run, whatever came later.
+  // The connection to an owner that had the request was lost, so the request
+  // may have run whatever later owners reported.
   if (p.MayHaveRun && provablyNotRun(outcome.How)) {
     outcome.How = OutcomeKind::OutcomeUnknown;
     outcome.Why = Reason::OwnerLost;
@@ -244,8 +248,8 @@
   if (outcome.How == OutcomeKind::Answered && !Settings.TokenKey.empty())
     done.Token = Codec.encode({p.Head.Service.hash(), outcome.Server.hash(),
                                p.Head.Flow, View->Ticket});
-  // A request that was never forwarded leaves its key free, whatever the
-  // guardians said of other attempts.
+  // A request that was never forwarded frees its key, whatever the replicas
+  // reported about other attempts.
   settleKey(p, p.TriedServers.empty() ? OutcomeKind::NotRun : outcome.How);
   explain(p, DecisionKind::Ended, rule, formatEnding(outcome), outcome.Server,
           VmId(outcome.AtPeer));
@@ -285,8 +289,8 @@
 }
 
 Duration EntryRouter::State::jitteredRetryAfter() {
-  // Half as much again at random, so that callers refused together do not come
-  // back together.
+  // Add up to half of the base at random, so that callers that were refused
+  // together do not retry together.
   auto base = static_cast<uint64_t>(Settings.RetryAfter.count());
   return Duration(static_cast<int64_t>(base + Random.below(base / 2 + 1)));
 }
--- a/Balsamrack/Flows/EntryRouter.h
+++ b/Balsamrack/Flows/EntryRouter.h
@@ -15,27 +15,28 @@
 
 namespace balsamrack {
 
-/// One shard of the entry's requests: decides where each packet goes and how it
-/// ends. Deterministic: the same events and times give the same actions.
-/// Not thread-safe: the shard's lock is held around each call.
+/// Request router of an entry, for one shard of its requests: decides where
+/// each packet goes and how it ends. Deterministic: the same events and times
+/// give the same actions. Not thread-safe: callers hold the shard's lock.
 ///
-/// What it promises: each packet ends exactly once; a RunOnce request is
-/// forwarded again only after the owner before said that it did not run; NotRun
-/// and GivenUp are told only when no owner may have run it.
+/// Guarantees: each packet ends exactly once. A RunOnce request is forwarded
+/// again only after the previous owner reported that it did not run it. NotRun
+/// and GivenUp are returned only if no owner can have run the request.
 class EntryRouter {
 public:
-  /// Makes a router without a view: until ViewChanged every packet is NotRun.
-  /// \p seed spreads the times that refused callers are told. Error
+  /// Creates a router without a view: every packet ends NotRun until
+  /// ViewChanged. \p seed drives the jitter of the retry-after times. Error
   /// kInvalidArgument (step read-settings) for settings out of range.
   static absl::StatusOr<std::unique_ptr<EntryRouter>>
   create(const EntrySettings &settings, uint64_t seed);
   ~EntryRouter();
 
-  /// Takes one event in. Precondition: \p now never goes back.
+  /// Handles one event and returns the resulting actions. Precondition: \p now
+  /// never decreases.
   std::vector<EntryAction> step(TimePoint now, const EntryEvent &event);
-  /// When to call step() with EntryTicked, or nothing when nothing waits.
+  /// When to call step() with EntryTicked; empty if no timer is set.
   std::optional<TimePoint> nextWakeup() const;
-  /// Packets that have not ended.
+  /// Number of packets that have not ended.
   size_t inProgress() const;
 
 private:
--- a/Balsamrack/Flows/EntryRouterState.h
+++ b/Balsamrack/Flows/EntryRouterState.h
@@ -13,23 +13,24 @@
 
 namespace balsamrack {
 
-/// What an EntryRouter holds, and the steps that its events are made of. A
-/// method that may end a packet says so; the packet is gone afterwards. Not
-/// thread-safe.
+/// State of an EntryRouter and the steps of its event handlers. Methods that
+/// may end a packet are marked as such; the packet is erased then, and
+/// references to it become invalid. Not thread-safe.
 struct EntryRouter::State {
   State(const EntrySettings &settings, uint64_t seed)
       : Settings(settings), Random(seed), Codec(settings.TokenKey) {}
 
   const EntrySettings Settings;
-  SeededRandom Random; ///< Spreads RetryAfter.
+  SeededRandom Random; ///< Source of the jitter of RetryAfter.
   FlowTokenCodec Codec;
-  std::shared_ptr<const RoutingView> View; ///< Null until the first one.
+  std::shared_ptr<const RoutingView> View; ///< Null until the first
+                                           ///< ViewChanged.
   std::map<RequestId, EntryPacket> Packets;
-  std::set<std::pair<TimePoint, RequestId>> Timers; ///< One a packet.
+  std::set<std::pair<TimePoint, RequestId>> Timers; ///< One per packet.
   std::map<ServiceId, RetryBudget> Budgets;
-  size_t NumLingering = 0; ///< Packets that ended but wait for a late outcome.
-  TimePoint Now;           ///< Of the present step.
-  std::vector<EntryAction> Actions; ///< Of the present step.
+  size_t NumLingering = 0; ///< Ended packets that wait for a late outcome.
+  TimePoint Now;           ///< Time of the current step.
+  std::vector<EntryAction> Actions; ///< Actions of the current step.
 
   // Events. Each may end packets.
   void on(const PacketArrived &event);
--- a/Balsamrack/Flows/FlowRank.cpp
+++ b/Balsamrack/Flows/FlowRank.cpp
@@ -12,17 +12,18 @@
 constexpr double Ln2 = 0.69314718055994530942;
 constexpr double Sqrt2 = 1.41421356237309504880;
 
-/// Natural logarithm of a number in (0, 1), by IEEE additions, products and
-/// quotients only, so that all VMs get the same bits. Relative error < 1e-11.
+/// Natural logarithm of a number in (0, 1), computed by IEEE additions,
+/// multiplications and divisions only, so that all VMs get identical bits.
+/// Relative error < 1e-11.
 double portableLog(double u) {
-  // Split into exponent and mantissa in [1, 2).
+  // Split u into its exponent and its mantissa in [1, 2).
   uint64_t bits = 0;
   std::memcpy(&bits, &u, sizeof bits);
   int exponent = static_cast<int>(bits >> 52) - 1023;
   bits = (bits & 0x000FFFFFFFFFFFFFULL) | 0x3FF0000000000000ULL;
   double m = 0;
   std::memcpy(&m, &bits, sizeof m);
-  // Bring the mantissa to [sqrt(1/2), sqrt(2)), where the series is short.
+  // Reduce the mantissa to [sqrt(1/2), sqrt(2)), where a short series suffices.
   if (m > Sqrt2) {
     m /= 2;
     ++exponent;
@@ -49,8 +50,9 @@
 }
 
 double FlowRank::cost(FlowId flow, size_t i) const {
-  // Each server draws an exponential time of rate "weight"; the shortest wins,
-  // which gives each server its share of the flows.
+  // Each server draws an exponentially distributed value with its weight as the
+  // rate, and the smallest value wins. That gives each server a share of the
+  // flows in proportion to its weight.
   uint64_t hash = combineHash(flow.Value, Seeds[i]);
   double u = (static_cast<double>(hash >> 11) + 0.5) * 0x1.0p-53;
   return -portableLog(u) * InverseWeights[i];
@@ -59,7 +61,8 @@
 size_t FlowRank::firstCandidate(FlowId flow) const {
   size_t best = 0;
   if (EqualWeights) {
-    // The cost falls as the hash grows, so the hashes alone decide.
+    // With equal weights the cost decreases monotonically with the hash, so the
+    // largest hash wins.
     uint64_t bestHash = combineHash(flow.Value, Seeds[0]);
     for (size_t i = 1; i < Seeds.size(); ++i) {
       uint64_t hash = combineHash(flow.Value, Seeds[i]);
--- a/Balsamrack/Flows/FlowRank.h
+++ b/Balsamrack/Flows/FlowRank.h
@@ -9,49 +9,51 @@
 
 namespace balsamrack {
 
-/// A backend server as the rank sees it.
+/// A backend server as an input of FlowRank.
 struct RankedServer {
-  ServerId Server;       ///< Which server.
-  uint32_t Weight = 100; ///< Its share of new flows; zero: last choice.
+  ServerId Server;       ///< Server id.
+  uint32_t Weight = 100; ///< Relative share of new flows; zero ranks last.
 
   friend bool operator==(const RankedServer &a, const RankedServer &b) {
     return a.Server == b.Server && a.Weight == b.Weight;
   }
 };
 
-/// Order of a service's backend servers for each flow: weighted rendezvous
+/// Ranks a service's backend servers for each flow by weighted rendezvous
 /// hashing (Thaler, Ravishankar 1998; weights by -ln(u)/w after Schindelhauer,
 /// Schomaker 2005).
 ///
-/// Load that it answers: many flows over few servers, placed by daemons that
-/// share nothing. Without it each daemon needs a table of flows, or every
-/// change of the list moves most flows (modulo hashing). When a server joins,
-/// only the flows that it wins move; when it leaves, only its own.
+/// It distributes many flows over few servers consistently on daemons that
+/// share no state. The alternatives are a flow table on each daemon, or modulo
+/// hashing, which moves most flows on every change of the server list. When a
+/// server joins, only the flows that now rank it first move; when it leaves,
+/// only its own flows move.
 ///
-/// Immutable, so thread-safe. The order is the same on every VM: the hash is
-/// stable and the logarithm uses IEEE operations only, never libm, whose last
-/// bit depends on the CPU.
+/// Immutable, so thread-safe. The order is identical on every VM: the hash is
+/// stable, and the logarithm uses IEEE operations only instead of libm, whose
+/// last bit depends on the CPU.
 class FlowRank {
 public:
   FlowRank() = default;
-  /// Precomputes hashes of \p servers. Precondition: no server twice.
+  /// Precomputes the hashes of \p servers. Precondition: no duplicates.
   explicit FlowRank(const std::vector<RankedServer> &servers);
 
   /// Number of servers.
   size_t size() const { return Seeds.size(); }
-  /// Position, in the list given, of the flow's first candidate. Precondition:
-  /// size() > 0. Thread-safe.
+  /// Index of the flow's first candidate in the constructor's list.
+  /// Precondition: size() > 0. Thread-safe.
   size_t firstCandidate(FlowId flow) const;
-  /// Positions of the first \p count candidates, best first; fewer when there
-  /// are fewer. Thread-safe.
+  /// Indices of the flow's first \p count candidates, or of all if there are
+  /// fewer, best first. Thread-safe.
   std::vector<size_t> topCandidates(FlowId flow, size_t count) const;
 
 private:
   double cost(FlowId flow, size_t i) const;
 
   std::vector<uint64_t> Seeds;        ///< Hash of each server's id.
-  std::vector<double> InverseWeights; ///< 1 / weight; infinite for zero.
-  bool EqualWeights = true;           ///< Then no logarithm is needed.
+  std::vector<double> InverseWeights; ///< 1 / weight; infinity for weight zero.
+  bool EqualWeights = true;           ///< All weights are equal, so no
+                                      ///< logarithm is needed.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Flows/FlowSearch.cpp
+++ b/Balsamrack/Flows/FlowSearch.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// Candidates looked at for each that takes new flows: bounds the questions
-/// while most of a service is out.
+/// Candidates examined for each one that accepts new flows. Bounds the number
+/// of questions while most of a service is out.
 constexpr size_t MaxRankedPerCandidate = 2;
-/// Owners asked at first, behind the first candidate's.
+/// Owners asked in the first round, after the first candidate's.
 constexpr size_t FirstRoundOwners = 2;
 
 } // namespace
@@ -19,9 +19,10 @@
   for (const Target &it : Targets)
     if (it.Server == server.Server.Id)
       return;
-  // An owner in a domain that was taken out still knows its flows. Without its
-  // word a flow of that domain was inferred to live on a server that had come
-  // to its owner lately, and was carried on there.
+  // An owner in a domain that is out of service still knows its flows, so it is
+  // asked as well. Otherwise a flow of that domain would be inferred to be
+  // bound to a server that was taken over recently, and would be continued
+  // there.
   State state = State::NotAsked;
   if (!server.isReachable())
     state = server.DomainInService ? State::Unreachable : State::DomainOut;
@@ -34,8 +35,8 @@
   FirstRoundStarted = false;
   FoundServer = ServerId();
   SawLaterTicket = false;
-  // Servers that take no new flows now are passed over by new flows without a
-  // try, so they don't count; but their old flows may be asked for.
+  // Servers that accept no new flows are skipped when new flows are placed, so
+  // they do not count; but established flows may still be bound to them.
   size_t accepting = 0;
   for (size_t i :
        route.Rank.topCandidates(rankKey, MaxRankedPerCandidate * candidates)) {
@@ -44,8 +45,9 @@
     accepting += route.Servers[i].acceptsNewFlows() ? 1 : 0;
     addTarget(route.Servers[i]);
   }
-  // A flow placed under an earlier configuration lives on its first candidate
-  // of then, wherever that one ranks now.
+  // A flow placed under an earlier configuration is bound to its first
+  // candidate of that configuration, whatever the current rank of that server
+  // is.
   for (size_t k = 0; k < route.EarlierRanks.size(); ++k) {
     if (route.EarlierRanks[k].size() == 0)
       continue;
@@ -59,7 +61,7 @@
                                std::vector<EntryVm> &owners) {
   if (target.Status != State::NotAsked)
     return;
-  // One question an owner, about all of its servers.
+  // One question to an owner covers all of its servers.
   owners.push_back(target.Owner);
   for (Target &it : Targets)
     if (it.Status == State::NotAsked && it.Owner.Id == owners.back().Id)
@@ -71,7 +73,7 @@
   if (!std::exchange(FirstRoundStarted, true))
     for (size_t i = 1; i < std::min(Targets.size(), FirstRoundOwners + 1); ++i)
       addOwnerToAsk(Targets[i], owners);
-  // None of those can be asked, or none of them knew.
+  // Second round, or none of the first round's owners can be asked.
   if (owners.empty())
     for (const Target &it : Targets)
       addOwnerToAsk(it, owners);
--- a/Balsamrack/Flows/FlowSearch.h
+++ b/Balsamrack/Flows/FlowSearch.h
@@ -9,52 +9,59 @@
 
 namespace balsamrack {
 
-/// The question layer for one packet: finds out where an established flow
-/// lives by asking the owners of its likeliest servers.
+/// Finds the server of an established flow for one packet, by sending questions
+/// to the owners of its likeliest servers.
 ///
-/// When nobody knows the flow, the answers still tell: an owner that is not
-/// fresh and doesn't know the flow proves that it does not live there. So the
-/// flow lives on the likeliest server whose owner could prove nothing: because
-/// it took the server over (then the flow is accepted there), can't be reached
-/// (then the caller is told to come back), or stands in a domain that operators
-/// took out (then the flow is given up). While an owner has a later ticket, the
-/// flow may live where our rank does not look: then the caller is told to come
-/// back, and the ticket arrives meanwhile. Without this rule the death of an
-/// owner moves its displaced flows to their first candidate. Not thread-safe.
+/// If no owner knows the flow, its server is inferred by elimination. An owner
+/// that is not fresh and does not know the flow proves that the flow is not
+/// bound to its servers. So the flow is bound to the likeliest server whose
+/// owner could not prove that: because the owner recently took the server over
+/// (the flow is accepted there), is unreachable (the caller is told to retry
+/// later), or is in a domain that operators took out of service (the flow is
+/// given up). If an owner has a later ticket, the flow may be bound to a server
+/// that the local rank does not include; the caller is told to retry later, and
+/// the ticket arrives meanwhile. Without this inference, the death of an owner
+/// would move its displaced flows to their first candidate. Not thread-safe.
 class FlowSearch {
 public:
-  /// What the search came to.
+  /// Result of the search.
   enum class Conclusion {
-    Pending,       ///< Answers are missing.
-    AskMoreOwners, ///< Those asked so far don't know: see selectOwnersToAsk().
-    Found,         ///< An owner knows that the flow lives on server().
-    Inferred,      ///< It must live on server(), whose owner is fresh.
-    Unreachable,   ///< It must live on server(), which can't be reached now.
-    DomainOut,     ///< It must live on server(), whose domain is out.
-    LaterTicket,   ///< Nobody knows, but an owner has a later ticket.
-    NotFound,      ///< Each likely owner ruled it out.
+    Pending,       ///< Replies are outstanding.
+    AskMoreOwners, ///< No owner asked so far knows the flow; ask those of
+                   ///< selectOwnersToAsk().
+    Found,         ///< An owner reported that the flow is bound to server().
+    Inferred,      ///< The flow must be bound to server(), whose owner is
+                   ///< fresh.
+    Unreachable,   ///< The flow must be bound to server(), which is
+                   ///< unreachable.
+    DomainOut,     ///< The flow must be bound to server(), whose domain is out
+                   ///< of service.
+    LaterTicket,   ///< No owner knows the flow, but one has a later ticket.
+    NotFound,      ///< Every owner asked ruled its servers out.
   };
 
-  /// Starts the search over the rank, up to the \p candidates-th server that
-  /// takes new flows, and the first
-  /// candidates under earlier configurations. \p rankKey is the flow, or what
-  /// stands in for it in the rank.
+  /// Starts a search over the flow's rank order, up to the \p candidates-th
+  /// server that accepts new flows, and over its first candidates under earlier
+  /// configurations. \p rankKey is the flow, or the value that replaces it for
+  /// ranking.
   void start(const ServiceRoute &route, FlowId rankKey, size_t candidates);
-  /// Whom to ask next: first the owners of the second and third candidate,
-  /// where nearly all displaced flows live, then all others. Asking all at once
-  /// doubles the control traffic after a server joined.
+  /// Returns the owners to ask next and records them as asked: first those of
+  /// the second and third candidate, to which nearly all displaced flows are
+  /// bound, then all others. Asking all of them at once would double the
+  /// control traffic after a server joins.
   std::vector<EntryVm> selectOwnersToAsk();
-  /// Notes an answer; false when it was not asked for or came before.
-  /// \p inForce is the highest ticket in force here.
+  /// Records a reply; false if it is unsolicited or a duplicate. \p inForce is
+  /// the highest ticket in force here.
   bool recordReply(const VmId &from, const FlowReply &reply,
                    TicketNumber inForce);
-  /// Notes that no answer will come; false when none was awaited.
+  /// Records that an owner will not reply; false if no reply was outstanding.
   bool recordNoReply(const VmId &from);
-  /// Notes that no answer came in time from those still awaited.
+  /// Records that the outstanding replies timed out.
   void recordTimeout();
-  /// Judges the answers so far.
+  /// Evaluates the replies received so far.
   Conclusion evaluate() const;
-  /// The server concerned. Precondition: judge() says that there is one.
+  /// Server of the conclusion. Precondition: evaluate() returned Found,
+  /// Inferred, Unreachable or DomainOut.
   const ServerId &server() const;
 
 private:
@@ -76,10 +83,10 @@
   void addOwnerToAsk(const Target &target, std::vector<EntryVm> &owners);
   const Target *findLikeliestTarget() const;
 
-  std::vector<Target> Targets;    ///< Likeliest first.
-  bool FirstRoundStarted = false; ///< The first owners were asked.
-  bool SawLaterTicket = false; ///< An owner that was asked has a later ticket.
-  ServerId FoundServer;        ///< Set once an owner knows.
+  std::vector<Target> Targets;    ///< In decreasing likelihood.
+  bool FirstRoundStarted = false; ///< The first round of questions was sent.
+  bool SawLaterTicket = false;    ///< An owner reported a later ticket.
+  ServerId FoundServer; ///< Set once an owner reports the flow's server.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Flows/Placement.cpp
+++ b/Balsamrack/Flows/Placement.cpp
@@ -13,7 +13,7 @@
   return std::find(servers.begin(), servers.end(), server) != servers.end();
 }
 
-/// The rule by which a candidate is passed over; "rank" when it isn't.
+/// Rule that excludes a server from new flows, or "rank" if none does.
 const char *exclusionRule(const RoutedServer &server) {
   if (!server.DomainInService)
     return "domain-out";
@@ -36,7 +36,8 @@
                                      const std::vector<ServerId> &tried) {
   if (route.Servers.empty())
     return nullptr;
-  // Most flows get their first candidate, which needs no sorting.
+  // Most flows get their first candidate, which needs no sorting of all
+  // servers.
   const RoutedServer &best = route.Servers[route.Rank.firstCandidate(flow)];
   if (best.acceptsNewFlows() && !contains(tried, best.Server.Id))
     return &best;
@@ -70,7 +71,7 @@
     add("unknown-service", "not placed");
     return decisions;
   }
-  // One line a candidate, in the flow's own order.
+  // One decision per candidate, in the flow's rank order.
   size_t position = 0;
   for (size_t i : route->Rank.topCandidates(flow, route->Servers.size())) {
     const RoutedServer &it = route->Servers[i];
--- a/Balsamrack/Flows/RetryBudget.h
+++ b/Balsamrack/Flows/RetryBudget.h
@@ -3,26 +3,27 @@
 
 namespace balsamrack {
 
-/// How many further tries a service's packets may have.
+/// Retry budget of a service: a token bucket that packets fill and retries
+/// drain.
 ///
-/// Load that it answers: overload of a whole service, when every owner refuses.
-/// Without it each packet is offered to several owners, so the control
-/// work grows by that factor just when there is none to spare. Each packet
-/// earns a fraction of a try, so tries are a bounded share of the packets and
-/// shrink with them; a small saved-up burst serves the common case of one full
-/// server. Not thread-safe.
+/// It limits retries while a whole service is overloaded and every owner
+/// refuses. Without it, each packet would be offered to several owners, which
+/// multiplies the control work when there is no spare capacity. Each packet
+/// adds a fraction of a retry, so retries stay a bounded share of the packets;
+/// a small burst covers the common case of a single full server. Not
+/// thread-safe.
 class RetryBudget {
 public:
-  /// Each packet earns \p ratio tries; at most \p burst are saved up, with
-  /// which it starts.
+  /// Each packet adds \p ratio retries, up to \p burst, which is also the
+  /// initial budget.
   RetryBudget(double ratio, double burst)
       : Ratio(ratio), Burst(burst), Available(burst) {}
 
-  /// Notes a packet.
+  /// Adds the share of one packet.
   void addPacket() {
     Available = Available + Ratio < Burst ? Available + Ratio : Burst;
   }
-  /// Takes one try; false when there is none.
+  /// Consumes one retry; false if none is available.
   bool tryConsume() {
     if (Available < 1)
       return false;
@@ -31,9 +32,9 @@
   }
 
 private:
-  double Ratio;     ///< Tries earned by a packet.
-  double Burst;     ///< Most that may be saved up.
-  double Available; ///< Tries left.
+  double Ratio;     ///< Retries added per packet.
+  double Burst;     ///< Upper bound of Available.
+  double Available; ///< Retries available now.
 };
 
 } // namespace balsamrack
