--- a/Balsamrack/Flows/FlowTable.cpp
+++ b/Balsamrack/Flows/FlowTable.cpp
@@ -9,19 +9,22 @@
 
 namespace {
 
-/// Times are kept in ticks: 32 bits of them last for 13 years.
+/// Resolution of stored times; 32 bits of ticks suffice for 13 years.
 constexpr Duration TickLength(100'000);
-/// Entries looked at when one must be dropped. Sixteen find one among the
-/// oldest fifth with probability 0.97.
+/// Entries examined to select a victim. With 16, the victim is among the oldest
+/// fifth with probability 0.97.
 constexpr size_t EvictionSample = 16;
-/// As many when none of them is a flow of a single packet: during a flood such
-/// flows are common, and missing them would cost an established flow.
+/// Entries examined if none of the first sample is a flow with a single packet.
+/// Such flows are common during a flood, and missing them would evict an
+/// established flow.
 constexpr size_t ExtendedEvictionSample = 256;
-/// Two lines, as CPUs fetch them in pairs: shards share none.
+/// Alignment of shards, so that they share no cache line: two lines, since CPUs
+/// fetch lines in pairs.
 constexpr size_t CacheLine = 128;
 constexpr uint32_t HandleBits = 22;
-/// Reads that met a writer before a reader waits for the lock. A writer takes
-/// less time than one read, so this is met only when a writer was preempted.
+/// Optimistic reads that fail because of a writer before the reader takes the
+/// lock. A write takes less time than a read, so this limit is reached only if
+/// a writer was preempted.
 constexpr int MaxOptimisticReads = 64;
 constexpr size_t InitialSlots = 16;
 
@@ -31,13 +34,13 @@
 
 uint64_t mixHash(FlowId flow) { return combineHash(flow.Value, 1); }
 
-/// One flow in 16 bytes.
+/// A flow; packed into 16 bytes in its slot.
 struct Entry {
-  uint64_t Flow = 0;              ///< Zero: free.
+  uint64_t Flow = 0;              ///< Zero if the slot is free.
   uint32_t LastSeen = 0;          ///< In ticks.
-  uint32_t Handle = 0;            ///< Of its server.
-  bool HasSeveralPackets = false; ///< It has sent more than one packet.
-  uint8_t Tag = 0;                ///< As set by mark().
+  uint32_t Handle = 0;            ///< Handle of its server.
+  bool HasSeveralPackets = false; ///< The flow has sent more than one packet.
+  uint8_t Tag = 0;                ///< As set by setTag().
 };
 
 uint64_t pack(const Entry &e) {
@@ -57,7 +60,7 @@
   return e;
 }
 
-/// A power of two of slots; never moves or shrinks.
+/// Fixed-size array of slots; the size is a power of two.
 class SlotArray {
 public:
   explicit SlotArray(size_t count) : Mask(count - 1), Slots(count) {}
@@ -66,7 +69,7 @@
   size_t next(size_t i) const { return (i + 1) & Mask; }
   size_t homeSlot(uint64_t flow) const { return mixHash(FlowId{flow}) & Mask; }
 
-  // Acquire and release order the slots with the shard's version, see
+  // Acquire and release ordering between the slots and the shard's version; see
   // FlowTable::Shard::read.
   Entry get(size_t i) const {
     uint64_t flow = Slots[i].Flow.load(std::memory_order_acquire);
@@ -76,7 +79,7 @@
     Slots[i].Flow.store(e.Flow, std::memory_order_release);
     Slots[i].Rest.store(pack(e), std::memory_order_release);
   }
-  /// Where the flow stands, or nothing. Ends even while a writer moves entries.
+  /// Slot of a flow, if present. Terminates even while a writer moves entries.
   std::optional<size_t> find(uint64_t flow) const {
     size_t i = homeSlot(flow);
     for (size_t n = 0; n <= Mask; ++n, i = next(i)) {
@@ -88,7 +91,8 @@
     }
     return std::nullopt;
   }
-  /// Puts an entry that is not there into the first free slot on its way.
+  /// Inserts an entry into the first free slot of its probe sequence.
+  /// Precondition: the flow is not present, and a slot is free.
   size_t place(const Entry &e) {
     size_t i = homeSlot(e.Flow);
     while (Slots[i].Flow.load(std::memory_order_relaxed) != 0)
@@ -108,13 +112,14 @@
 
 } // namespace
 
-/// One shard: an open-addressing table with linear probing and no tombstones.
-/// Its order depends on the flows alone, so that a replay drops the same ones.
+/// One shard: an open-addressing hash table with linear probing and no
+/// tombstones. The order of entries depends only on the flows, so that a replay
+/// evicts the same ones.
 ///
-/// Writers hold the lock. Readers don't write to memory at all, since a lock
-/// whose line moves from core to core with each lookup kept 12 threads from
-/// being faster than one: they read under a version that writers raise before
-/// and after (a sequence lock) and read again when it changed.
+/// Writers hold the lock. Readers use a sequence lock and write no memory:
+/// writers increment the version before and after a change, and readers retry
+/// if it changed. With a lock for readers, whose cache line moves between cores
+/// on each lookup, 12 threads were no faster than one.
 class alignas(CacheLine) FlowTable::Shard {
 public:
   Shard() {
@@ -122,7 +127,7 @@
     Current = Arrays.back().get();
   }
 
-  /// Holds the lock and keeps readers off for its own lifetime.
+  /// Holds the lock and makes concurrent readers retry during its lifetime.
   class WriteGuard {
   public:
     explicit WriteGuard(Shard &shard)
@@ -142,7 +147,7 @@
     std::atomic<uint64_t> &Version;
   };
 
-  /// The flow's entry. Thread-safe without the lock.
+  /// Returns the flow's entry. Thread-safe without the lock.
   std::optional<Entry> read(uint64_t flow) const {
     for (int tries = 0; tries < MaxOptimisticReads; ++tries) {
       uint64_t before = Version.load(std::memory_order_acquire);
@@ -154,17 +159,19 @@
       if (Version.load(std::memory_order_relaxed) == before)
         return at ? std::optional<Entry>(e) : std::nullopt;
     }
-    // Writers are too busy: wait for them.
+    // Too many retries: wait for the writer's lock.
     std::lock_guard<std::mutex> lock(Lock);
     std::optional<size_t> at = slots().find(flow);
     return at ? std::optional<Entry>(slots().get(*at)) : std::nullopt;
   }
 
-  // All below: under the lock; what writes, within a Writer.
+  // The functions below require the lock; those that write require a
+  // WriteGuard.
   SlotArray &slots() const { return *Arrays.back(); }
   size_t used() const { return Used; }
-  /// Bytes, with the outgrown arrays: a reader may still look at one, so they
-  /// stay until the end. Together they are as large as the current one.
+  /// Memory in bytes, including outgrown arrays. Those are kept for the shard's
+  /// lifetime, since a reader may still use one; together they are as large as
+  /// the current array.
   size_t bytes() const {
     size_t n = sizeof(Shard);
     for (const auto &it : Arrays)
@@ -172,7 +179,7 @@
     return n;
   }
 
-  /// Precondition: the flow is not there.
+  /// Precondition: the flow is not present.
   void insert(const Entry &e) {
     if ((Used + 1) * 4 > slots().size() * 3)
       grow();
@@ -181,8 +188,8 @@
   }
 
   void erase(size_t hole) {
-    // Move back each entry that probed past the hole, so that no search stops
-    // short of it.
+    // Move back each entry whose probe sequence passes the hole, so that
+    // lookups do not stop before it.
     SlotArray &array = slots();
     size_t mask = array.size() - 1;
     for (size_t i = array.next(hole);; i = array.next(i)) {
@@ -198,7 +205,7 @@
     --Used;
   }
 
-  /// The entry to drop. Precondition: the shard is not empty.
+  /// Selects the entry to evict. Precondition: the shard is not empty.
   size_t selectVictim() {
     SlotArray &array = slots();
     size_t victimAt = 0;
@@ -222,7 +229,7 @@
     return victimAt;
   }
 
-  mutable std::mutex Lock; ///< Held by writers, and for what reads many slots.
+  mutable std::mutex Lock; ///< Held by writers and by scans of many slots.
 
 private:
   void grow() {
@@ -235,11 +242,12 @@
     Cursor = 0;
   }
 
-  std::atomic<uint64_t> Version{0}; ///< Odd while a writer is at work.
-  std::vector<std::unique_ptr<SlotArray>> Arrays;  ///< The last is in use.
-  std::atomic<const SlotArray *> Current{nullptr}; ///< The same, for readers.
+  std::atomic<uint64_t> Version{0}; ///< Odd while a write is in progress.
+  std::vector<std::unique_ptr<SlotArray>> Arrays;  ///< The last one is in use.
+  std::atomic<const SlotArray *> Current{nullptr}; ///< The last array, for
+                                                   ///< readers.
   size_t Used = 0;
-  size_t Cursor = 0; ///< Where the search for one to drop goes on.
+  size_t Cursor = 0; ///< Slot at which the next victim selection continues.
 };
 
 FlowTable::FlowTable(const FlowTableSettings &settings)
@@ -275,7 +283,7 @@
 }
 
 FlowTable::Shard &FlowTable::shardOf(FlowId flow) const {
-  // The low bits choose the slot within the shard.
+  // Use high bits: the low bits select the slot within the shard.
   return *Shards[(mixHash(flow) >> 40) & (Shards.size() - 1)];
 }
 
@@ -319,7 +327,7 @@
   if (flow.Value == 0)
     return false;
   Shard &shard = shardOf(flow);
-  // Most packets change nothing: then no lock is needed.
+  // Most packets change nothing, so they need no lock.
   std::optional<Entry> known = shard.read(flow.Value);
   if (known && known->HasSeveralPackets && known->LastSeen == tickOf(now) &&
       *ServersByHandle[known->Handle].load(std::memory_order_acquire) == server)
@@ -383,7 +391,7 @@
         ++i;
         continue;
       }
-      // Another entry may move into this slot: look at it again.
+      // Erasing may move another entry into this slot, so examine it again.
       --FlowCounts[e.Handle];
       shard->erase(i);
     }
--- a/Balsamrack/Flows/FlowTable.h
+++ b/Balsamrack/Flows/FlowTable.h
@@ -19,63 +19,67 @@
 
 /// Limits of a FlowTable.
 struct FlowTableSettings {
-  size_t MaxFlows = 1'000'000;  ///< Hard bound; 32 to 86 bytes each.
-  uint32_t Shards = 128;        ///< A power of two; ten per thread keeps two
-                                ///< threads from meeting often.
-  uint32_t MaxServers = 16'384; ///< Servers ever named; 12 bytes each.
-  Duration IdleTimeout{900'000'000}; ///< For servers without one of their own.
+  size_t MaxFlows = 1'000'000;  ///< Hard limit; 32 to 86 bytes per flow.
+  uint32_t Shards = 128;        ///< A power of two; about ten per thread keep
+                                ///< lock contention low.
+  uint32_t MaxServers = 16'384; ///< Distinct servers over the table's lifetime;
+                                ///< 12 bytes each.
+  Duration IdleTimeout{900'000'000}; ///< For servers without a timeout of their
+                                     ///< own.
 };
 
-/// Where a flow lives, as the table knows it.
+/// Binding of a flow to a server.
 struct FlowBinding {
   ServerId Server; ///< The server.
-  uint8_t Tag = 0; ///< As last set by mark().
+  uint8_t Tag = 0; ///< As last set by setTag().
 };
 
-/// Which server each flow lives on. Thread-safe; sharded by flow, each shard
-/// under its own lock, which lookups do not take. Deterministic: no hash-map
-/// order is used.
+/// Maps each flow to its server. Thread-safe: sharded by flow, with one lock
+/// per shard that lookups do not take. Deterministic: no result depends on the
+/// iteration order of a hash map.
 ///
-/// Load that it answers: hundreds of thousands of flows on one daemon, many
-/// threads, and floods of flows that send one packet.
+/// Designed for hundreds of thousands of flows on one daemon, many threads, and
+/// floods of flows that send a single packet.
 ///
-/// What is dropped first when a shard is full: of a few entries looked at in
-/// turn, flows that have sent a single packet, then the one idle for longest.
-/// Without the first rule a flood of new flows drops established ones, as a SYN
-/// flood does; without the second a busy flow is dropped as soon as an idle
-/// one. A dropped flow is still found by its token or rank.
+/// Eviction when a shard is full: among a sample of entries, flows with a
+/// single packet are evicted first, then the flow that has been idle for
+/// longest. Without the first rule, a flood of new flows would evict
+/// established ones, as in a SYN flood; without the second, a busy flow would
+/// be as likely a victim as an idle one. An evicted flow is still found by its
+/// token or rank.
 class FlowTable {
 public:
-  /// Makes an empty table. Error kInvalidArgument for settings out of range.
+  /// Creates an empty table. Error kInvalidArgument for settings out of range.
   static absl::StatusOr<std::unique_ptr<FlowTable>>
   create(const FlowTableSettings &settings);
   ~FlowTable();
 
-  /// Where the flow lives, unless it is unknown or idle for too long.
+  /// Returns the flow's binding; empty if the flow is unknown or has exceeded
+  /// its idle timeout.
   std::optional<FlowBinding> find(TimePoint now, FlowId flow) const;
-  /// Notes a packet of the flow and where it lives. False when the flow's id is
-  /// zero or too many servers were named.
+  /// Binds the flow to \p server and records a packet of it. False if the
+  /// flow's id is zero or MaxServers is exceeded.
   bool bind(TimePoint now, FlowId flow, const ServerId &server);
-  /// Sets the mark of a known flow.
+  /// Sets the tag of a flow; no effect if the flow is unknown.
   void setTag(FlowId flow, uint8_t value);
-  /// Forgets a flow.
+  /// Removes a flow.
   void remove(FlowId flow);
-  /// Forgets all flows of a server. Looks at every entry.
+  /// Removes all flows of a server. Scans all entries.
   void removeServer(const ServerId &server);
   /// Sets the idle timeout of a server's flows.
   void setIdleTimeout(const ServerId &server, Duration idle);
-  /// Forgets idle flows. Looks at every entry, one shard locked at a time.
+  /// Removes idle flows. Scans all entries, locking one shard at a time.
   void expire(TimePoint now);
-  /// Flows that live on a server, idle ones that were not yet expired too.
+  /// Number of flows bound to a server, including idle ones not yet removed by
+  /// expire().
   uint32_t countFlows(const ServerId &server) const;
-  /// The flows that live on a server, in order of their ids. Looks at every
-  /// entry.
+  /// Flows bound to a server, in order of their ids. Scans all entries.
   std::vector<FlowId> listFlows(TimePoint now, const ServerId &server) const;
-  /// All flows and where they live, in order of their ids.
+  /// All flows and their servers, in order of the flow ids. Scans all entries.
   std::vector<std::pair<FlowId, ServerId>> listAllFlows(TimePoint now) const;
-  /// All flows held.
+  /// Number of flows stored.
   size_t size() const;
-  /// Bytes held for flows.
+  /// Memory used for flows in bytes.
   size_t bytes() const;
 
 private:
@@ -89,12 +93,14 @@
 
   const FlowTableSettings Settings;
   std::vector<std::unique_ptr<Shard>> Shards;
-  mutable std::shared_mutex HandlesLock; ///< Guards Handles and adding names.
-  absl::flat_hash_map<ServerId, uint32_t> Handles; ///< Looked up only.
+  mutable std::shared_mutex HandlesLock; ///< Guards Handles and the insertion
+                                         ///< of servers.
+  absl::flat_hash_map<ServerId, uint32_t> Handles; ///< Never iterated.
   std::unique_ptr<std::atomic<const ServerId *>[]>
-      ServersByHandle; ///< By handle; a pointer once set stays, so reading
-                       ///< takes no lock.
-  std::unique_ptr<std::atomic<uint32_t>[]> FlowCounts; ///< Flows by handle.
+      ServersByHandle; ///< By handle. A pointer never changes once set, so
+                       ///< readers need no lock.
+  std::unique_ptr<std::atomic<uint32_t>[]> FlowCounts; ///< Number of flows by
+                                                       ///< handle.
   std::unique_ptr<std::atomic<uint32_t>[]> IdleTicks;  ///< By handle.
 };
 
--- a/Balsamrack/Flows/OwnerFlows.cpp
+++ b/Balsamrack/Flows/OwnerFlows.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Counted for each exception and for each batch.
+/// Sizes counted against the byte budget; the server's name comes on top.
 constexpr size_t BytesPerException = 16;
 constexpr size_t BytesPerBatch = 48;
 
@@ -80,10 +80,12 @@
     elsewhere = findBoundServer(now, *v, head.Service, head.Flow);
   if (!elsewhere)
     return {FlowVerdict::Unknown, ServerId()};
-  // Handed over before our view said that the server is ours.
+  // The flow was handed over before the local view made this daemon the
+  // server's owner.
   if (*elsewhere == server)
     return bindFlow(now, head, server, FlowVerdict::Accepted);
-  // Keep an exception alive for as long as the flow sends packets.
+  // Refresh the exception, so that it does not expire while the flow sends
+  // packets.
   if (!home)
     Exceptions->bind(now, head.Flow, *elsewhere);
   return {FlowVerdict::Elsewhere, *elsewhere};
@@ -95,10 +97,11 @@
   Flows->bind(now, head.Flow, server);
   if (how != FlowVerdict::Known)
     Exceptions->remove(head.Flow);
-  // A new flow is told about from its second packet on: admission may refuse
-  // the first one, and then the flow goes to another server. Told at once, the
-  // refusing owner's word could reach the first candidate's owner after that of
-  // the flow's home, and later packets would be sent to the wrong server.
+  // Announce a new flow only from its second packet on, since admission may
+  // refuse the first one and the flow then goes to another server. If it were
+  // announced at once, the announcement of the refusing owner could reach the
+  // first candidate's owner after that of the flow's actual owner, and later
+  // packets would be sent to the wrong server.
   std::shared_ptr<const RoutingView> v = view();
   if (v && how != FlowVerdict::New)
     announceDisplacedFlow(now, *v, head, server);
@@ -112,8 +115,8 @@
   const ServiceRoute *route = view.findService(service);
   for (const FlowTable *table : {Flows.get(), Exceptions.get()}) {
     std::optional<FlowBinding> home = table->find(now, flow);
-    // A server that was deleted is no home any more: naming it would have the
-    // flow refused for ever.
+    // Ignore servers that were deleted: returning one would cause the flow to
+    // be refused permanently.
     if (home && route && route->find(home->Server))
       return home->Server;
   }
@@ -131,7 +134,7 @@
     std::lock_guard<std::mutex> lock(ViewLock);
     generation = ViewGeneration;
   }
-  // Told under this view already.
+  // Skip flows that were already announced under this generation.
   std::optional<FlowBinding> home = Flows->find(now, head.Flow);
   if (!home || home->Tag == generation)
     return;
@@ -142,9 +145,10 @@
     return;
   if (!isOwnedHere(view, first))
     return enqueueException(first.Owner, head.Service, head.Flow, server);
-  // Both are ours: our death would lose the flow and the exception together,
-  // and the next owner would take the flow in on its first candidate. So the
-  // best-ranked other owner, which the question asks too, keeps a copy.
+  // This daemon owns both servers, so its death would lose the flow and the
+  // exception together, and the next owner would accept the flow on its first
+  // candidate. So send a copy to the best-ranked other owner, which a flow
+  // search also asks.
   for (size_t i : route->Rank.topCandidates(head.Flow, route->Servers.size())) {
     const RoutedServer &it = route->Servers[i];
     if (isOwnedHere(view, it) || !it.isReachable())
@@ -200,7 +204,8 @@
     reply.Server = *home;
     return reply;
   }
-  // Of our servers that we took over blindly, the likeliest.
+  // The flow is unknown: report the likeliest server among those taken over
+  // without a hand-over.
   for (size_t i :
        route->Rank.topCandidates(question.Flow, route->Servers.size())) {
     const RoutedServer &it = route->Servers[i];
@@ -218,7 +223,7 @@
   const ServiceRoute *route = v ? v->findService(exceptions.Service) : nullptr;
   for (const FlowException &it : exceptions.Flows) {
     const RoutedServer *server = route ? route->find(it.Server) : nullptr;
-    // Handed over with its server; what we saw ourselves is newer.
+    // The flow was handed over with its server. A local record is newer.
     if (server && isOwnedHere(*v, *server)) {
       if (!Flows->find(now, it.Flow))
         Flows->bind(now, it.Flow, it.Server);
@@ -269,11 +274,12 @@
   auto firstIs = [&](FlowId flow) {
     return route.Servers[route.Rank.firstCandidate(flow)].Server.Id == server;
   };
-  // All flows on the server: naming one costs some 25 bytes once, while each
-  // flow that the next owner doesn't know costs questions of a kilobyte.
+  // Export all flows on the server: each costs about 25 bytes once, while each
+  // flow that the next owner does not know costs about a kilobyte of questions.
   for (FlowId flow : Flows->listFlows(now, server))
     out.Flows.push_back({flow, server});
-  // And those that its rank names but that live elsewhere.
+  // Export also the flows that rank the server first but are bound to another
+  // server.
   for (const FlowTable *table : {Flows.get(), Exceptions.get()})
     for (const auto &[flow, home] : table->listAllFlows(now))
       if (home != server && route.find(home) && firstIs(flow))
--- a/Balsamrack/Flows/OwnerFlows.h
+++ b/Balsamrack/Flows/OwnerFlows.h
@@ -18,85 +18,94 @@
 
 namespace balsamrack {
 
-/// What an owner makes of a forwarded packet's flow.
+/// An owner's verdict on the flow of a forwarded packet.
 struct FlowVerdict {
-  /// The kinds of verdict.
+  /// Kind of the verdict.
   enum Kind {
-    Known,     ///< The flow lives on the server asked for: dispatch.
-    New,       ///< The packet opens the flow, now bound here: dispatch.
-    Accepted,  ///< Established, unknown here, now bound here: dispatch.
-    Elsewhere, ///< Answer NotRun FlowElsewhere, naming Server.
-    Unknown,   ///< Answer NotRun FlowElsewhere, naming no server.
+    Known,     ///< The flow is bound to the requested server: dispatch.
+    New,       ///< The packet opens the flow, which is now bound to the
+               ///< requested server: dispatch.
+    Accepted,  ///< An established flow that was unknown here is now bound to
+               ///< the requested server: dispatch.
+    Elsewhere, ///< Reply NotRun with FlowElsewhere and Server.
+    Unknown,   ///< Reply NotRun with FlowElsewhere and no server.
   };
-  Kind How = Unknown; ///< The verdict.
-  ServerId Server;    ///< Where the flow lives; empty when Unknown.
+  Kind How = Unknown; ///< Kind of the verdict.
+  ServerId Server;    ///< Server of the flow; empty if Unknown.
 };
 
 /// Limits of OwnerFlows.
 struct OwnerFlowsSettings {
-  FlowTableSettings Flows;      ///< Flows on our servers.
-  FlowTableSettings Exceptions; ///< Flows ranked here that live elsewhere.
-  bool KeepExceptions = true;   ///< Off in measurements only.
-  size_t MaxQueued = 20'000;    ///< Exceptions waiting to be sent; beyond it
-                                ///< the oldest is dropped, as the question
-                                ///< layer still finds its flow.
+  FlowTableSettings Flows;      ///< For flows on servers of this owner.
+  FlowTableSettings Exceptions; ///< For flows whose first candidate is a server
+                                ///< of this owner, but that are bound to
+                                ///< another server.
+  bool KeepExceptions = true;   ///< False in measurements only.
+  size_t MaxQueued = 20'000;    ///< Exceptions queued for sending. Beyond it
+                                ///< the oldest is dropped, since a flow search
+                                ///< still finds the flow.
 };
 
-/// A batch for one peer.
+/// Exceptions to send to one peer.
 struct ExceptionBatch {
-  EntryVm To;           ///< Whom to send it to.
-  FlowExceptions Batch; ///< What.
+  EntryVm To;           ///< Receiver.
+  FlowExceptions Batch; ///< Exceptions of one service.
 };
 
-/// What an owner knows of flows: those on its servers, and those whose first
-/// candidate is one of its servers but that live elsewhere. Thread-safe.
+/// Flows known to an owner: those bound to its servers, and exceptions, whose
+/// first candidate is one of its servers but which are bound to another server.
+/// Thread-safe.
 ///
-/// Load that it answers: planned changes and refusals that leave flows on
-/// another server than their rank says. Without it a flow's later packets,
-/// handed to any daemon, go to a server that has never seen the flow.
+/// Planned changes and refusals leave flows on other servers than their first
+/// candidates. Without these records, later packets of such a flow, which may
+/// arrive at any daemon, would go to a server that has never seen the flow.
 class OwnerFlows {
 public:
-  /// Makes an empty memory. Error kInvalidArgument for settings out of range.
+  /// Creates empty tables. Error kInvalidArgument for settings out of range.
   static absl::StatusOr<std::unique_ptr<OwnerFlows>>
   create(const OwnerFlowsSettings &settings);
 
-  /// Takes the view in force, which says which servers are ours.
+  /// Sets the view in force, which defines the servers of this owner.
   void setView(std::shared_ptr<const RoutingView> view);
 
-  /// Judges a Forward for \p server, one of ours. Known, New and Accepted bind
-  /// or refresh the flow; a New flow that admission then refuses must be taken
-  /// back by forget(). Accept or ByToken never gives Elsewhere or Unknown.
+  /// Resolves the flow of a Forward for \p server. Precondition: this daemon
+  /// owns \p server. Known, New and Accepted bind or refresh the flow; if
+  /// admission then refuses a New flow, the caller must undo that by
+  /// removeFlow(). Never returns Elsewhere or Unknown if \p accept or \p
+  /// byToken is set.
   FlowVerdict resolveFlow(TimePoint now, const Envelope &head,
                           const ServerId &server, bool accept, bool byToken);
-  /// Answers an entry's question.
+  /// Answers a question of an entry.
   FlowReply answerQuestion(TimePoint now, const FlowQuestion &question) const;
-  /// Takes in exceptions that another owner sent.
+  /// Adds flows that another owner sent as exceptions or handed over.
   void addFlows(TimePoint now, const FlowExceptions &exceptions);
-  /// What to send to other owners now, at most \p maxBytes together (16 bytes
-  /// a flow and a name are counted).
+  /// Dequeues the exceptions to send to other owners now, at most \p maxBytes
+  /// in total (counted as 16 bytes plus the server's name per flow, and 48
+  /// bytes per batch).
   std::vector<ExceptionBatch> dequeueBatches(TimePoint now, size_t maxBytes);
-  /// Forgets a flow that ended or was refused.
+  /// Removes a flow that ended or was refused.
   void removeFlow(FlowId flow);
-  /// Forgets the flows of a server that is gone or no longer ours.
+  /// Removes the flows of a server that was deleted or has another owner now.
   void removeServer(const ServerId &server);
-  /// Says that flows of \p server, taken over from an owner that handed nothing
-  /// over, may exist unknown to us until \p until.
+  /// Marks \p server as fresh until \p until: it was taken over from an owner
+  /// without a hand-over, so it may have flows that are unknown here.
   void setFreshUntil(const ServerId &server, TimePoint until);
-  /// The same for as long as a flow of the server may be idle: one that was
-  /// silent all the time may still send a packet then.
+  /// Marks \p server as fresh for the idle timeout of its flows, since a flow
+  /// that was idle all that time may still send a packet.
   void markTakenOver(TimePoint now, const ServerId &server);
-  /// The flows of \p server, and those ranked there that live elsewhere: call
-  /// before dropServer, send to the next owner, which learns them.
+  /// Exports the flows bound to \p server, and those that rank it first but are
+  /// bound to other servers. Call it before removeServer() and send the result
+  /// to the next owner, which passes it to addFlows().
   FlowExceptions exportFlows(TimePoint now, const ServerId &server) const;
-  /// Forgets idle flows; call every few seconds.
+  /// Removes idle flows. Call it every few seconds.
   void expire(TimePoint now);
-  /// Flows that live on a server of ours.
+  /// Number of flows bound to a server of this owner.
   uint32_t countFlows(const ServerId &server) const;
-  /// The flows on a server, in order of their ids.
+  /// Flows bound to a server, in order of their ids.
   std::vector<FlowId> listFlows(TimePoint now, const ServerId &server) const;
-  /// Flows and exceptions held.
+  /// Number of flows and exceptions stored.
   size_t size() const;
-  /// Bytes held for them.
+  /// Memory used for them in bytes.
   size_t bytes() const;
 
 private:
@@ -127,9 +136,10 @@
   std::unique_ptr<FlowTable> Exceptions;
   mutable std::mutex ViewLock; ///< Guards View, ViewGeneration and FreshUntil.
   std::shared_ptr<const RoutingView> View;
-  uint64_t ViewHash = 0;      ///< Of what ranks and owners depend on.
-  uint8_t ViewGeneration = 1; ///< Changes with ViewHash; flows told under an
-                              ///< older one are told again. Never zero.
+  uint64_t ViewHash = 0;      ///< Hash of the view's ranks and owners.
+  uint8_t ViewGeneration = 1; ///< Changes with ViewHash; flows that were
+                              ///< announced under an older generation are
+                              ///< announced again. Never zero.
   std::map<ServerId, TimePoint> FreshUntil;
   std::mutex QueueLock; ///< Guards Queue. Never held with ViewLock.
   std::deque<QueuedException> Queue;
