--- a/Balsamrack/Flows/KeyClaims.cpp
+++ b/Balsamrack/Flows/KeyClaims.cpp
@@ -27,7 +27,7 @@
 std::vector<EntryVm> KeyClaims::updateReplicas(const KeyDigest &key,
                                                const KeyReplicaView &view,
                                                const EntrySettings &settings) {
-  // A guardian that died without an answer can't object any more.
+  // A replica that died without replying can no longer refuse the key.
   for (Replica &it : Replicas)
     if (it.Status != State::Answered && !isMember(view, it.Vm.Id))
       it.Status = State::Dead;
@@ -42,8 +42,9 @@
     Replicas.push_back({vm, unreachable ? State::NoAnswer : State::Waiting,
                         KeyVerdict::InProgress, false});
   }
-  // Refused for as long as the cut lasts: then nobody needs to be bothered, and
-  // a caller that was told "not run" would come back again and again in vain.
+  // The request will be refused for as long as a replica is unreachable, so
+  // send no claims. Otherwise another replica's reply could end it as "not
+  // run", and the caller would retry in vain.
   std::vector<EntryVm> toSend;
   if (anyUnreachable &&
       settings.OnUnreachableReplica == UnreachableReplicaPolicy::Refuse) {
@@ -110,7 +111,7 @@
 }
 
 KeyClaims::Result KeyClaims::evaluate(const EntrySettings &settings) const {
-  // One guardian that knows the key is enough to refuse.
+  // One replica that knows the key suffices to refuse.
   if (findReplicaKnowingKey())
     return Result::Refuse;
   bool granted = false;
@@ -126,18 +127,19 @@
   if (hasMissingReply() &&
       settings.OnUnreachableReplica == UnreachableReplicaPolicy::Refuse)
     return Result::Refuse;
-  // Fresh guardians alone prove nothing: the ones before them took the key's
-  // history with them. Without this rule the death of all guardians of a key
-  // would let its repeat run.
+  // Fresh replicas alone prove nothing, since the key's history was lost with
+  // their predecessors. Without this rule, a repeat would run after all
+  // replicas of its key died.
   if (granted || (fresh && settings.AssumeNoEarlierKeys))
     return Result::Run;
   return Result::Refuse;
 }
 
 bool KeyClaims::isProvenNotRun(const EntrySettings &settings) const {
-  // Under the policy Refuse every run had each guardian's word, so one that
-  // would know of a run and doesn't proves that there was none. Under the other
-  // policy the key may have run on the far side of a cut.
+  // Under the policy Refuse, each run was confirmed by every replica, so a
+  // replica that would know of a run and does not proves that there was none.
+  // Under the other policy, the key may have run on the other side of a network
+  // partition.
   return settings.OnUnreachableReplica == UnreachableReplicaPolicy::Refuse &&
          !findReplicaKnowingKey() &&
          std::any_of(Replicas.begin(), Replicas.end(), [](const Replica &it) {
--- a/Balsamrack/Flows/KeyClaims.h
+++ b/Balsamrack/Flows/KeyClaims.h
@@ -10,55 +10,53 @@
 
 namespace balsamrack {
 
-/// The claims that one request makes to the guardians of its key.
+/// Claims of one request to the replicas of its idempotency key.
 ///
-/// Failure guarded against: a deposit charged twice, because the caller sent it
-/// again on another flow or through another daemon while the first try was
-/// queued, running, answered, or its owner had died. The guard holds because a
-/// guardian notes a claim before it answers, and a request runs only when every
-/// guardian that is not known dead answered, none knows the key and one of them
+/// Prevents a request, such as a deposit, from running twice when the caller
+/// repeats it on another flow or through another daemon while the first attempt
+/// is queued, running, answered, or lost with its owner. This holds because a
+/// replica stores a claim before it replies, and a request runs only if every
+/// replica not known to be dead replied, none knows the key, and one of them
 /// would know it (Granted, not Fresh). Not thread-safe.
 class KeyClaims {
 public:
-  /// What the answers so far amount to.
+  /// Result of the replies so far.
   enum class Result {
-    Waiting, ///< Answers are missing.
+    Waiting, ///< Replies are outstanding.
     Run,     ///< The request may run.
-    Refuse,  ///< It may not; see why().
+    Refuse,  ///< It must not run; see refusalReason().
   };
 
-  /// Adds the key's guardians of \p view that were not claimed from before, and
-  /// takes those that are no longer members for dead. Returns the guardians to
-  /// send a claim to.
+  /// Adds the key's replicas under \p view that are new, and marks those that
+  /// are no longer members as dead. Returns the replicas to send a claim to.
   std::vector<EntryVm> updateReplicas(const KeyDigest &key,
                                       const KeyReplicaView &view,
                                       const EntrySettings &settings);
-  /// Notes an answer; false when it was not asked for or came before.
+  /// Records a reply; false if it is unsolicited or a duplicate.
   bool recordReply(const VmId &from, KeyVerdict verdict);
-  /// Notes that no answer will come; false when none was awaited.
+  /// Records that a replica will not reply; false if no reply was outstanding.
   bool recordNoReply(const VmId &from);
-  /// Notes that no answer came in time from those still awaited.
+  /// Records that the outstanding replies timed out.
   void recordTimeout();
-  /// Judges the answers so far.
+  /// Evaluates the replies received so far.
   Result evaluate(const EntrySettings &settings) const;
-  /// Why the request may not run. Precondition: judge() said Refuse.
+  /// Why the request must not run. Precondition: evaluate() returned Refuse.
   Reason refusalReason() const;
-  /// True when a guardian gave its word that no earlier attempt ran, though the
-  /// request may not run for want of another's. Precondition: judge() said
-  /// Refuse.
+  /// True if a replica confirmed that no earlier attempt ran, although the
+  /// request must not run because another replica's reply is missing.
+  /// Precondition: evaluate() returned Refuse.
   bool isProvenNotRun(const EntrySettings &settings) const;
-  /// True when a guardian that may be alive gave no answer.
+  /// True if a replica that may be alive did not reply.
   bool hasMissingReply() const;
-  /// True when updates that are under way may still turn Refuse into Run: a
-  /// guardian leaves and is handing over what it knows, or this daemon has just
-  /// started and knows of fewer daemons than a key has guardians. \p view is
-  /// the present one.
+  /// True if pending updates may still turn Refuse into Run: a replica is
+  /// leaving and handing over its keys, or this daemon has just started and
+  /// knows fewer daemons than a key has replicas. \p view is the current one.
   bool mayBecomeGranted(const KeyReplicaView &view,
                         const EntrySettings &settings) const;
-  /// Forgets the answers that such updates may change. Returns the guardians to
-  /// send the same claim to once more.
+  /// Discards the replies that such updates may change. Returns the replicas to
+  /// send the same claim to again.
   std::vector<EntryVm> resetForResend();
-  /// All guardians that a claim was sent to.
+  /// All replicas that a claim was sent to.
   std::vector<EntryVm> claimedReplicas() const;
 
 private:
@@ -66,8 +64,8 @@
   struct Replica {
     EntryVm Vm;
     State Status = State::Waiting;
-    KeyVerdict Verdict = KeyVerdict::InProgress; ///< Set when Answered.
-    bool Sent = false;                           ///< A claim left for it.
+    KeyVerdict Verdict = KeyVerdict::InProgress; ///< Valid if Answered.
+    bool Sent = false;                           ///< A claim was sent to it.
   };
   Replica *find(const VmId &vm);
   static bool isUnable(const Replica &replica);
--- a/Balsamrack/Flows/KeyStore.cpp
+++ b/Balsamrack/Flows/KeyStore.cpp
@@ -16,14 +16,14 @@
   return combineHash(combineHash(key.High, key.Low), vm.hash());
 }
 
-/// Does \p a come before \p b in the key's order?
+/// True if \p a ranks before \p b for the key.
 bool ranksBefore(const KeyDigest &key, const VmId &a, const VmId &b) {
   uint64_t ca = rankHash(key, a);
   uint64_t cb = rankHash(key, b);
   return ca != cb ? ca < cb : a < b;
 }
 
-/// All daemons of the key memory, present and departed.
+/// All daemons that were members within the key memory, present and departed.
 std::set<VmId> knownDaemons(const KeyReplicaView &view) {
   std::set<VmId> all(view.RecentlyDeparted.begin(),
                      view.RecentlyDeparted.end());
@@ -32,7 +32,7 @@
   return all;
 }
 
-/// How many of \p vms come before \p vm in the key's order.
+/// Number of \p vms that rank before \p vm for the key.
 size_t rankAmong(const KeyDigest &key, const VmId &vm,
                  const std::set<VmId> &vms) {
   return static_cast<size_t>(
@@ -59,17 +59,18 @@
   return vms;
 }
 
-/// One shard of the remembered keys.
+/// One shard of the stored keys.
 class KeyStore::Shard {
 public:
-  /// What is remembered of a key.
+  /// Record of a key.
   struct Record {
-    RequestId Request;  ///< The attempt that holds it.
+    RequestId Request;  ///< Attempt that holds the key.
     KeyVerdict Verdict; ///< InProgress, Answered or Unknown.
-    TimePoint At;       ///< Of the claim or, later, of its ending.
+    TimePoint At;       ///< Time of the claim or, once it is settled, of its
+                        ///< ending.
   };
 
-  std::mutex Lock; ///< Guards all that follows.
+  std::mutex Lock; ///< Guards the members below.
   std::map<KeyDigest, Record> Records;
   std::deque<std::pair<TimePoint, KeyDigest>> ByAge; ///< Oldest first.
 
@@ -82,7 +83,7 @@
     while (!ByAge.empty() && ByAge.front().first + memory <= now) {
       auto [at, key] = ByAge.front();
       ByAge.pop_front();
-      // A record that was touched since has a later place in the order.
+      // A record that was updated since has a later entry in ByAge.
       auto it = Records.find(key);
       if (it != Records.end() && it->second.At + memory <= now)
         Records.erase(it);
@@ -118,26 +119,27 @@
 bool KeyStore::hasFullHistory(TimePoint now, const KeyDigest &key,
                               const KeyReplicaView &view,
                               const VmId &self) const {
-  // Every view of the last key memory was made of present members and of those
-  // that departed within it. A rank can only get better when others are left
-  // out, so a daemon that is a guardian over all of them was one in each of
-  // those views: each claim of the key was sent to it and waited for its word.
-  // Without this check the repeat of a key whose guardians died would be
-  // granted by their successors, which never heard of the first attempt.
+  // Each view within the last key memory consisted of present members and of
+  // members that departed within it. Removing others can only improve a rank,
+  // so a daemon that is a replica among all of them was a replica in each of
+  // those views: each claim of the key was sent to it and waited for its reply.
+  // Without this check, the repeat of a key whose replicas died would be
+  // granted by their successors, which have no record of the first attempt.
   if (rankAmong(key, self, knownDaemons(view)) >= Settings.KeyReplicaCount)
     return false;
   return isUpForKeyMemory(now) || isCoveredByHandOver(now, key);
 }
 
 bool KeyStore::isCoveredByHandOver(TimePoint now, const KeyDigest &key) const {
-  // A guardian that left told us every key that it knew and that we guard. For
-  // a key that it was itself sure of, we know all that was claimed until it
-  // left; and since then each claim was sent to us, since we are a guardian
-  // over all who may have been there, which our caller has checked. The donor
-  // is counted among those: it may have come back, taken claims and died. (A
-  // trial that left it out ran a key twice just so.) Without this rule a fleet
-  // whose daemons are restarted one after the other refuses every key until the
-  // key memory has passed.
+  // A replica that left sent this daemon every key that it stored and of which
+  // this daemon is a replica. For keys of which the sender had the full
+  // history, this daemon therefore knows all claims until the sender left.
+  // Since then each claim was sent to this daemon, because it is a replica
+  // among all daemons that may have been members, which the caller checked. The
+  // sender counts as one of those daemons: it may have returned, accepted
+  // claims and died. (Leaving it out let a key run twice.) Without this rule, a
+  // rolling restart of the fleet would refuse every key until the key memory
+  // has passed.
   std::lock_guard<std::mutex> lock(HandOverLock);
   return std::any_of(CompleteSenders.begin(), CompleteSenders.end(),
                      [&](const auto &it) {
@@ -159,15 +161,16 @@
     reply.Verdict = it->second.Verdict;
     return reply;
   }
-  // Asked under the shard's lock: a claim is in the hand-over or not granted.
+  // Read under the shard's lock, so that a claim is either part of the
+  // hand-over or not granted.
   if (HandedOver)
     return reply;
   if (it == shard.Records.end()) {
-    // Full: refuse rather than forget a key that may have run.
+    // If full, refuse the claim instead of evicting a key that may have run.
     if (shard.Records.size() >= Settings.MaxKeys / Settings.Shards)
       return reply;
-    // Noted before the reply leaves, so that of two attempts at most one is
-    // granted, whatever becomes of the replies.
+    // Store the claim before the reply is sent, so that at most one of two
+    // attempts is granted even if replies are lost.
     shard.put(claim.Key, {claim.Request, KeyVerdict::InProgress, now});
   }
   reply.Verdict = hasFullHistory(now, claim.Key, view, self)
@@ -184,12 +187,13 @@
   shard.expire(now, Settings.KeyMemory);
   auto it = shard.Records.find(settled.Key);
   if (it == shard.Records.end()) {
-    // Its claim was noted by another guardian only; knowing does no harm.
+    // Only another replica has stored the claim. Storing the ending here as
+    // well does no harm.
     if (ran && shard.Records.size() < Settings.MaxKeys / Settings.Shards)
       shard.put(settled.Key, {settled.Request, verdictOf(settled.How), now});
     return;
   }
-  // Another attempt holds the key: its ending is not this one's to tell.
+  // Another attempt holds the key, so this attempt must not settle it.
   if (it->second.Request != settled.Request)
     return;
   if (ran)
@@ -206,8 +210,9 @@
   for (const EntryVm &it : view.Members)
     messages[it.Id].push_back({it, {}});
 
-  // Each key to all that guard it without us: also to those that did before,
-  // since one of them may have joined after the key was claimed.
+  // Send each key to all its replicas without this daemon, including those that
+  // were replicas before, since one of them may have joined after the key was
+  // claimed.
   for (const auto &shard : Shards) {
     std::lock_guard<std::mutex> lock(shard->Lock);
     for (const auto &[key, record] : shard->Records)
@@ -221,7 +226,7 @@
       }
   }
 
-  // The last message of each tells how many there were.
+  // The last message to each receiver states the total number of keys.
   std::set<VmId> among = knownDaemons(view);
   among.insert(self);
   std::vector<HandOverMessage> all;
@@ -254,8 +259,8 @@
     shard.put(entry.Key, {entry.Request, entry.Verdict, now - entry.Age});
     return true;
   }
-  // Another attempt noted itself here meanwhile. Neither may free the key for
-  // the other: it stays until it expires.
+  // Another attempt claimed the key here meanwhile. Neither attempt may free
+  // the key for the other, so it stays until it expires.
   if (known->second.Request != entry.Request)
     shard.put(entry.Key, {RequestId(), KeyVerdict::Unknown, now});
   return true;
@@ -266,14 +271,14 @@
   for (const KeysHandedOver::Entry &it : keys.Keys)
     stored += importKey(now, it) ? 1 : 0;
   std::lock_guard<std::mutex> lock(HandOverLock);
-  // By run: what is left of an earlier hand-over must not make up for a message
-  // that this one lost.
+  // Count per incarnation: messages left from an earlier hand-over must not
+  // make up for messages that this one lost.
   const std::pair<VmId, Incarnation> from(keys.From, keys.Run);
   Received[from] += stored;
   if (!keys.Complete)
     return;
-  // A message that was lost with its connection, or a key that found no room,
-  // shows as a difference: then the hand-over proves nothing.
+  // If a message was lost with its connection, or a key did not fit into the
+  // store, the counts differ and the hand-over is not treated as complete.
   if (Received[from] == keys.Total && keys.SenderHasFullHistory)
     CompleteSenders[keys.From] = {
         now, {keys.KnownDaemons.begin(), keys.KnownDaemons.end()}};
--- a/Balsamrack/Flows/KeyStore.h
+++ b/Balsamrack/Flows/KeyStore.h
@@ -17,68 +17,71 @@
 
 namespace balsamrack {
 
-/// The guardians of a key among \p members: the first \p count by rendezvous of
+/// Replicas of a key: the first \p count of \p members by rendezvous hashing of
 /// the key. Pure, thread-safe.
 std::vector<EntryVm> keyReplicas(const KeyDigest &key,
                                  const std::vector<EntryVm> &members,
                                  size_t count);
 
-/// Limits of a KeyStore. KeyReplicaCount and KeyMemory must be those of the
+/// Limits of a KeyStore. KeyReplicaCount and KeyMemory must equal those of the
 /// entries.
 struct KeyStoreSettings {
-  uint32_t KeyReplicaCount = 2;     ///< Guardians of a key.
-  Duration KeyMemory{600'000'000};  ///< How long a key is remembered.
-  bool AssumeNoEarlierKeys = false; ///< First installation: no key ran before
-                                    ///< this daemon started.
-  size_t MaxKeys = 1'000'000;       ///< Hard bound, about 100 bytes each.
-  uint32_t Shards = 16;             ///< Each under its own lock.
+  uint32_t KeyReplicaCount = 2;     ///< Daemons that store each key.
+  Duration KeyMemory{600'000'000};  ///< How long a key is stored.
+  bool AssumeNoEarlierKeys = false; ///< True on a first installation, where no
+                                    ///< key ran before this daemon started.
+  size_t MaxKeys = 1'000'000;       ///< Hard limit; about 100 bytes per key.
+  uint32_t Shards = 16;             ///< One lock per shard.
 };
 
-/// Remembers idempotency keys, so that a repeat on another flow, at another
-/// daemon or after the owner's death is not run again. Thread-safe.
+/// Stores idempotency keys as one of their replicas, so that a repeated request
+/// on another flow, at another daemon or after the owner's death is not run
+/// again. Thread-safe.
 ///
-/// When it is full, expired keys go first; then a new key is answered Unable
-/// rather than a remembered one forgotten: forgetting could run a deposit
-/// twice, refusing costs a retry later.
+/// When the store is full, expired keys are removed first. If that is not
+/// enough, a new key is answered Unable instead of evicting a stored one: an
+/// eviction could let a request run twice, for example a deposit, while a
+/// refusal only costs a later retry.
 class KeyStore {
 public:
-  /// \p started is when this daemon began to guard keys. Error kInvalidArgument
+  /// \p started is when this daemon began to store keys. Error kInvalidArgument
   /// for settings out of range.
   static absl::StatusOr<std::unique_ptr<KeyStore>>
   create(const KeyStoreSettings &settings, TimePoint started);
   ~KeyStore();
 
-  /// Judges a claim, and notes it before it returns. \p view is this daemon's
-  /// own; \p self names it.
+  /// Evaluates a claim, and stores it before returning. \p view is this
+  /// daemon's current view, and \p self its id.
   KeyReply claim(TimePoint now, const KeyClaim &claim,
                  const KeyReplicaView &view, const VmId &self);
-  /// Notes how the attempt that holds a key ended.
+  /// Records the ending of the attempt that holds a key.
   void settle(TimePoint now, const KeySettled &settled);
   /// One message of a hand-over.
   struct HandOverMessage {
-    EntryVm To;           ///< The next guardian.
-    KeysHandedOver Batch; ///< What it is to remember.
+    EntryVm To;           ///< Receiver.
+    KeysHandedOver Batch; ///< Keys that the receiver must store.
   };
-  /// What a leaving guardian passes on: to each daemon the keys that it guards
-  /// without us, in messages of at most \p maxKeys, and a last one that says
-  /// that nothing is missing. \p view must not list \p self, whose run is
-  /// \p run. From now on every claim of a new key is answered Unable.
+  /// Exports the keys of a leaving replica: to each daemon the keys of which it
+  /// is a replica once \p self has left, in messages of at most \p maxKeys. The
+  /// last message to each daemon states the total. Precondition: \p view does
+  /// not list \p self, whose incarnation is \p run. From now on every claim of
+  /// a new key is answered Unable.
   std::vector<HandOverMessage> exportKeys(TimePoint now,
                                           const KeyReplicaView &view,
                                           const VmId &self, Incarnation run,
                                           size_t maxKeys);
-  /// Takes in what a leaving guardian passed on.
+  /// Imports keys that a leaving replica handed over.
   void importKeys(TimePoint now, const KeysHandedOver &keys);
-  /// Forgets keys older than the key memory; call every few seconds.
+  /// Removes keys older than the key memory. Call it every few seconds.
   void expire(TimePoint now);
-  /// Keys remembered.
+  /// Number of keys stored.
   size_t size() const;
 
 private:
   class Shard;
-  /// A guardian that left and passed all on that it knew.
+  /// A replica that left after a complete hand-over.
   struct HandOverSender {
-    TimePoint At;                ///< When it left.
+    TimePoint At;                ///< When its hand-over completed.
     std::set<VmId> KnownDaemons; ///< As in KeysHandedOver.
   };
   KeyStore(const KeyStoreSettings &settings, TimePoint started);
@@ -92,12 +95,14 @@
   const KeyStoreSettings Settings;
   const TimePoint Started;
   std::vector<std::unique_ptr<Shard>> Shards;
-  std::atomic<bool> HandedOver{
-      false};                      ///< Handed over: grants nothing any more.
-  mutable std::mutex HandOverLock; ///< Guards what follows; taken after none.
+  std::atomic<bool> HandedOver{false}; ///< Keys were exported; no new key is
+                                       ///< granted.
+  mutable std::mutex HandOverLock; ///< Guards the members below. No other lock
+                                   ///< is taken while it is held.
   std::map<std::pair<VmId, Incarnation>, uint32_t>
-      Received; ///< Keys of hand-overs that are not complete yet.
-  std::map<VmId, HandOverSender> CompleteSenders; ///< Who passed all on to us.
+      Received; ///< Number of keys received in hand-overs that are incomplete.
+  std::map<VmId, HandOverSender> CompleteSenders; ///< Senders of complete
+                                                  ///< hand-overs.
 };
 
 } // namespace balsamrack
