--- a/Balsamrack/Flows/EntryEvents.h
+++ b/Balsamrack/Flows/EntryEvents.h
@@ -12,107 +12,109 @@
 
 namespace balsamrack {
 
-/// A packet came in. Head.Request must not be in use.
+/// A packet arrived. Precondition: Head.Request is not in use.
 struct PacketArrived {
-  Envelope Head;     ///< Head.Remaining counts from now.
-  std::string Token; ///< As the caller sent it; may be empty or anything.
+  Envelope Head;     ///< Head.Remaining starts now.
+  std::string Token; ///< As sent by the caller; may be empty or invalid.
 };
 
-/// An owner told how a forwarded request ended.
+/// An owner reported the outcome of a forwarded request.
 struct OwnerReplied {
-  VmId From;      ///< Who told it.
-  Outcome Result; ///< Result.Server names the server concerned, and for
-                  ///< FlowElsewhere the one where the flow lives, if known.
+  VmId From;      ///< The owner.
+  Outcome Result; ///< Result.Server is the server concerned; for FlowElsewhere,
+                  ///< the server that the flow is bound to, if known.
 };
 
-/// An owner answered a question.
+/// An owner answered a FlowQuestion.
 struct FlowReplied {
-  VmId From;       ///< Who answered.
-  FlowReply Reply; ///< What it knows.
+  VmId From;       ///< The sender.
+  FlowReply Reply; ///< The answer.
 };
 
-/// A guardian answered a claim.
+/// A key replica answered a claim.
 struct KeyReplied {
-  VmId From;      ///< Who answered.
-  KeyReply Reply; ///< Its verdict.
+  VmId From;      ///< The sender.
+  KeyReply Reply; ///< The answer.
 };
 
-/// The connection to a peer broke: what was sent to it has no answer to come.
+/// The connection to a peer was lost: no reply will come to messages already
+/// sent to it.
 struct PeerLost {
-  VmId Peer; ///< Which peer.
+  VmId Peer; ///< The peer.
 };
 
-/// A message for this request provably did not leave towards this peer.
+/// A message of this request was provably not sent to this peer.
 struct SendFailed {
-  RequestId Request; ///< For which request.
-  VmId Peer;         ///< Towards whom.
+  RequestId Request; ///< The request.
+  VmId Peer;         ///< The peer.
 };
 
-/// The caller hung up.
+/// The caller closed its connection.
 struct CallerLeft {
-  RequestId Request; ///< Its request.
+  RequestId Request; ///< The caller's request.
 };
 
-/// The time of nextWakeup() has come.
+/// The time of EntryRouter::nextWakeup() was reached.
 struct EntryTicked {};
 
-/// A new view is in force.
+/// A new routing view is in force.
 struct ViewChanged {
   std::shared_ptr<const RoutingView> View; ///< Not null.
 };
 
-/// All that an EntryRouter reacts to.
+/// Input events of an EntryRouter.
 using EntryEvent =
     std::variant<PacketArrived, OwnerReplied, FlowReplied, KeyReplied, PeerLost,
                  SendFailed, CallerLeft, EntryTicked, ViewChanged>;
 
-/// Send a Forward, with the content kept by the daemon.
+/// Send a Forward; the daemon keeps the request's content.
 struct SendForward {
   EntryVm To;            ///< The owner.
-  RequestId Request;     ///< Whose content to send.
-  ServerId Server;       ///< For this server.
-  TicketNumber Ticket;   ///< In force here.
+  RequestId Request;     ///< Request whose content to send.
+  ServerId Server;       ///< Target server.
+  TicketNumber Ticket;   ///< Ticket in force here.
   bool Accept = false;   ///< As in Forward.
   bool ByToken = false;  ///< As in Forward.
-  Duration Remaining{0}; ///< What is left of the caller's time.
+  Duration Remaining{0}; ///< Time until the caller's deadline.
 };
 
 /// Send a FlowQuestion.
 struct SendQuestion {
-  EntryVm To;            ///< Whom to ask.
-  FlowQuestion Question; ///< What.
+  EntryVm To;            ///< The owner to ask.
+  FlowQuestion Question; ///< The question.
 };
 
 /// Send a KeyClaim.
 struct SendClaim {
-  EntryVm To;     ///< The guardian.
-  KeyClaim Claim; ///< What.
+  EntryVm To;     ///< The key replica.
+  KeyClaim Claim; ///< The claim.
 };
 
 /// Send a KeySettled.
 struct SendSettled {
-  EntryVm To;         ///< The guardian.
-  KeySettled Settled; ///< What.
+  EntryVm To;         ///< The key replica.
+  KeySettled Settled; ///< The message.
 };
 
 /// Send a CancelRequest.
 struct SendCancel {
-  EntryVm To;        ///< The owner that has it.
-  RequestId Request; ///< Which.
+  EntryVm To;        ///< The owner that has the request.
+  RequestId Request; ///< The request.
 };
 
-/// Tell the caller. Comes exactly once for each packet.
+/// Report the outcome to the caller. Emitted exactly once per packet.
 struct EndPacket {
-  Outcome Result;    ///< What to tell.
-  std::string Token; ///< To return with the flow's next packets; may be empty.
+  Outcome Result;    ///< The outcome.
+  std::string Token; ///< For the caller to send with the flow's next packets;
+                     ///< may be empty.
 };
 
-/// Put a decision into the journal.
+/// Write a decision to the journal.
 struct ExplainEntry {
   Decision Made; ///< The decision.
 };
 
-/// All that an EntryRouter asks for.
+/// Output actions of an EntryRouter.
 using EntryAction =
     std::variant<SendForward, SendQuestion, SendClaim, SendSettled, SendCancel,
                  EndPacket, ExplainEntry>;
--- a/Balsamrack/Flows/EntryPacket.h
+++ b/Balsamrack/Flows/EntryPacket.h
@@ -12,38 +12,43 @@
 
 namespace balsamrack {
 
-/// One packet between its arrival and its ending. Not thread-safe.
+/// State of a packet from its arrival to its ending. Not thread-safe.
 struct EntryPacket {
-  /// What it waits for.
+  /// What the packet waits for.
   enum class Phase {
-    ClaimingKey,   ///< Guardians of its key.
-    SearchingFlow, ///< Owners that may know its flow.
-    Forwarded,     ///< The owner that has it.
-    Lingering, ///< It ended unknown; a late outcome may still settle its key.
+    ClaimingKey,   ///< Replies of the replicas of its key.
+    SearchingFlow, ///< Replies of owners that may know its flow.
+    Forwarded,     ///< Reply of the owner that has it.
+    Lingering,     ///< Nothing: it ended with an unknown outcome, and a late
+                   ///< outcome may still settle its key.
   };
-  /// The Forward that has no answer yet.
+  /// A Forward without a reply.
   struct OutstandingForward {
-    EntryVm To;      ///< The owner that has it.
-    ServerId Server; ///< For this server.
-    bool AcceptFlow; ///< The owner was told to take the flow in.
+    EntryVm To;      ///< The owner that has the packet.
+    ServerId Server; ///< Target server.
+    bool AcceptFlow; ///< The owner was told to accept the flow.
   };
 
-  Envelope Head;                           ///< As it came, Remaining capped.
-  std::string Token;                       ///< As it came.
-  TimePoint Deadline;                      ///< When the caller stops waiting.
-  TimePoint TimerAt;                       ///< Its entry among the timers.
-  Phase CurrentPhase = Phase::ClaimingKey; ///< What it waits for.
+  Envelope Head;                           ///< As received, with Remaining
+                                           ///< capped.
+  std::string Token;                       ///< As received.
+  TimePoint Deadline;                      ///< Deadline of the caller.
+  TimePoint TimerAt;                       ///< Time of its entry in the timers.
+  Phase CurrentPhase = Phase::ClaimingKey; ///< What the packet waits for.
   KeyClaims Keys;                          ///< Used when claimsKey().
-  TimePoint ClaimResendUntil;              ///< No claim is repeated after this.
-  bool ClaimResendDue = false;             ///< Claims are to be repeated.
-  FlowSearch Search;                       ///< Used while Asking.
+  TimePoint ClaimResendUntil;              ///< Claims are not resent after this
+                                           ///< time.
+  bool ClaimResendDue = false;             ///< The timer is set for resending
+                                           ///< claims.
+  FlowSearch Search;                       ///< Used while SearchingFlow.
   std::optional<OutstandingForward> Outstanding; ///< Set while an owner has it.
-  std::vector<ServerId> TriedServers; ///< Servers that it was forwarded to.
-  ServerId LostServer;     ///< Server whose owner vanished with it, if any.
-  bool OpensFlow = false;  ///< It opens a flow: another server will do as well.
-  bool MayHaveRun = false; ///< An owner vanished with it: never NotRun again.
+  std::vector<ServerId> TriedServers; ///< Servers it was forwarded to.
+  ServerId LostServer;     ///< Server whose owner was lost with it, if any.
+  bool OpensFlow = false;  ///< It opens a flow, so it may go to any server.
+  bool MayHaveRun = false; ///< An owner was lost with it, so it must not end
+                           ///< NotRun.
 
-  /// True when it must ask the guardians before it runs.
+  /// True if it must claim its key before it runs.
   bool claimsKey() const {
     return Head.Kind == Semantics::RunOnce && !Head.Key.empty();
   }
--- a/Balsamrack/Flows/EntrySettings.h
+++ b/Balsamrack/Flows/EntrySettings.h
@@ -9,54 +9,64 @@
 
 namespace balsamrack {
 
-/// What an entry does with a key when a guardian can't be reached.
+/// What an entry does with a key if one of its replicas is unreachable.
 enum class UnreachableReplicaPolicy {
-  Refuse,           ///< Say that the outcome is unknown (at most once holds).
-  RunWithReachable, ///< Run on the word of those reached; during a cut the same
-                    ///< key may run once on each side.
+  Refuse,           ///< Report an unknown outcome, which preserves at-most-once
+                    ///< execution.
+  RunWithReachable, ///< Run if the reachable replicas grant it. During a
+                    ///< network partition the same key may run once on each
+                    ///< side.
 };
 
-/// Settings of the entry. The defaults fit the brief's sizes: 1 ms between
-/// failure domains, requests of tens of milliseconds.
+/// Settings of the entry. The defaults assume 1 ms between failure domains and
+/// requests of tens of milliseconds.
 struct EntrySettings {
-  std::string TokenKey; ///< Shared by the fleet; empty: tokens are off.
-  bool UseRank = true;  ///< Off (measurement only): candidates are drawn afresh
-                        ///< for each packet.
-  bool UseQuestion = true; ///< Off (measurement only): a flow that the first
-                           ///< candidate doesn't know is accepted there.
-  uint32_t MaxTries = 4;   ///< Owners offered a packet that did not run. With
-                           ///< 14 servers, four full ones mean a full service.
+  std::string TokenKey; ///< Shared by the fleet; tokens are disabled if it is
+                        ///< empty.
+  bool UseRank = true;  ///< False in measurements only: candidates are then
+                        ///< drawn anew for each packet.
+  bool UseQuestion = true; ///< False in measurements only: a flow that the
+                           ///< first candidate does not know is then accepted
+                           ///< there.
+  uint32_t MaxTries = 4;   ///< Owners that a packet is offered to until one
+                           ///< runs it. With 14 servers, four full ones
+                           ///< indicate a full service.
   uint32_t QuestionCandidates =
-      5; ///< Further candidates asked about a flow: the three that MaxTries
-         ///< reaches, and two for servers that another daemon's older or newer
-         ///< ticket passes over.
-  Duration QuestionTimeout{
-      100'000}; ///< A peer answers in 2 ms; beyond 100 ms it is paused or gone.
-  Duration ClaimTimeout{
-      250'000}; ///< As above; longer, as giving up refuses a RunOnce request.
+      5; ///< Candidates after the first that are asked about a flow: the three
+         ///< that MaxTries reaches, and two for servers that another daemon
+         ///< skips under its older or newer ticket.
+  Duration QuestionTimeout{100'000}; ///< A peer replies in 2 ms; one that takes
+                                     ///< more than 100 ms is paused or gone.
+  Duration ClaimTimeout{250'000};    ///< As above, but longer, since a timeout
+                                     ///< refuses a RunOnce request.
   Duration ClaimRepeat{
-      50'000}; ///< Between claims while a guardian hands over what it knows: a
-               ///< hand-over takes some milliseconds, updates of who has left
-               ///< up to a probe's period. Ends with ClaimTimeout.
-  uint32_t KeyReplicaCount = 2; ///< Guardians of a key: survives one death.
+      50'000}; ///< Period of resending claims while a replica hands over its
+               ///< keys: a hand-over takes some milliseconds, and updates of
+               ///< the membership take up to a probe period. Resending ends
+               ///< after ClaimTimeout.
+  uint32_t KeyReplicaCount = 2; ///< Replicas of a key; two survive the death of
+                                ///< one.
   Duration KeyMemory{
-      600'000'000}; ///< Guardians remember keys for so long; requests with a
-                    ///< key get at most half of it to run.
-  bool AssumeNoEarlierKeys =
-      false; ///< First installation: no key can have run before.
+      600'000'000}; ///< How long replicas store keys. Requests with a key get
+                    ///< at most half of it to run.
+  bool AssumeNoEarlierKeys = false; ///< True on a first installation, where no
+                                    ///< key can have run before.
   UnreachableReplicaPolicy OnUnreachableReplica =
-      UnreachableReplicaPolicy::Refuse; ///< A guardian can't be reached.
+      UnreachableReplicaPolicy::Refuse; ///< Policy while a replica of a key is
+                                        ///< unreachable.
   double RetryRatio =
-      0.2; ///< Retries let through per packet, so that a service that refuses
-           ///< everything sees at most a fifth more packets.
-  double RetryBurst = 20;       ///< Retries that may be saved up.
-  Duration RetryAfter{500'000}; ///< Told to callers when the obstacle is ours;
-                                ///< up to half as much again is added.
-  Duration Linger{30'000'000};  ///< How long a late outcome may still settle a
-                                ///< key of an ended request.
+      0.2; ///< Retries allowed per packet, so that a service that refuses
+           ///< everything receives at most a fifth more packets.
+  double RetryBurst = 20;       ///< Upper bound of unused retries.
+  Duration RetryAfter{500'000}; ///< Retry-after time for refusals by the
+                                ///< balancer itself; up to half of it is added
+                                ///< as jitter.
+  Duration Linger{30'000'000};  ///< How long a late outcome may still settle
+                                ///< the key of an ended request.
   bool Explain = true;          ///< Emit decisions.
 
-  /// kInvalidArgument (step read-settings) when out of range. Thread-safe.
+  /// Error kInvalidArgument (step read-settings) if a setting is out of range.
+  /// Thread-safe.
   absl::Status check() const;
 };
 
--- a/Balsamrack/Flows/FlowMessages.h
+++ b/Balsamrack/Flows/FlowMessages.h
@@ -8,9 +8,9 @@
 
 namespace balsamrack {
 
-/// Asks an owner where an established flow lives.
+/// Asks an owner which server an established flow is bound to.
 struct FlowQuestion {
-  RequestId Request; ///< The packet for which it is asked.
+  RequestId Request; ///< The packet that causes the question.
   FlowId Flow;       ///< The flow.
   ServiceId Service; ///< Its service.
 };
@@ -19,82 +19,88 @@
 struct FlowReply {
   RequestId Request;   ///< As asked.
   FlowId Flow;         ///< As asked.
-  ServerId Server;     ///< Where the flow lives; empty when the asked daemon
-                       ///< doesn't know and rules its servers out.
-  bool Fresh = false;  ///< The asked daemon doesn't know the flow, but took
+  ServerId Server;     ///< Server that the flow is bound to; empty if the asked
+                       ///< daemon does not know the flow and rules its own
+                       ///< servers out.
+  bool Fresh = false;  ///< The asked daemon does not know the flow, but took
                        ///< Server over so recently that this proves nothing: if
-                       ///< the flow lives with it, then there.
-  TicketNumber Ticket; ///< Highest ticket in force there: an asker with an
-                       ///< older one can't conclude from not knowing.
+                       ///< the flow is bound to one of its servers, it is this
+                       ///< one.
+  TicketNumber Ticket; ///< Highest ticket in force there. An asker with an
+                       ///< older ticket must not infer anything from an unknown
+                       ///< flow.
 };
 
-/// A flow that doesn't live where its rank says.
+/// A flow that is not bound to its first candidate.
 struct FlowException {
   FlowId Flow;     ///< The flow.
-  ServerId Server; ///< Where it lives.
+  ServerId Server; ///< Server that it is bound to.
 };
 
-/// Exceptions copied to the owner of the runner-up, in batches within the byte
-/// budget.
+/// Exceptions sent to another owner, usually that of the flows' first
+/// candidate, in batches within the byte budget; also the flows of a server
+/// that are handed over to its next owner.
 struct FlowExceptions {
   ServiceId Service;                ///< Their service.
   std::vector<FlowException> Flows; ///< The exceptions.
 };
 
-/// Asks a guardian of an idempotency key for leave to run.
+/// Asks a replica of an idempotency key for permission to run.
 struct KeyClaim {
   KeyDigest Key;     ///< The key.
-  RequestId Request; ///< The attempt that wants to run; a repeat by the same
-                     ///< attempt is granted again.
+  RequestId Request; ///< The attempt that wants to run. A repeated claim by the
+                     ///< same attempt is granted again.
 };
 
-/// What a guardian knows of a key.
+/// State of a key at one of its replicas.
 enum class KeyVerdict {
-  Granted, ///< New to this guardian; the attempt is noted before this is said.
-  InProgress, ///< Another attempt holds the key.
+  Granted, ///< New to this replica, which stored the attempt before replying.
+  InProgress, ///< Another attempt that holds the key is in progress.
   Answered,   ///< Another attempt was answered.
-  Unknown,    ///< Another attempt ended unknown.
-  Fresh,  ///< New to this guardian, which has not been up for as long as keys
-          ///< are remembered; it is noted.
-  Unable, ///< New to this guardian, which can't note it: it leaves or is
-          ///< full. As good as no answer.
+  Unknown,    ///< Another attempt ended with an unknown outcome.
+  Fresh,  ///< New to this replica, which stored the attempt, but may lack part
+          ///< of the key's history, as it has not been up for the key memory.
+  Unable, ///< New to this replica, which cannot store the attempt because it is
+          ///< leaving or full. Equivalent to no reply.
 };
 
 /// Answer to a KeyClaim.
 struct KeyReply {
   KeyDigest Key;                               ///< As asked.
   RequestId Request;                           ///< As asked.
-  KeyVerdict Verdict = KeyVerdict::InProgress; ///< What the guardian knows.
+  KeyVerdict Verdict = KeyVerdict::InProgress; ///< State of the key at the
+                                               ///< replica.
 };
 
-/// Tells a guardian how the attempt that holds a key ended. NotRun frees the
-/// key.
+/// Reports to a replica how the attempt that holds a key ended. NotRun frees
+/// the key.
 struct KeySettled {
   KeyDigest Key;                         ///< The key.
   RequestId Request;                     ///< The attempt that holds it.
   OutcomeKind How = OutcomeKind::NotRun; ///< Its ending.
 };
 
-/// Keys that a leaving guardian passes on to the daemon that guards them next.
+/// Keys that a leaving replica hands over to their next replicas.
 struct KeysHandedOver {
-  /// One remembered key.
+  /// One stored key.
   struct Entry {
     KeyDigest Key;     ///< The key.
     RequestId Request; ///< The attempt that claimed it.
-    KeyVerdict Verdict = KeyVerdict::InProgress; ///< What is known of it.
-    Duration Age{0};                             ///< Since it was claimed.
+    KeyVerdict Verdict = KeyVerdict::InProgress; ///< State of the key.
+    Duration Age{0};                             ///< Time since it was claimed.
   };
-  std::vector<Entry> Keys; ///< A batch of them.
-  VmId From;               ///< The leaving guardian.
-  Incarnation Run;         ///< Which run of it.
-  bool Complete = false;   ///< The last message: Total keys were sent to the
-                           ///< receiver, and the sender answers no more claims.
+  std::vector<Entry> Keys; ///< A batch of keys.
+  VmId From;               ///< The leaving replica.
+  Incarnation Run;         ///< Incarnation of the sender.
+  bool Complete = false;   ///< True in the last message: Total keys were sent
+                           ///< to the receiver, and the sender grants no more
+                           ///< claims.
   uint32_t Total = 0;      ///< Keys in all messages to the receiver.
   bool SenderHasFullHistory =
-      false; ///< The sender had been up for the key memory, or no
-             ///< key ran before it started.
-  std::vector<VmId> KnownDaemons; ///< All daemons of the key memory, present
-                                  ///< and departed, as the sender knew them.
+      false; ///< The sender had been up for the key memory, or no key ran
+             ///< before it started.
+  std::vector<VmId> KnownDaemons; ///< All daemons, present and departed, that
+                                  ///< the sender knew within the key memory.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Flows/FlowToken.cpp
+++ b/Balsamrack/Flows/FlowToken.cpp
@@ -16,7 +16,8 @@
     bytes.push_back(static_cast<char>((word >> (8 * i)) & 0xFF));
 }
 
-/// Up to eight bytes, little-endian. Precondition: at + n <= bytes.size().
+/// Reads up to eight bytes, little-endian. Precondition: at + n <=
+/// bytes.size().
 uint64_t readWord(const std::string &bytes, size_t at, size_t n = WordBytes) {
   uint64_t word = 0;
   for (size_t i = 0; i < n; ++i)
@@ -99,7 +100,8 @@
   token.ServerHash = readWord(bytes, 1 + WordBytes);
   token.Flow.Value = readWord(bytes, 1 + 2 * WordBytes);
   token.Ticket.Value = readWord(bytes, 1 + 3 * WordBytes);
-  // Base64 can be written in several ways; only ours is a token.
+  // Base64 allows several encodings of the same bytes; accept only the
+  // canonical one.
   return encode(token) == text ? std::optional<FlowToken>(token) : std::nullopt;
 }
 
--- a/Balsamrack/Flows/FlowToken.h
+++ b/Balsamrack/Flows/FlowToken.h
@@ -9,32 +9,34 @@
 
 namespace balsamrack {
 
-/// What a token says. Names are carried as stable hashes, so that a token has a
-/// fixed length and can only pick from what the view holds.
+/// Content of a token. Names are stored as stable hashes, so that a token has a
+/// fixed length and can only select among the services and servers of the view.
 struct FlowToken {
-  uint64_t ServiceHash = 0; ///< Of the service that issued it.
-  uint64_t ServerHash = 0;  ///< Of the server that answered.
-  FlowId Flow;              ///< The flow that it was issued to.
-  TicketNumber Ticket;      ///< In force at the daemon that issued it.
+  uint64_t ServiceHash = 0; ///< Hash of the service that issued it.
+  uint64_t ServerHash = 0;  ///< Hash of the server that answered.
+  FlowId Flow;              ///< The flow that it was issued for.
+  TicketNumber Ticket;      ///< Ticket in force at the issuing daemon.
 };
 
-/// Makes and reads tokens. All daemons of a fleet share the key. Immutable, so
-/// thread-safe.
+/// Encodes and decodes tokens. All daemons of a fleet share the key. Immutable,
+/// so thread-safe.
 ///
-/// Failure guarded against: a caller that makes up a token, or returns one of
-/// another service, would reach a server of its choice. The code (SipHash-2-4:
-/// Aumasson, Bernstein 2012) makes made-up tokens unreadable; even with the key
-/// known, the router looks the server up within the service that the packet
-/// came in on, so a token never chooses a service.
+/// Tokens are authenticated, because otherwise a caller could reach a server of
+/// its choice with a forged token or one of another service. The message
+/// authentication code (SipHash-2-4: Aumasson, Bernstein 2012) causes forged
+/// tokens to be rejected. Even if the key is known, the router looks the server
+/// up within the service that the packet arrived on, so a token never selects a
+/// service.
 class FlowTokenCodec {
 public:
-  /// Derives the code's key from \p fleetKey; any string will do.
+  /// Derives the key of the authentication code from \p fleetKey, which may be
+  /// any string.
   explicit FlowTokenCodec(const std::string &fleetKey);
 
-  /// The token as header-safe text (base64url). Thread-safe.
+  /// Encodes a token as header-safe text (base64url). Thread-safe.
   std::string encode(const FlowToken &token) const;
-  /// Reads a token; nothing for any text that encode() did not make with the
-  /// same key. Never fails otherwise, whatever the text. Thread-safe.
+  /// Decodes a token; empty for any text that encode() did not produce with the
+  /// same key. Accepts arbitrary text. Thread-safe.
   std::optional<FlowToken> decode(const std::string &text) const;
 
 private:
--- a/Balsamrack/Flows/KeyStore.cpp
+++ b/Balsamrack/Flows/KeyStore.cpp
@@ -104,7 +104,7 @@
       settings.MaxKeys < settings.Shards ||
       settings.KeyMemory < Duration(1'000'000))
     return makeError(absl::StatusCode::kInvalidArgument, Step::ReadSettings, "",
-                     "key guard: settings out of range");
+                     "key store: settings out of range");
   return std::unique_ptr<KeyStore>(new KeyStore(settings, started));
 }
 
--- a/Balsamrack/Flows/RoutingView.h
+++ b/Balsamrack/Flows/RoutingView.h
@@ -12,20 +12,22 @@
 
 namespace balsamrack {
 
-/// A backend server with what this daemon knows of the way to it.
+/// A backend server with its owner and its reachability from this daemon.
 struct RoutedServer {
-  BackendServer Server;        ///< As the ticket in force says.
-  EntryVm Owner;               ///< Its owner; an empty Id means none is known.
-  bool OwnerReachable = false; ///< The owner answers probes from here.
-  bool DomainInService = true; ///< False once operators took its domain out.
-  bool Ejected = false;        ///< Its owner takes no new flows for it.
-  bool DomainReachable = true; ///< False while its domain is cut off from here.
+  BackendServer Server;        ///< Configuration by the ticket in force.
+  EntryVm Owner;               ///< Its owner; the Id is empty if none is known.
+  bool OwnerReachable = false; ///< The owner answers this daemon's probes.
+  bool DomainInService = true; ///< False if operators took its domain out of
+                               ///< service.
+  bool Ejected = false;        ///< Its owner accepts no new flows for it.
+  bool DomainReachable = true; ///< False while its domain is unreachable from
+                               ///< this daemon.
 
-  /// May a packet be handed to its owner now? Thread-safe.
+  /// True if packets can be forwarded to its owner now. Thread-safe.
   bool isReachable() const {
     return !Owner.Id.empty() && OwnerReachable && DomainReachable;
   }
-  /// May it be offered a new flow? Thread-safe.
+  /// True if new flows may be offered to it. Thread-safe.
   bool acceptsNewFlows() const {
     return Server.Mode == ServerMode::Active && Server.Weight > 0 &&
            DomainInService && !Ejected && isReachable();
@@ -34,8 +36,9 @@
 
 /// A service and its backend servers.
 struct ServiceRoute {
-  Service Settings;                  ///< As the ticket in force says.
-  std::vector<RoutedServer> Servers; ///< All of them, sorted by id.
+  Service Settings;                  ///< Configuration by the ticket in force.
+  std::vector<RoutedServer> Servers; ///< All servers of the service, sorted by
+                                     ///< id.
   std::vector<std::vector<RankedServer>>
       EarlierServers; ///< Server sets of recent earlier configurations, newest
                       ///< first.
@@ -43,39 +46,42 @@
   std::vector<FlowRank>
       EarlierRanks; ///< Over EarlierServers; set by RoutingView::create.
 
-  /// The server with this id, or null. Thread-safe.
+  /// Returns the server with this id, or null. Thread-safe.
   const RoutedServer *find(const ServerId &server) const;
-  /// The server whose id has this stable hash, or null. Thread-safe.
+  /// Returns the server whose id has this stable hash, or null. Thread-safe.
   const RoutedServer *findByHash(uint64_t serverHash) const;
 };
 
-/// The daemons that may guard idempotency keys.
+/// Daemons that may be replicas of idempotency keys.
 struct KeyReplicaView {
-  std::vector<EntryVm> Members; ///< All daemons not known dead or gone; those
-                                ///< that can't be reached now too.
-  std::vector<VmId> RecentlyDeparted; ///< Died or left within the key memory.
-  std::vector<VmId> Unreachable;      ///< Members that can't be reached now.
+  std::vector<EntryVm> Members;       ///< All daemons not known to be dead or
+                                      ///< departed, including unreachable ones.
+  std::vector<VmId> RecentlyDeparted; ///< Daemons that died or left within the
+                                      ///< key memory.
+  std::vector<VmId> Unreachable;      ///< Members that are unreachable now.
 };
 
-/// All that placement looks at, as of one ticket and one view of membership.
-/// Immutable once made, so thread-safe; shared by all shards.
+/// Snapshot of all inputs of placement, for one ticket and one state of the
+/// membership. Immutable once created, so thread-safe; shared by all shards.
 struct RoutingView {
   TicketNumber Ticket;                        ///< Highest ticket in force.
   EntryVm Self;                               ///< This daemon.
-  std::map<ServiceId, ServiceRoute> Services; ///< By service.
-  KeyReplicaView KeyReplicas;                 ///< For idempotency keys.
+  std::map<ServiceId, ServiceRoute> Services; ///< Routes by service.
+  KeyReplicaView KeyReplicas;                 ///< Candidates for replicas of
+                                              ///< idempotency keys.
 
-  /// Sorts the servers and computes the ranks. Error kInvalidArgument (step
-  /// place) when a server is listed twice or under a service not its own, which
-  /// would let a packet of one service reach another. Thread-safe.
+  /// Sorts the servers and computes the ranks of \p view. Error
+  /// kInvalidArgument (step place) if a server is listed twice or under another
+  /// service than its own, which would let a packet of one service reach
+  /// another. Thread-safe.
   static absl::StatusOr<std::shared_ptr<const RoutingView>>
   create(RoutingView view);
 
-  /// The route of a service, or null. Thread-safe.
+  /// Returns the route of a service, or null. Thread-safe.
   const ServiceRoute *findService(const ServiceId &service) const;
-  /// The route of a server of any service, or null. Thread-safe.
+  /// Returns a server of any service, or null. Thread-safe.
   const RoutedServer *findServer(const ServerId &server) const;
-  /// True when \p vm can't be reached now. Thread-safe.
+  /// True if \p vm is unreachable now. Thread-safe.
   bool isUnreachable(const VmId &vm) const;
 };
 
