--- a/UnitTests/Flows/EntryRouterPropertyTest.cpp
+++ b/UnitTests/Flows/EntryRouterPropertyTest.cpp
@@ -7,19 +7,20 @@
 namespace balsamrack {
 namespace {
 
-/// What the test knows of one packet.
+/// What the test knows about one packet.
 struct TrackedPacket {
   Envelope Head;
-  std::optional<SendForward> Outstanding; ///< Forward without an answer.
+  std::optional<SendForward> Outstanding; ///< Forward without a reply.
   std::vector<VmId> Asked;                ///< Owners asked about the flow.
-  std::vector<VmId> Claimed;              ///< Guardians claimed from.
-  bool MayHaveRun = false; ///< Some owner may have run it, or did.
-  bool Granted = false;    ///< A guardian granted its key.
+  std::vector<VmId> Claimed;              ///< Key replicas that received a
+                                          ///< claim.
+  bool MayHaveRun = false; ///< An owner ran it or may have run it.
+  bool Granted = false;    ///< A replica granted its key.
   int NumEndings = 0;
 };
 
-/// Feeds a router with events that may come in any order, true and false ones,
-/// and checks each action against what the events allow.
+/// Feeds a router with valid and invalid events in random order, and checks
+/// each action against what the events allow.
 class RouterFuzzer {
 public:
   RouterFuzzer()
@@ -54,7 +55,7 @@
     }
   }
 
-  /// Lets all time pass; every packet must have ended once.
+  /// Advances the time past all deadlines; every packet must have ended once.
   void finish() {
     Now += std::chrono::minutes(10);
     feed(EntryTicked{});
@@ -148,7 +149,7 @@
     feed(KeyReplied{from, {w->Head.Key, w->Head.Request, verdict}});
   }
 
-  /// The owner that has the packet answers; or, \p wrong, another one does.
+  /// The owner that has the packet replies, or another one if \p wrong.
   void ownerReply(bool wrong) {
     TrackedPacket *w = randomPacket();
     if (!w || !w->Outstanding)
@@ -176,7 +177,7 @@
 
   void feed(const EntryEvent &event) {
     auto actions = Router->step(Now, event);
-    // The same events give the same actions in a replay.
+    // A replay of the same events must give the same actions.
     auto again = Replayed->step(Now, event);
     RC_ASSERT(digest(actions) == digest(again));
     for (const EntryAction &it : actions)
@@ -227,9 +228,10 @@
   std::map<uint64_t, TrackedPacket> Packets;
 };
 
-// Peers answer, die, answer late or for others, callers leave, views change, in
-// any order. Every packet still ends exactly once and truthfully, and nothing
-// that may run only once is handed on again after it may have run.
+// Peers reply, die, or reply late or for others, callers leave and views
+// change, in random order. Every packet must end exactly once with a correct
+// outcome, and a RunOnce request must not be forwarded again after it may have
+// run.
 TEST(EntryRouterPropertyTest, EndsOnceTruthfullyAndRunsOnce) {
   EXPECT_TRUE(seededCheck(
       [] {
--- a/UnitTests/Flows/EntryRouterTest.cpp
+++ b/UnitTests/Flows/EntryRouterTest.cpp
@@ -19,12 +19,12 @@
       {service.hash(), server.hash(), flow, TicketNumber{ticket}});
 }
 
-/// One obstacle on the way to the first candidate. New flows go to the next
-/// one.
+/// A condition that excludes the first candidate from new flows. They go to the
+/// next one.
 struct ObstacleCase {
   const char *Name;
   void (*Change)(RoutedServer &);
-  const char *Established; ///< With a token: ending, or "sent".
+  const char *Established; ///< Result with a token: an ending, or "sent".
 };
 
 class ObstacleTest : public testing::TestWithParam<ObstacleCase> {};
@@ -80,7 +80,7 @@
                      "not-run/owner-unreachable"}),
     [](const auto &info) { return info.param.Name; });
 
-/// What an owner says to a new flow, and what becomes of it.
+/// Reply of an owner to a new flow, and whether the next owner is tried.
 struct RefusalCase {
   OutcomeKind How;
   Reason Why;
@@ -129,9 +129,9 @@
   EXPECT_GT(harness.End.Result.RetryAfter, Duration(0));
 }
 
-// A whole service refuses. Each packet is offered to four owners, so that
-// the owners get four times the load just when they have none to spare. The
-// budget lets only a fifth more through.
+// Guards against retries multiplying the load of an overloaded service: if all
+// owners refuse and each packet is offered to four of them, they receive four
+// times the packets. The retry budget must limit the increase to a fifth.
 TEST(EntryRouterTest, RetryBudgetShrinksUnderOverload) {
   EntrySettings settings;
   RouterHarness harness(makeView(14), settings);
@@ -149,7 +149,7 @@
   EXPECT_LE(forwards, Packets * 1.2 + settings.RetryBurst + 1);
 }
 
-/// A token and what is made of it.
+/// A token and its effect.
 struct TokenCase {
   const char *Name;
   std::string (*Make)(FlowId, const ServerId &);
@@ -218,10 +218,11 @@
   EXPECT_TRUE(harness.LastForward.ByToken);
 }
 
-/// What the owners of the first four candidates say about an established flow
-/// that the first one does not know; "" rules out, "fresh" guesses its own
-/// server, "home" knows candidate 2, "mute" gives no answer, "later" rules
-/// out but has a later ticket.
+/// Replies of the owners of the first four candidates about an established flow
+/// that the first one does not know: "" rules its server out, "fresh" reports
+/// its own server as fresh, "home" knows that the flow is bound to candidate 2,
+/// "silent" does not reply, "later" rules its server out but has a later
+/// ticket.
 struct QuestionCase {
   const char *Name;
   std::vector<std::string> Replies;
@@ -239,7 +240,8 @@
   EXPECT_EQ(harness.forward().Server, order[0]);
   EXPECT_FALSE(harness.LastForward.Accept);
   harness.reply(OutcomeKind::NotRun, Reason::FlowElsewhere, ServerId());
-  // Two are asked at first, the others when those don't know.
+  // Two owners are asked in the first round, the others if those do not know
+  // the flow.
   EXPECT_EQ(harness.all<SendQuestion>().size(), 2U);
   std::map<VmId, std::string> replies;
   for (size_t i = 0; i < GetParam().Replies.size(); ++i)
@@ -254,7 +256,7 @@
     VmId vm = asked.front();
     asked.pop_front();
     std::string reply = replies[vm];
-    if (reply == "mute")
+    if (reply == "silent")
       harness.step(SendFailed{RequestId{1}, vm});
     else if (reply == "fresh")
       harness.flowReply(vm, serverId(std::stoul(vm.str().substr(3))).str(),
@@ -284,10 +286,11 @@
         QuestionCase{"NobodyKnows", {"", "", "", ""}, "0"},
         QuestionCase{"FirstIsFresh", {"fresh", "", "", ""}, "0"},
         QuestionCase{"OwnerOfSecondDied", {"", "fresh", "", ""}, "1"},
-        QuestionCase{"OwnerOfSecondIsMute",
-                     {"", "mute", "", ""},
+        QuestionCase{"OwnerOfSecondDoesNotReply",
+                     {"", "silent", "", ""},
                      "not-run/owner-unreachable"},
-        QuestionCase{"MuteBehindAGuess", {"fresh", "mute", "", ""}, "0"},
+        QuestionCase{
+            "NoReplyBehindAFreshOwner", {"fresh", "silent", "", ""}, "0"},
         QuestionCase{
             "LaterTicket", {"", "", "later", ""}, "not-run/owner-unsure"},
         QuestionCase{"LaterTicketButKnown", {"", "later", "home"}, "2"}),
@@ -305,9 +308,9 @@
   EXPECT_EQ(harness.ending(), "not-run/queue-full");
 }
 
-// A caller's deposit is with the owner when the owner's VM dies. Nobody can
-// tell whether it ran. Handing it to another owner could charge it twice, so
-// the caller is told that the outcome is unknown.
+// Guards against running a request twice: its owner's VM dies while it has the
+// request, so it is unknown whether it ran. Forwarding it to another owner
+// could charge a deposit twice, so the caller must get an unknown outcome.
 TEST(EntryRouterTest, LostOwnerEndsRunOnceUnknown) {
   RouterHarness harness(makeView(5));
   harness.arrive(true);
@@ -316,8 +319,9 @@
   EXPECT_TRUE(harness.all<SendForward>().empty());
 }
 
-// The same with a harmless request: it is tried once more, elsewhere. If that
-// owner refuses, the caller still isn't told "not run": the first may have run.
+// The same with an idempotent request, which is retried once on another owner.
+// If that owner refuses, the outcome must not be "not run", since the first
+// attempt may have run.
 TEST(EntryRouterTest, LostOwnerOfIdempotentIsTriedOnceMore) {
   RouterHarness harness(makeView(5));
   harness.arrive(true, Semantics::Idempotent);
@@ -330,9 +334,10 @@
   EXPECT_EQ(harness.End.Result.Server, first);
 }
 
-// An owner refuses; the packet goes to the next one, which starts to run it.
-// A duplicate of the first refusal arrives late. Were it taken for the second
-// owner's word, a third owner would run the deposit again.
+// Guards against a duplicated refusal starting a second run: an owner refuses,
+// the next owner starts to run the request, and then a duplicate of the refusal
+// arrives. If it were taken for the second owner's reply, a third owner would
+// run the request again.
 TEST(EntryRouterTest, DuplicatedRefusalIsDropped) {
   RouterHarness harness(makeView(5));
   harness.arrive(true);
@@ -347,8 +352,8 @@
   EXPECT_EQ(harness.Router->inProgress(), 1U);
 }
 
-// The same when one daemon owns both servers: only the server named in the
-// refusal tells it from the present owner's word.
+// The same if one daemon owns both servers: only the server in the refusal
+// distinguishes it from a reply of the current owner.
 TEST(EntryRouterTest, DuplicatedRefusalOfTheSameOwnerIsDropped) {
   RoutingView view = makeView(5);
   for (RoutedServer &it : view.Services[Booking].Servers)
@@ -362,8 +367,8 @@
   EXPECT_TRUE(harness.Last.empty());
 }
 
-// An owner names the flow's home, and the home's owner has the packet. A
-// duplicate of the first word must not send it there once more.
+// An owner redirects the packet to the flow's server, whose owner now has it. A
+// duplicate of the redirection must not forward it again.
 TEST(EntryRouterTest, DuplicatedElsewhereIsDropped) {
   RoutingView view = makeView(5);
   for (RoutedServer &it : view.Services[Booking].Servers)
--- a/UnitTests/Flows/FlowRankTest.cpp
+++ b/UnitTests/Flows/FlowRankTest.cpp
@@ -26,8 +26,8 @@
   return weights;
 }
 
-/// Weights of a service, and the greatest share of each server's flows that
-/// may be off its weight.
+/// Weights of a service, and the tolerated relative deviation of each server's
+/// share of flows from its weight.
 struct BalanceCase {
   std::vector<uint32_t> Weights;
   double Tolerance;
@@ -95,8 +95,8 @@
   }));
 }
 
-// Two daemons of different versions must place a flow alike, so the places are
-// part of the protocol: a change of the hash or of the logarithm shows here.
+// Daemons of different versions must rank servers identically, so the ranks are
+// part of the protocol. Detects changes of the hash or of the logarithm.
 TEST(FlowRankTest, PlacesArePartOfTheProtocol) {
   FlowRank equal(servers(std::vector<uint32_t>(14, 100)));
   FlowRank weighted(servers({100, 50, 200, 10}));
--- a/UnitTests/Flows/FlowTableTest.cpp
+++ b/UnitTests/Flows/FlowTableTest.cpp
@@ -25,8 +25,8 @@
 
 ServerId server(uint64_t n) { return ServerId(absl::StrCat("s-", n)); }
 
-// Against a plain map: whatever is bound, moved, forgotten and dropped, in
-// whatever order, the table says what the map says, and counts alike.
+// Compares the table with a plain map under random bindings, moves and
+// removals: lookups and counts must agree.
 TEST(FlowTableTest, BehavesLikeAMap) {
   EXPECT_TRUE(seededCheck([] {
     auto t = table(1000, 2);
@@ -78,9 +78,9 @@
   EXPECT_FALSE(t->find(at(11), FlowId{2}));
 }
 
-// A flood of callers opens flows and sends one packet on each, like a SYN
-// flood. The table is full, yet Established flows must stay known: dropping
-// them would cut reservations.
+// Guards against evicting established flows during a flood of flows that send a
+// single packet, like a SYN flood: the table is full, but evicting established
+// flows would interrupt their callers' work.
 TEST(FlowTableTest, FloodOfNewFlowsDropsNoEstablishedFlow) {
   auto t = table(1600, 1);
   constexpr uint64_t Established = 800;
@@ -105,8 +105,8 @@
   EXPECT_LT(static_cast<double>(t->bytes()) / NumFlows, 64.0);
 }
 
-// Twelve threads bind, look up and drop at the same time; counts must add up
-// afterwards. The thread sanitizer build finds unguarded accesses.
+// Twelve threads bind, look up and remove flows concurrently; the counts must
+// add up afterwards. The thread sanitizer build detects unguarded accesses.
 TEST(FlowTableTest, ThreadsDoNotLoseFlows) {
   auto t = table(100'000, 64);
   std::vector<std::thread> threads;
@@ -129,9 +129,9 @@
   EXPECT_EQ(sum, 9000U);
 }
 
-// A packet of an established flow is looked up while other flows come and go.
-// Their coming and going moves its entry; a reader that trusts what it saw in
-// between misses the flow, and its packet goes elsewhere.
+// Guards against lookups that miss a flow while a writer moves its entry
+// because other flows are added and removed. Its packet would go to another
+// server.
 TEST(FlowTableTest, ReadersNeverMissAFlowThatAWriterMoves) {
   auto t = table(10'000, 1);
   constexpr uint64_t Moved = 45;
@@ -153,8 +153,8 @@
   for (int n = 0; n < 3; ++n)
     readers.emplace_back(read);
   for (int n = 0; n < 5000; ++n) {
-    // Those that come first are in the way of the others, which move up when
-    // the first ones go.
+    // The flows added first occupy slots of the others, which move back when
+    // the first ones are removed.
     for (uint64_t f = 1; f <= Moved; ++f)
       t->bind(at(0), FlowId{Before + f}, server(0));
     for (uint64_t f = 1; f <= Moved; ++f)
--- a/UnitTests/Flows/FlowTokenTest.cpp
+++ b/UnitTests/Flows/FlowTokenTest.cpp
@@ -24,8 +24,8 @@
   }));
 }
 
-// A caller flips bits of its token to reach another server, or sends anything.
-// Whatever it sends, it reads as no token.
+// Guards against forged tokens: a caller that modifies its token to reach
+// another server, or sends arbitrary text, must not get a valid token.
 TEST(FlowTokenTest, AnyMutationIsRejected) {
   EXPECT_TRUE(seededCheck(
       [] {
--- a/UnitTests/Flows/KeyClaimScenariosTest.cpp
+++ b/UnitTests/Flows/KeyClaimScenariosTest.cpp
@@ -10,8 +10,8 @@
 
 constexpr KeyDigest Key{3, 9};
 
-/// A few daemons, each with a guard and a router, and a server that counts
-/// runs. Claims are carried at once; Forwards wait until the test answers them.
+/// A few daemons, each with a key store and a router. Claims are delivered at
+/// once; Forwards wait until the test replies to them.
 class KeyCluster {
 public:
   explicit KeyCluster(size_t vms, const EntrySettings &settings = {},
@@ -28,7 +28,7 @@
     s.AssumeNoEarlierKeys = Settings.AssumeNoEarlierKeys;
     return std::move(*KeyStore::create(s, started));
   }
-  /// Everybody gets a view of who lives.
+  /// Publishes the current membership to all daemons.
   void publishView() {
     RoutingView view = makeView(4, Vms);
     auto &members = view.KeyReplicas.Members;
@@ -47,12 +47,12 @@
     Stores[indexOf(vm)] = nullptr;
     publishView();
   }
-  /// The guardians of the key now.
+  /// Current replica of the key with the given rank.
   VmId replica(size_t rank) const {
     return keyReplicas(Key, View->KeyReplicas.Members, 2)[rank].Id;
   }
-  /// Sends the deposit with request id \p request in at daemon \p at, on a new
-  /// flow. Returns its ending, or "running" when it was forwarded.
+  /// Sends the deposit with request id \p request to daemon \p at on a new
+  /// flow. Returns its ending, "running" if it was forwarded, or "waiting".
   std::string deposit(size_t at, uint64_t request) {
     Envelope head;
     head.Request = RequestId{request};
@@ -64,7 +64,7 @@
     handle(at, PacketArrived{head, ""});
     return resultOf(request);
   }
-  /// The owner that has the request answers.
+  /// The owner that has the request replies.
   std::string answer(size_t at, uint64_t request, OutcomeKind how, Reason why) {
     Outcome o;
     o.Request = RequestId{request};
@@ -83,7 +83,7 @@
       return it->second;
     return Running.count(request) ? "running" : "waiting";
   }
-  /// Runs an event and carries the claims until nothing is left to do.
+  /// Handles an event and delivers the resulting messages until none is left.
   void handle(size_t at, const EntryEvent &event) {
     std::deque<EntryEvent> events{event};
     while (!events.empty()) {
@@ -128,7 +128,7 @@
   std::map<uint64_t, std::string> Ended;
 };
 
-/// How the first attempt ended, and what its repeat at another daemon gets.
+/// Ending of the first attempt, and result of its repeat at another daemon.
 struct RepeatCase {
   const char *Name;
   OutcomeKind How;
@@ -138,9 +138,9 @@
 
 class RepeatTest : public testing::TestWithParam<RepeatCase> {};
 
-// A seller presses "pay" twice. The second press opens a new flow, which the
-// fabric hands to another daemon. While the first deposit runs, and after it
-// ran or may have run, the second must not run.
+// Guards against a deposit running twice when the caller repeats it on a new
+// flow that reaches another daemon. The repeat must not run while the first
+// attempt runs, nor after it ran or may have run.
 TEST_P(RepeatTest, RunsAtMostOnce) {
   KeyCluster cluster(5);
   EXPECT_EQ(cluster.deposit(0, 1), "running");
@@ -161,8 +161,8 @@
                                Reason::DomainOut, "running"}),
     [](const auto &info) { return info.param.Name; });
 
-// The owner dies with the deposit. Its repeat must not run, whichever daemon
-// gets it.
+// The owner dies while it has the deposit. A repeat must not run, whichever
+// daemon receives it.
 TEST(KeyClaimScenariosTest, OwnerDiedWithTheFirst) {
   KeyCluster cluster(5);
   cluster.deposit(0, 1);
@@ -171,8 +171,8 @@
   EXPECT_EQ(cluster.deposit(1, 2), "unknown/key-unknown");
 }
 
-// The entry dies while the deposit runs; nobody ever settles the key. The
-// guardians keep it as in progress.
+// The entry dies while the deposit runs, so the key is never settled. Its
+// replicas must keep it as in progress.
 TEST(KeyClaimScenariosTest, EntryDiedWithTheFirst) {
   KeyCluster cluster(5);
   cluster.deposit(0, 1);
@@ -180,7 +180,7 @@
   EXPECT_EQ(cluster.deposit(1, 2), "unknown/key-in-progress");
 }
 
-// One guardian dies after the deposit ran. The other still knows the key.
+// One replica dies after the deposit ran. The other still knows the key.
 TEST(KeyClaimScenariosTest, OneReplicaDied) {
   KeyCluster cluster(6);
   cluster.deposit(0, 1);
@@ -189,8 +189,9 @@
   EXPECT_EQ(cluster.deposit(1, 2), "unknown/key-answered");
 }
 
-// Both guardians die after the deposit ran. Their successors have been up for
-// long and know nothing of the key; that must not count as "never ran".
+// Both replicas die after the deposit ran. Their successors have been up for
+// long but do not know the key, which must not count as proof that it never
+// ran.
 TEST(KeyClaimScenariosTest, BothReplicasDied) {
   for (bool oneByOne : {false, true}) {
     KeyCluster cluster(6);
@@ -207,14 +208,15 @@
   }
 }
 
-// A new key after one guardian died: the survivor proves that it never ran.
+// A new key after one replica died: the surviving replica proves that it never
+// ran.
 TEST(KeyClaimScenariosTest, NewKeyRunsAfterOneDeath) {
   KeyCluster cluster(6);
   cluster.kill(cluster.replica(1));
   EXPECT_EQ(cluster.deposit(0, 1), "running");
 }
 
-// A guardian can't be reached, but is not dead. It may know the key.
+// A replica is unreachable but not known to be dead, so it may know the key.
 TEST(KeyClaimScenariosTest, ReplicaUnreachable) {
   KeyCluster cluster(6);
   cluster.Unreachable = {cluster.replica(0)};
@@ -225,17 +227,18 @@
   EXPECT_EQ(cluster.deposit(0, 2), "running");
 }
 
-// It crashed, and nobody noticed yet: the claim is not answered in time. The
-// deposit must not run; the other guardian would know of an earlier attempt, so
-// "not run" is true.
+// A replica crashed and is still a member, so a claim to it gets no reply. The
+// deposit must not run. The other replica would know of an earlier attempt, so
+// "not run" is correct.
 TEST(KeyClaimScenariosTest, ReplicaDoesNotAnswer) {
   KeyCluster cluster(6);
   cluster.Stores[KeyCluster::indexOf(cluster.replica(0))] = nullptr;
   EXPECT_EQ(cluster.deposit(0, 1), "not-run/key-unknown");
 }
 
-// The same with a key that ran, whose answer was lost on its way: the guardian
-// that is left knows it, and "not run" would be a lie.
+// The same with a key whose first attempt ran, or is running, without an answer
+// reaching the caller: the other replica knows the key, so "not run" would be
+// wrong.
 TEST(KeyClaimScenariosTest, ReplicaDoesNotAnswerAfterTheKeyRan) {
   KeyCluster cluster(6);
   EXPECT_EQ(cluster.deposit(1, 1), "running");
@@ -243,8 +246,8 @@
   EXPECT_EQ(cluster.deposit(0, 2), "unknown/key-in-progress");
 }
 
-// One guardian is silent and the other fresh: nobody can say that the key never
-// ran.
+// One replica does not reply and the other is fresh, so there is no proof that
+// the key never ran.
 TEST(KeyClaimScenariosTest, ReplicaDoesNotAnswerAndTheOtherIsFresh) {
   KeyCluster cluster(6, {}, false);
   cluster.Stores[KeyCluster::indexOf(cluster.replica(0))] = nullptr;
@@ -260,8 +263,8 @@
   EXPECT_EQ(cluster.deposit(0, 1), "running");
 }
 
-// The whole fleet was just started. Whether a key ran before can't be known,
-// unless operators say that this is the first installation.
+// The whole fleet has just started. Whether a key ran before is unknown, unless
+// operators configured this as the first installation.
 TEST(KeyClaimScenariosTest, FreshFleet) {
   KeyCluster unsure(5, {}, false);
   EXPECT_EQ(unsure.deposit(0, 1), "unknown/key-unknown");
@@ -274,9 +277,9 @@
   EXPECT_EQ(founded.deposit(1, 2), "unknown/key-in-progress");
 }
 
-// The caller's time is over while the owner still has the deposit. The caller
-// hears "unknown"; when the owner then says that it did not run, the key is
-// free again and the repeat runs.
+// The caller's deadline passes while the owner still has the deposit, so the
+// outcome is unknown. If the owner then reports that it did not run, the key
+// must be freed and a repeat must run.
 TEST(KeyClaimScenariosTest, LateOutcomeSettlesTheKey) {
   KeyCluster cluster(5);
   cluster.deposit(0, 1);
@@ -288,7 +291,7 @@
   EXPECT_EQ(cluster.deposit(1, 3), "running");
 }
 
-// A leaving guardian passes its keys on; then the other one dies.
+// A leaving replica hands its keys over, and then the other replica dies.
 TEST(KeyClaimScenariosTest, HandedOverKeysSurviveTheOtherReplica) {
   KeyCluster cluster(6);
   cluster.deposit(0, 1);
@@ -300,7 +303,7 @@
       std::remove_if(rest.Members.begin(), rest.Members.end(),
                      [&](const EntryVm &it) { return it.Id == leaver; }),
       rest.Members.end());
-  // One message to each of the others, which says that nothing is missing.
+  // One message to each of the others, marked as complete.
   auto batches = cluster.Stores[KeyCluster::indexOf(leaver)]->exportKeys(
       cluster.Now, rest, leaver, Incarnation{1}, 100);
   ASSERT_EQ(batches.size(), 5U);
@@ -312,10 +315,10 @@
   EXPECT_EQ(cluster.deposit(1, 2), "unknown/key-answered");
 }
 
-// Story: a rolling restart. A daemon has just started, the fabric sends it a
-// deposit, and it has not met its peers: it is the key's only guardian by its
-// own view and knows nothing of it. The deposit ended unknown at once, though a
-// moment later there is a guardian that can vouch for it.
+// Guards against needless unknown outcomes during a rolling restart: a daemon
+// that has just started receives a deposit before it knows its peers, so in its
+// own view it is the key's only replica, and it is fresh. The deposit must wait
+// for replicas with the key's history instead of ending at once.
 TEST(KeyClaimScenariosTest, StartedDaemonWaitsForItsPeers) {
   KeyCluster cluster(3);
   cluster.Stores[0] = cluster.makeStore(cluster.Now);
@@ -326,8 +329,8 @@
   EXPECT_EQ(cluster.resultOf(1), "running");
 }
 
-// Story: as above, but no peer is ever met. The deposit may have run before the
-// restart, so it ends unknown, within the time of a claim.
+// As above, but no peer becomes known. The deposit may have run before the
+// restart, so it must end with an unknown outcome within ClaimTimeout.
 TEST(KeyClaimScenariosTest, StartedDaemonWithoutPeersRefusesSoon) {
   KeyCluster cluster(3);
   cluster.Stores[0] = cluster.makeStore(cluster.Now);
@@ -341,9 +344,10 @@
   EXPECT_EQ(cluster.resultOf(1), "unknown/key-unknown");
 }
 
-// Story: a rolling restart. One guardian of a new key has closed its memory to
-// hand it over, the other has just started and not got it yet. The deposit
-// ended unknown; a moment later the hand-over is there.
+// Guards against needless unknown outcomes during a rolling restart: one
+// replica of a new key has exported its keys and grants none any more, and the
+// other has just started and not received them yet. The deposit must wait for
+// the hand-over.
 TEST(KeyClaimScenariosTest, ANewKeyWaitsForAHandOver) {
   KeyCluster cluster(2);
   VmId leaver = cluster.replica(0);
--- a/UnitTests/Flows/KeyStoreFleetTest.cpp
+++ b/UnitTests/Flows/KeyStoreFleetTest.cpp
@@ -15,15 +15,14 @@
 
 VmId vmName(size_t i) { return VmId("vm-" + std::to_string(i + 1)); }
 
-/// Guards of a small fleet that share one view of who is there, and keys that
-/// are tried again and again. Counts the runs of each key.
+/// Key stores of a small fleet that share one view of the membership.
 class KeyStoreFleet {
 public:
   explicit KeyStoreFleet(uint64_t seed) : Random(seed) {
     for (size_t i = 0; i < Daemons; ++i)
       start(i, true);
   }
-  /// Share of hand-over messages that get lost.
+  /// Percentage of hand-over messages that are lost.
   uint64_t LossPercent = 0;
 
   void start(size_t i, bool firstInstallation) {
@@ -52,7 +51,7 @@
       n += isUp(i) ? 1 : 0;
     return n;
   }
-  /// One attempt of key \p key. True when it ran.
+  /// Makes one attempt with key \p key. True if it ran.
   bool attempt(uint64_t key) {
     const KeyDigest digest{key, key};
     const RequestId request{++Requests};
@@ -64,7 +63,8 @@
                              ->claim(Now, {digest, request}, view(), to.Id)
                              .Verdict);
     const bool runs = claims.evaluate(settings) == KeyClaims::Result::Run;
-    // What runs ends answered, unknown, or is never settled as its entry dies.
+    // An attempt that runs ends answered or unknown, or is never settled
+    // because its entry died.
     const OutcomeKind how = !runs                 ? OutcomeKind::NotRun
                             : Random.below(2) > 0 ? OutcomeKind::Answered
                                                   : OutcomeKind::OutcomeUnknown;
@@ -103,13 +103,13 @@
   TimePoint Now{Second};
   std::unique_ptr<KeyStore> Stores[Daemons];
   uint64_t Runs[Daemons] = {};
-  std::map<VmId, TimePoint> Departed; ///< With the time.
+  std::map<VmId, TimePoint> Departed; ///< With the time of departure.
   uint64_t Requests = 0;
 };
 
-// An upgrade restarts each daemon in turn, gracefully, within the key memory.
-// Sellers' new deposits must go on running, although no daemon has been up for
-// long; and those that ran before must not run again.
+// A rolling restart restarts every daemon gracefully within the key memory. New
+// keys must still be granted, although no daemon has been up for the key
+// memory, and earlier keys must not run again.
 TEST(KeyStoreFleetTest, RollingRestartKeepsKeyHistory) {
   KeyStoreFleet fleet(1);
   for (uint64_t key = 1; key <= 100; ++key)
@@ -126,8 +126,8 @@
     EXPECT_TRUE(fleet.attempt(key)) << key;
 }
 
-// The same, but a message of each hand-over gets lost with its connection. The
-// receivers must notice, and not vouch for what they can't know.
+// The same, but hand-over messages are lost with their connections. The
+// receivers must detect that and not grant keys whose history they may lack.
 TEST(KeyStoreFleetTest, LostHandOverProvesNothing) {
   KeyStoreFleet fleet(2);
   fleet.LossPercent = 50;
@@ -143,9 +143,9 @@
 
 class KeyStoreChaosTest : public testing::TestWithParam<uint64_t> {};
 
-// Daemons leave, die and come back at random, hand-overs lose messages, and a
-// few deposits are sent again and again. None may run twice within the key
-// memory, whatever comes together.
+// Daemons leave, die and return at random, hand-overs lose messages, and the
+// same keys are attempted repeatedly. No key may run twice within the key
+// memory.
 TEST_P(KeyStoreChaosTest, NoKeyRunsTwice) {
   KeyStoreFleet fleet(GetParam());
   fleet.LossPercent = GetParam() % 3 == 0 ? 20 : 0;
--- a/UnitTests/Flows/OwnerFlowsTest.cpp
+++ b/UnitTests/Flows/OwnerFlowsTest.cpp
@@ -5,7 +5,7 @@
 namespace balsamrack {
 namespace {
 
-/// An owner under a view in which it is vm-N.
+/// An owner that is vm-N in its view.
 class OwnerHarness {
 public:
   OwnerHarness(RoutingView view, size_t self) {
@@ -30,7 +30,7 @@
   FlowReply ask(FlowId flow) {
     return Owner->answerQuestion(Now, {RequestId{1}, flow, Booking});
   }
-  /// The first flow whose candidates begin as given.
+  /// Returns the first flow whose top candidates are those given.
   FlowId flowRanked(const std::vector<size_t> &begin) const {
     const FlowRank &rank = View->findService(Booking)->Rank;
     uint64_t f = 1;
@@ -44,7 +44,7 @@
   TimePoint Now{Duration(1'000'000'000)};
 };
 
-/// One packet of a flow and the verdict on it.
+/// A packet of a flow and the verdict on it.
 struct JudgeCase {
   const char *Name;
   bool KnownHere, KnownAtOther, Exception;
@@ -86,9 +86,9 @@
                               FlowVerdict::Known},
                     JudgeCase{"Unknown", false, false, false, false, false,
                               false, FlowVerdict::Unknown},
-                    JudgeCase{"NobodyElseKnew", false, false, false, false,
+                    JudgeCase{"AcceptedAfterSearch", false, false, false, false,
                               true, false, FlowVerdict::Accepted},
-                    JudgeCase{"TokenSaysSo", false, false, true, false, false,
+                    JudgeCase{"BoundByToken", false, false, true, false, false,
                               true, FlowVerdict::Accepted},
                     JudgeCase{"OnOurOtherServer", false, true, false, false,
                               false, false, FlowVerdict::Elsewhere},
@@ -96,9 +96,10 @@
                               false, FlowVerdict::Elsewhere}),
     [](const auto &info) { return info.param.Name; });
 
-// A new flow is offered to a full server, refused, and goes to the next
-// one. Were the full server's owner to tell the first candidate's owner of it,
-// later packets could be sent to the full server: the flow would be broken.
+// Guards against announcing a flow before it is admitted: a new flow is offered
+// to a full server, refused, and goes to the next one. If the full server's
+// owner announced it to the first candidate's owner, later packets could be
+// sent to the full server, which would break the flow.
 TEST(OwnerFlowsTest, DisplacedFlowIsAnnouncedOnceToItsFirstCandidatesOwner) {
   OwnerHarness harness(makeView(4), 2);
   FlowId flow = harness.flowRanked({1, 2});
@@ -114,9 +115,10 @@
   EXPECT_TRUE(harness.Owner->dequeueBatches(harness.Now, 10'000).empty());
 }
 
-// One daemon owns both the first candidate and the server that the flow lives
-// on, and dies. Its successor knows neither, and would take the flow in on its
-// first candidate. So the best-ranked other owner has a copy.
+// Guards against losing a displaced flow with its owner: one daemon owns both
+// the flow's first candidate and its server, and dies. Its successor does not
+// know the flow and would accept it on its first candidate. So the best-ranked
+// other owner must get a copy of the exception.
 TEST(OwnerFlowsTest, CopyGoesElsewhereWhenBothServersAreOurs) {
   RoutingView view = makeView(4);
   serverIn(view, serverId(1)).Owner.Id = vmId(2);
@@ -147,8 +149,9 @@
   EXPECT_NEAR(static_cast<double>(flows), NumFlows * 0.75, NumFlows * 0.05);
 }
 
-// An owner died and we took its servers over blindly. A question about a flow
-// that we don't know must not be answered as if it could not live here.
+// An owner died and its servers were taken over without a hand-over. A question
+// about an unknown flow must not be answered as if these servers were ruled
+// out.
 TEST(OwnerFlowsTest, FreshServerIsPossibleUntilItsTimeout) {
   OwnerHarness harness(makeView(4), 2);
   FlowId flow = harness.flowRanked({2});
@@ -160,8 +163,9 @@
   EXPECT_FALSE(harness.ask(flow).Fresh);
 }
 
-// A caller reads its map for ten minutes after the owner died. Its next packet
-// must still find a guess, or it is taken for a flow that lives nowhere.
+// A caller is idle for ten minutes or more after the owner died. The taken-over
+// server must still be reported as fresh for the flow's next packet, or the
+// flow is treated as not found.
 TEST(OwnerFlowsTest, TakenOverServerIsFreshForTheIdleTimeout) {
   RoutingView view = makeView(4);
   view.Services[Booking].Settings.FlowIdleTimeout = std::chrono::minutes(20);
@@ -192,8 +196,9 @@
   EXPECT_EQ(next.judge(here, false, 2).How, FlowVerdict::Known);
 }
 
-// The old owner's hand-over overtakes the view that makes us the owner. The
-// flow must not be sent elsewhere, namely to us again.
+// The old owner's hand-over arrives before the view that makes this daemon the
+// owner. The flow must not be redirected to its server, which this daemon owns
+// itself.
 TEST(OwnerFlowsTest, HandOverMayComeBeforeTheView) {
   OwnerHarness harness(makeView(4), 0);
   harness.Owner->addFlows(harness.Now, {Booking, {{FlowId{5}, serverId(2)}}});
--- a/UnitTests/Flows/RouterHarness.h
+++ b/UnitTests/Flows/RouterHarness.h
@@ -22,7 +22,7 @@
   return ServerId(absl::StrCat("booking-", i));
 }
 
-/// A view of one service: server i stands in domain i and vm i owns it.
+/// Creates a view of one service: server i is in domain i and owned by vm i.
 inline RoutingView makeView(size_t servers, size_t vms = 0) {
   RoutingView v;
   v.Ticket = TicketNumber{10};
@@ -44,7 +44,7 @@
   return v;
 }
 
-/// A router under a view, with its actions by kind.
+/// Drives a router under a view and gives access to its actions by kind.
 class RouterHarness {
 public:
   explicit RouterHarness(const RoutingView &view,
@@ -53,7 +53,7 @@
     setView(view);
   }
 
-  /// Puts a view into force.
+  /// Sets the view in force.
   void setView(const RoutingView &view) {
     View = *RoutingView::create(view);
     step(ViewChanged{View});
@@ -62,7 +62,7 @@
     Last = Router->step(Now, event);
     return Last;
   }
-  /// Sends a packet in, with request id 1 unless \p head says otherwise.
+  /// Sends a packet with request id 1.
   void arrive(bool first, Semantics kind = Semantics::RunOnce,
               const std::string &token = "", KeyDigest key = {}) {
     Envelope head;
@@ -75,7 +75,7 @@
     head.Remaining = ms(10'000);
     step(PacketArrived{head, token});
   }
-  /// The owner of the last Forward tells an ending.
+  /// The owner of the last Forward reports an ending.
   void reply(OutcomeKind how, Reason why, const ServerId &server) {
     Outcome o;
     o.Request = RequestId{1};
@@ -89,7 +89,7 @@
     step(FlowReplied{from,
                      {RequestId{1}, Flow, ServerId(server), fresh, ticket}});
   }
-  /// All actions of a kind in the last step; notes the last Forward.
+  /// All actions of a kind in the last step.
   template <class Kind> std::vector<Kind> all() {
     std::vector<Kind> found;
     for (const EntryAction &it : Last)
@@ -97,7 +97,7 @@
         found.push_back(*action);
     return found;
   }
-  /// The Forward of the last step. Fails the test when there is none.
+  /// Returns the Forward of the last step. Fails the test if there is none.
   SendForward forward() {
     auto found = all<SendForward>();
     EXPECT_EQ(found.size(), 1U);
@@ -105,7 +105,7 @@
       LastForward = found[0];
     return LastForward;
   }
-  /// "ending/reason" of the last step, "-" when nothing ended.
+  /// "ending/reason" of the last step, or "-" if no packet ended.
   std::string ending() {
     auto found = all<EndPacket>();
     if (found.empty())
@@ -115,7 +115,7 @@
     return absl::StrCat(outcomeKindName(End.Result.How), "/",
                         reasonName(End.Result.Why));
   }
-  /// The flow's candidates under the view.
+  /// The flow's candidates under the view, best first.
   std::vector<ServerId> candidates() const {
     const ServiceRoute &route = *View->findService(Booking);
     std::vector<ServerId> ids;
@@ -134,7 +134,7 @@
   EndPacket End;
 };
 
-/// The route of a server in a view that is being put together.
+/// Returns the route of a server in a view that is being built.
 inline RoutedServer &serverIn(RoutingView &view, const ServerId &id) {
   for (RoutedServer &it : view.Services[Booking].Servers)
     if (it.Server.Id == id)
--- a/UnitTests/Flows/SeededCheck.h
+++ b/UnitTests/Flows/SeededCheck.h
@@ -8,8 +8,8 @@
 
 namespace balsamrack {
 
-/// Checks a property with the same cases in every run. Prints the
-/// counterexample when there is one.
+/// Checks a property with the same cases in every run, and prints a
+/// counterexample if it fails.
 template <class Property> bool seededCheck(Property property, int cases = 500) {
   rc::detail::TestParams params;
   params.seed = 20'261'202;
