--- a/Balsamrack/Flows/EntryPlacement.cpp
+++ b/Balsamrack/Flows/EntryPlacement.cpp
@@ -85,9 +85,9 @@
                "key-proved-new");
   // A retry helps if another attempt is in progress or a replica was
   // unreachable. A key whose replicas are all fresh stays unknown for long.
-  bool comeBack = why == Reason::KeyInProgress || p.Keys.hasMissingReply();
+  bool mayRetry = why == Reason::KeyInProgress || p.Keys.hasMissingReply();
   end(p, OutcomeKind::OutcomeUnknown, why, {},
-      comeBack ? jitteredRetryAfter() : Duration(0), "idempotency-key");
+      mayRetry ? jitteredRetryAfter() : Duration(0), "idempotency-key");
 }
 
 void EntryRouter::State::place(EntryPacket &p) {
@@ -178,12 +178,12 @@
                                                  const ServerId &server,
                                                  const char *rule) {
   const ServiceRoute *route = View->findService(p.Head.Service);
-  const RoutedServer *home = route ? route->find(server) : nullptr;
+  const RoutedServer *flowServer = route ? route->find(server) : nullptr;
   // The peer has a later ticket, with a server that is not in force here yet.
-  if (!home)
+  if (!flowServer)
     return end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, server,
                jitteredRetryAfter(), "server-of-later-ticket");
-  forwardToFlowServer(p, *home, false, rule);
+  forwardToFlowServer(p, *flowServer, false, rule);
 }
 
 void EntryRouter::State::startSearch(EntryPacket &p) {
--- a/Balsamrack/Flows/FlowTable.cpp
+++ b/Balsamrack/Flows/FlowTable.cpp
@@ -338,15 +338,15 @@
   Shard::WriteGuard writer(shard);
   std::optional<size_t> at = shard.slots().find(flow.Value);
   Entry e = at ? shard.slots().get(*at) : Entry();
-  bool sameHome = at && e.Handle == *handle;
-  if (at && !sameHome)
+  bool sameServer = at && e.Handle == *handle;
+  if (at && !sameServer)
     --FlowCounts[e.Handle];
   e.Flow = flow.Value;
   e.LastSeen = tickOf(now);
-  e.HasSeveralPackets = e.HasSeveralPackets || sameHome;
-  e.Tag = sameHome ? e.Tag : 0;
+  e.HasSeveralPackets = e.HasSeveralPackets || sameServer;
+  e.Tag = sameServer ? e.Tag : 0;
   e.Handle = *handle;
-  if (!sameHome)
+  if (!sameServer)
     ++FlowCounts[*handle];
   if (at) {
     shard.slots().set(*at, e);
@@ -440,8 +440,8 @@
 std::vector<FlowId> FlowTable::listFlows(TimePoint now,
                                          const ServerId &server) const {
   std::vector<FlowId> flows;
-  for (const auto &[flow, home] : listAllFlows(now))
-    if (home == server)
+  for (const auto &[flow, bound] : listAllFlows(now))
+    if (bound == server)
       flows.push_back(flow);
   return flows;
 }
--- a/Balsamrack/Flows/OwnerFlows.cpp
+++ b/Balsamrack/Flows/OwnerFlows.cpp
@@ -67,8 +67,8 @@
 FlowVerdict OwnerFlows::resolveFlow(TimePoint now, const Envelope &head,
                                     const ServerId &server, bool accept,
                                     bool byToken) {
-  std::optional<FlowBinding> home = Flows->find(now, head.Flow);
-  if (home && home->Server == server)
+  std::optional<FlowBinding> bound = Flows->find(now, head.Flow);
+  if (bound && bound->Server == server)
     return bindFlow(now, head, server, FlowVerdict::Known);
   if (head.FirstOfFlow && !byToken)
     return bindFlow(now, head, server, FlowVerdict::New);
@@ -86,7 +86,7 @@
     return bindFlow(now, head, server, FlowVerdict::Accepted);
   // Refresh the exception, so that it does not expire while the flow sends
   // packets.
-  if (!home)
+  if (!bound)
     Exceptions->bind(now, head.Flow, *elsewhere);
   return {FlowVerdict::Elsewhere, *elsewhere};
 }
@@ -114,11 +114,11 @@
                                                     FlowId flow) const {
   const ServiceRoute *route = view.findService(service);
   for (const FlowTable *table : {Flows.get(), Exceptions.get()}) {
-    std::optional<FlowBinding> home = table->find(now, flow);
+    std::optional<FlowBinding> bound = table->find(now, flow);
     // Ignore servers that were deleted: returning one would cause the flow to
     // be refused permanently.
-    if (home && route && route->find(home->Server))
-      return home->Server;
+    if (bound && route && route->find(bound->Server))
+      return bound->Server;
   }
   return std::nullopt;
 }
@@ -135,8 +135,8 @@
     generation = ViewGeneration;
   }
   // Skip flows that were already announced under this generation.
-  std::optional<FlowBinding> home = Flows->find(now, head.Flow);
-  if (!home || home->Tag == generation)
+  std::optional<FlowBinding> bound = Flows->find(now, head.Flow);
+  if (!bound || bound->Tag == generation)
     return;
   Flows->setTag(head.Flow, generation);
   const RoutedServer &first =
@@ -200,8 +200,8 @@
   const ServiceRoute *route = v->findService(question.Service);
   if (!route)
     return reply;
-  if (auto home = findBoundServer(now, *v, question.Service, question.Flow)) {
-    reply.Server = *home;
+  if (auto bound = findBoundServer(now, *v, question.Service, question.Flow)) {
+    reply.Server = *bound;
     return reply;
   }
   // The flow is unknown: report the likeliest server among those taken over
@@ -281,9 +281,9 @@
   // Export also the flows that rank the server first but are bound to another
   // server.
   for (const FlowTable *table : {Flows.get(), Exceptions.get()})
-    for (const auto &[flow, home] : table->listAllFlows(now))
-      if (home != server && route.find(home) && firstIs(flow))
-        out.Flows.push_back({flow, home});
+    for (const auto &[flow, bound] : table->listAllFlows(now))
+      if (bound != server && route.find(bound) && firstIs(flow))
+        out.Flows.push_back({flow, bound});
   return out;
 }
 
