--- a/Balsamrack/Flows/EntryRouterState.h
+++ b/Balsamrack/Flows/EntryRouterState.h
@@ -9,7 +9,7 @@
 #include "Balsamrack/Flows/EntryPacket.h"
 #include "Balsamrack/Flows/EntryRouter.h"
 #include "Balsamrack/Flows/FlowToken.h"
-#include "Balsamrack/Flows/RetryBudget.h"
+#include "Balsamrack/Flows/PlacementRetryBudget.h"
 
 namespace balsamrack {
 
@@ -27,7 +27,7 @@
                                            ///< ViewChanged.
   std::map<RequestId, EntryPacket> Packets;
   std::set<std::pair<TimePoint, RequestId>> Timers; ///< One per packet.
-  std::map<ServiceId, RetryBudget> Budgets;
+  std::map<ServiceId, PlacementRetryBudget> Budgets;
   size_t NumLingering = 0; ///< Ended packets that wait for a late outcome.
   TimePoint Now;           ///< Time of the current step.
   std::vector<EntryAction> Actions; ///< Actions of the current step.
--- a/Balsamrack/Flows/RetryBudget.h
+++ b/Balsamrack/Flows/PlacementRetryBudget.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_FLOWS_RETRYBUDGET_H
-#define BALSAMRACK_FLOWS_RETRYBUDGET_H
+#ifndef BALSAMRACK_FLOWS_PLACEMENTRETRYBUDGET_H
+#define BALSAMRACK_FLOWS_PLACEMENTRETRYBUDGET_H
 
 namespace balsamrack {
 
@@ -12,11 +12,11 @@
 /// adds a fraction of a retry, so retries stay a bounded share of the packets;
 /// a small burst covers the common case of a single full server. Not
 /// thread-safe.
-class RetryBudget {
+class PlacementRetryBudget {
 public:
   /// Each packet adds \p ratio retries, up to \p burst, which is also the
   /// initial budget.
-  RetryBudget(double ratio, double burst)
+  PlacementRetryBudget(double ratio, double burst)
       : Ratio(ratio), Burst(burst), Available(burst) {}
 
   /// Adds the share of one packet.
@@ -39,4 +39,4 @@
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_FLOWS_RETRYBUDGET_H
+#endif // BALSAMRACK_FLOWS_PLACEMENTRETRYBUDGET_H
