--- a/Balsamrack/Decisions/ColdStartRamp.cpp
+++ b/Balsamrack/Decisions/ColdStartRamp.cpp
@@ -21,7 +21,7 @@
 ColdStartRamp::ColdStartRamp(const RampSettings &settings, uint32_t slots,
                              TimePoint now)
     : Settings(settings), Slots(std::max(slots, 1U)), StepSince(now),
-      StepTime(settings.LeastStepTime) {
+      StepTime(settings.MinStepTime) {
   if (!Settings.Enabled)
     Limit = Slots;
 }
@@ -52,7 +52,7 @@
 }
 
 void ColdStartRamp::recordStartFromIdle(TimePoint now) {
-  if (Settings.Enabled && now - LastDispatchEnd > Settings.IdleSuspicion)
+  if (Settings.Enabled && now - LastDispatchEnd > Settings.IdleRestartTimeout)
     MayHaveRestarted = true;
 }
 
@@ -78,8 +78,8 @@
       WarmAnswers.add(*took);
     HasWarmSamples = HasWarmSamples || WarmAnswers.count() >= MinWarmSamples;
     // A step that was kept for long was not too early.
-    if (now - StepSince >= Settings.MostStepTime) {
-      StepTime = Settings.LeastStepTime;
+    if (now - StepSince >= Settings.MaxStepTime) {
+      StepTime = Settings.MinStepTime;
       Patience = PatienceFactor;
     }
     return nullptr;
@@ -104,9 +104,9 @@
   if (!Settings.Enabled)
     return nullptr;
   bool lowered = Limit > 1;
-  if (lowered && StepTime < Settings.MostStepTime) {
+  if (lowered && StepTime < Settings.MaxStepTime) {
     StepTime =
-        std::min(std::max(StepTime * 2, Duration(1)), Settings.MostStepTime);
+        std::min(std::max(StepTime * 2, Duration(1)), Settings.MaxStepTime);
     Patience *= 2;
   }
   TrustedInstance = InstanceId();
--- a/Balsamrack/Decisions/LongWorkGuard.cpp
+++ b/Balsamrack/Decisions/LongWorkGuard.cpp
@@ -51,7 +51,7 @@
 Duration LongWorkGuard::longThreshold() const {
   auto quartile = static_cast<double>(Times.quantile(ShortQuantile).count());
   Duration from(static_cast<int64_t>(quartile * Settings.LongFactor));
-  return std::max(from, Settings.LeastLong);
+  return std::max(from, Settings.MinLongTime);
 }
 
 bool LongWorkGuard::mayStart(TimePoint now, bool longWork, uint32_t limit,
--- a/Balsamrack/Decisions/OutlierEjection.cpp
+++ b/Balsamrack/Decisions/OutlierEjection.cpp
@@ -94,7 +94,7 @@
   if (!good || areProbesSlow(server, record)) {
     record.GoodProbes = 0;
     record.ProbeTime = Duration(0);
-    record.Hold = std::min(record.Hold * 2, Settings.MostHold);
+    record.Hold = std::min(record.Hold * 2, Settings.MaxHold);
     record.HoldUntil = now + record.Hold;
     return "probe-failed";
   }
@@ -107,8 +107,9 @@
   size_t ejected =
       std::count_if(Servers.begin(), Servers.end(),
                     [](const auto &server) { return server.second.Ejected; });
-  auto share = Settings.MostEjected * static_cast<double>(Servers.size());
-  size_t most = Settings.MostEjected > 0
+  auto share =
+      Settings.MaxEjectedFraction * static_cast<double>(Servers.size());
+  size_t most = Settings.MaxEjectedFraction > 0
                     ? std::max<size_t>(1, static_cast<size_t>(share))
                     : 0;
   if (ejected >= most)
@@ -125,14 +126,14 @@
   std::vector<const AnswerTimes *> peers;
   for (const auto &[id, other] : Servers)
     if (id != server && !other.Ejected &&
-        other.Times.count() >= Settings.LeastSamples)
+        other.Times.count() >= Settings.MinSamples)
       peers.push_back(&other.Times);
   return peers;
 }
 
 bool OutlierEjection::isSlowerThanPeers(const ServerId &server,
                                         const Record &record) const {
-  if (record.Times.count() < Settings.LeastSamples)
+  if (record.Times.count() < Settings.MinSamples)
     return false;
   std::vector<Duration> times;
   for (const AnswerTimes *peer : peersOf(server))
--- a/Balsamrack/Decisions/OwnerSettings.h
+++ b/Balsamrack/Decisions/OwnerSettings.h
@@ -18,12 +18,13 @@
 /// Settings of wait estimates and retry times, see WaitEstimate.
 struct WaitSettings {
   bool RefuseLate = true; ///< Refuse requests that cannot be served in time.
-  double MostWaitShare = 0.5; ///< A request is queued if its expected wait is
-                              ///< at most this fraction of its remaining time.
+  double MaxWaitFraction =
+      0.5; ///< A request is queued if its expected wait is
+           ///< at most this fraction of its remaining time.
   /// Minimum retry delay of a refused request.
-  Duration LeastRetryAfter{50'000};
+  Duration MinRetryAfter{50'000};
   /// Maximum retry delay of a refused request.
-  Duration MostRetryAfter{30'000'000};
+  Duration MaxRetryAfter{30'000'000};
   Duration AuthorityWait{500'000}; ///< Maximum time that a request waits for
                                    ///< the owner's authority to be restored.
 };
@@ -33,14 +34,14 @@
   bool Enabled = true; ///< If false, all slots are used at once.
   /// Number of answers in a group that counts towards a step.
   uint32_t SuccessesPerStep = 16;
-  Duration LeastStepTime{1'000'000}; ///< Minimum duration of a step.
+  Duration MinStepTime{1'000'000}; ///< Minimum duration of a step.
   /// Minimum duration of a step until warm answers of the server were seen.
   Duration UnmeasuredStepTime{5'000'000};
   /// Upper bound of the step time, which doubles.
-  Duration MostStepTime{16'000'000};
+  Duration MaxStepTime{16'000'000};
   /// After this long without an answer, a warm server must answer one request
   /// first.
-  Duration IdleSuspicion{2'000'000};
+  Duration IdleRestartTimeout{2'000'000};
   double SlowFactor = 1.5; ///< A group of answers counts only if its mean is at
                            ///< most this multiple of the warm mean.
   double JumpFactor = 4.0; ///< Recent answers that all exceed this multiple of
@@ -51,10 +52,10 @@
 
 /// Settings for long work, see LongWorkGuard.
 struct LongWorkSettings {
-  bool Enabled = true;         ///< If false, long work may occupy all slots.
-  double LongFactor = 8.0;     ///< Work is long from this multiple of the lower
-                               ///< quartile of answer times.
-  Duration LeastLong{200'000}; ///< Minimum duration of long work.
+  bool Enabled = true;     ///< If false, long work may occupy all slots.
+  double LongFactor = 8.0; ///< Work is long from this multiple of the lower
+                           ///< quartile of answer times.
+  Duration MinLongTime{200'000};   ///< Minimum duration of long work.
   Duration ShortMemory{2'000'000}; ///< The slot is reserved for this long after
                                    ///< the last short request.
 };
@@ -67,12 +68,13 @@
   double SlowFactor = 4.0; ///< A server is ejected when it is slower than its
                            ///< peers by more than this factor.
   /// Number of answers needed to evaluate slowness.
-  uint32_t LeastSamples = 16;
-  double MostEjected = 0.5; ///< Maximum fraction of the owned servers that may
-                            ///< be ejected, at least one server.
+  uint32_t MinSamples = 16;
+  double MaxEjectedFraction =
+      0.5; ///< Maximum fraction of the owned servers that may
+           ///< be ejected, at least one server.
   Duration FirstHold{5'000'000}; ///< Hold time before the first probe.
   /// Upper bound of the hold time, which doubles.
-  Duration MostHold{60'000'000};
+  Duration MaxHold{60'000'000};
   /// Consecutive good probes that readmit a server.
   uint32_t ProbesToReturn = 3;
 };
@@ -81,9 +83,9 @@
 struct RetrySettings {
   bool Enabled = true; ///< If false, no request is retried.
   /// Maximum number of dispatches of one idempotent request.
-  uint32_t MostAttempts = 2;
-  double PerSuccess = 0.1;  ///< Tokens added by a success.
-  double MostTokens = 10.0; ///< Capacity of the token bucket.
+  uint32_t MaxAttempts = 2;
+  double PerSuccess = 0.1; ///< Tokens added by a success.
+  double MaxTokens = 10.0; ///< Capacity of the token bucket.
 };
 
 /// All settings of a ServiceOwner that are not in the tickets.
--- a/Balsamrack/Decisions/RetryBudget.cpp
+++ b/Balsamrack/Decisions/RetryBudget.cpp
@@ -5,10 +5,10 @@
 namespace balsamrack {
 
 RetryBudget::RetryBudget(const RetrySettings &settings)
-    : Settings(settings), Tokens(settings.MostTokens) {}
+    : Settings(settings), Tokens(settings.MaxTokens) {}
 
 void RetryBudget::recordSuccess() {
-  Tokens = std::min(Settings.MostTokens, Tokens + Settings.PerSuccess);
+  Tokens = std::min(Settings.MaxTokens, Tokens + Settings.PerSuccess);
 }
 
 void RetryBudget::recordRefusal() {
--- a/Balsamrack/Decisions/RetryBudget.h
+++ b/Balsamrack/Decisions/RetryBudget.h
@@ -34,7 +34,7 @@
 
 private:
   RetrySettings Settings; ///< Rates and bounds.
-  double Tokens;          ///< In [0, MostTokens].
+  double Tokens;          ///< In [0, MaxTokens].
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/ServerAdmission.cpp
+++ b/Balsamrack/Decisions/ServerAdmission.cpp
@@ -215,7 +215,7 @@
 RequestEnd ServerAdmission::makeRetryElsewhere(Reason why) const {
   // Another server or daemon may accept the request at once.
   return RequestEnd{OutcomeKind::NotRun, why,
-                    Context.Settings.Waits.LeastRetryAfter};
+                    Context.Settings.Waits.MinRetryAfter};
 }
 
 bool ServerAdmission::cancel(TimePoint now, RequestId request) {
--- a/Balsamrack/Decisions/ServerDispatchEnds.cpp
+++ b/Balsamrack/Decisions/ServerDispatchEnds.cpp
@@ -104,7 +104,7 @@
   // Never dispatches a RunOnce request twice, whatever the result was.
   if (what.Head.Kind != Semantics::Idempotent || run.Cancelled ||
       event.How == DispatchOutcome::Answered ||
-      what.Attempts >= Context.Settings.Retries.MostAttempts)
+      what.Attempts >= Context.Settings.Retries.MaxAttempts)
     return false;
   if (!Owned || Drain.checkRefusal(now, false) ||
       Queue.size() >= Queue.capacity() || checkDeadline(now, what) ||
--- a/Balsamrack/Decisions/ServersOfService.cpp
+++ b/Balsamrack/Decisions/ServersOfService.cpp
@@ -51,7 +51,7 @@
   what.Head = event.Head;
   Context.Out.endRequest(what, event.Server,
                          RequestEnd{OutcomeKind::NotRun, Reason::NotOwner,
-                                    Context.Settings.Waits.LeastRetryAfter},
+                                    Context.Settings.Waits.MinRetryAfter},
                          {});
 }
 
--- a/Balsamrack/Decisions/WaitEstimate.cpp
+++ b/Balsamrack/Decisions/WaitEstimate.cpp
@@ -21,7 +21,7 @@
 }
 
 Duration WaitEstimate::maxWait(Duration left) const {
-  auto share = static_cast<double>(left.count()) * Settings.MostWaitShare;
+  auto share = static_cast<double>(left.count()) * Settings.MaxWaitFraction;
   return std::min(left - fast(), Duration(static_cast<int64_t>(share)));
 }
 
@@ -50,13 +50,13 @@
   Duration pace = mean() / static_cast<int64_t>(std::max(slots, 1U));
   // Retry times are reserved no further ahead than the maximum delay, so that
   // callers that never return cannot delay the others indefinitely.
-  TimePoint first = now + std::max(backlog, Settings.LeastRetryAfter);
+  TimePoint first = now + std::max(backlog, Settings.MinRetryAfter);
   NextRetry = std::clamp(NextRetry + pace, first,
-                         std::max(first, now + Settings.MostRetryAfter));
+                         std::max(first, now + Settings.MaxRetryAfter));
   Duration base = NextRetry - now;
   double jitter = static_cast<double>(base.count()) * JitterShare;
   base += Duration(static_cast<int64_t>(jitter * random.unit()));
-  return std::clamp(base, Settings.LeastRetryAfter, Settings.MostRetryAfter);
+  return std::clamp(base, Settings.MinRetryAfter, Settings.MaxRetryAfter);
 }
 
 } // namespace balsamrack
--- a/UnitTests/Decisions/ColdStartRampTest.cpp
+++ b/UnitTests/Decisions/ColdStartRampTest.cpp
@@ -20,7 +20,7 @@
     s.Enabled = enabled;
     // The scenarios assume steps of one second; steps without warm answers are
     // tested below.
-    s.UnmeasuredStepTime = s.LeastStepTime;
+    s.UnmeasuredStepTime = s.MinStepTime;
     return s;
   }
   void answers(int count, Duration took, const char *instance = "a") {
--- a/UnitTests/Decisions/DecisionPartsTest.cpp
+++ b/UnitTests/Decisions/DecisionPartsTest.cpp
@@ -38,13 +38,14 @@
         SettingsCase{"NoColdShare", [](auto &s) { s.Queue.ColdShare = 0; },
                      false},
         SettingsCase{"StepTimes",
-                     [](auto &s) { s.Ramp.MostStepTime = Duration(1); }, false},
-        SettingsCase{"WaitShare", [](auto &s) { s.Waits.MostWaitShare = 1.5; },
-                     false},
-        SettingsCase{"NoAttempts", [](auto &s) { s.Retries.MostAttempts = 0; },
+                     [](auto &s) { s.Ramp.MaxStepTime = Duration(1); }, false},
+        SettingsCase{"WaitShare",
+                     [](auto &s) { s.Waits.MaxWaitFraction = 1.5; }, false},
+        SettingsCase{"NoAttempts", [](auto &s) { s.Retries.MaxAttempts = 0; },
                      false},
         SettingsCase{"EjectsMoreThanAll",
-                     [](auto &s) { s.Ejection.MostEjected = 1.1; }, false}),
+                     [](auto &s) { s.Ejection.MaxEjectedFraction = 1.1; },
+                     false}),
     [](const auto &info) { return info.param.Name; });
 
 // Guards against retries that amplify an overload and sustain it after its
@@ -118,7 +119,7 @@
   Duration last(0);
   for (int n = 0; n < 100'000; ++n)
     last = waits.scheduleRetry(Start, Second, 2, random);
-  EXPECT_LE(last, WaitSettings().MostRetryAfter);
+  EXPECT_LE(last, WaitSettings().MaxRetryAfter);
   last = waits.scheduleRetry(Start + Second * 60, Second, 2, random);
   EXPECT_LE(last, Second * 2);
 }
