--- a/Models/AtMostOnce.pml
+++ b/Models/AtMostOnce.pml
@@ -6,7 +6,7 @@
  * reached: REACH_ANSWERED REACH_RETRY
  *
  * The caller sends the same idempotency key up to three times, each time at
- * another daemon and before the one before has ended. Two guardians remember
+ * another daemon and before the one before has ended. Two key replicas remember
  * keys; both may die and come back with empty memory (Fresh), but not both while
  * one claim is under way (docs/UNPROVED.md). Owners may die
  * at any step, answers may get lost, a backend server may refuse a connection
@@ -25,18 +25,18 @@
 #define FRESH 3
 #define SILENT 4
 
-byte holder[2];  /* 1 + attempt that holds the key at a guardian; 0 nobody */
+byte holder[2];  /* 1 + attempt that holds the key at a replica; 0 nobody */
 bool fresh[2];   /* it has not been up for as long as keys are remembered */
 bool dead[2];
 byte deathsLeft = 2;
 byte claiming = 0;       /* attempts between their first claim and its verdict */
-bool diedDuring = false; /* a guardian died since claiming was last 0 */
+bool diedDuring = false; /* a key replica died since claiming was last 0 */
 byte runs = 0;
 byte ended[ATTEMPTS];
 bool ran[ATTEMPTS];
 bool sent[ATTEMPTS]; /* it is on its way to the server, and may arrive late */
 
-/* The guardian notes the attempt before it answers. */
+/* The key replica notes the attempt before it answers. */
 inline claim(g, a, verdict) {
   if
   :: dead[g] -> verdict = SILENT
@@ -169,7 +169,7 @@
 #define mayDie (!diedDuring)
 #endif
 
-/* A guardian dies, and its VM or another one takes its place with no memory. */
+/* A key replica dies; its VM or another one takes its place with no memory. */
 proctype Deaths() {
   byte g;
   do
--- a/Models/Ownership.pml
+++ b/Models/Ownership.pml
@@ -20,7 +20,7 @@
 
 bool paused[N];
 bool owned[N];      /* Phase::Owned */
-bool unproven[N];   /* SwimMembership::mayRenew is false */
+bool unproven[N];   /* SwimMembership::mayRenewLeases is false */
 bool awake[N];      /* has been running since the last tick at least */
 bool ended[N];      /* the lease had ended before this tick */
 byte view[N];       /* live daemons as seen by each */
@@ -29,7 +29,7 @@
 byte waitFor[N];    /* ticks until the leases of the dead have ended */
 byte alone[N];      /* ticks that a expired daemon without peers has waited */
 byte quiet[9];      /* i * N + j: ticks since i renewed the lease of j, or j
-                     * stopped to run (MemberView::SilentSince is not before) */
+                     * stopped to run (MemberView::AliveUntil is not before) */
 byte refutation[N]; /* of each daemon itself */
 byte known[9];      /* i * N + j: refutation of j that i knows of */
 /* i * N + j: a release on its way to i from j: 0 none, else 1 + quiet time. A
@@ -82,7 +82,7 @@
 #endif
 }
 
-/* OwnershipTracker::restartQuestions */
+/* OwnershipTracker::restartRequests */
 inline restart(r) {
   rel[r] = 0;
   waitFor[r] = 0;
@@ -105,8 +105,8 @@
   fi
 }
 
-/* One probe and its answer: OwnershipFence::heard at x, MemberTable::renew at y.
- * Probes are much more frequent than a tick is long, so a tick renews a lease
+/* One probe and its answer: OwnershipFence::renewLease at x,
+ * MemberTable::renewLease at y. Probes are much more frequent than a tick is long, so a tick renews a lease
  * or finds that every answer was lost. A lease that had ended is not renewed
  * without giving up: state Renewed, AuthorityExpired, restart. */
 inline renew(x, y) {
@@ -153,7 +153,7 @@
 }
 
 /* j hears from i that it is dead and refutes it: MemberTable::refute, action
- * HeldForDead. */
+ * DeclaredDead. */
 inline refute(x, y) {
   if
   :: !isLive(x, y) ->
@@ -181,8 +181,8 @@
   fi
 }
 
-/* i asks j: OwnershipTracker::ask at i, onQuestion and answerFor at j. The
- * release goes on its way; the one before is lost. */
+/* i asks j: OwnershipTracker::sendDueRequests at i, onRequest and addReplyFor
+ * at j. The release goes on its way; the one before is lost. */
 inline question(x, y) {
   byte q;
   if
@@ -191,7 +191,7 @@
      owned[y] = false;
 #endif
      q = WAIT;
-     /* OwnershipTracker::quietFor */
+     /* OwnershipTracker::timeSinceDeadLease */
      if
      :: !isLive(y, 0) && quiet[y * N + 0] < q -> q = quiet[y * N + 0]
      :: else -> skip
@@ -210,7 +210,7 @@
   fi
 }
 
-/* OwnershipTracker::onAnswer */
+/* OwnershipTracker::onReply */
 inline answer(x, y) {
   if
   :: letter[x * N + y] > 0 && wants(x) && isLive(x, y) ->
@@ -225,7 +225,7 @@
   letter[x * N + y] = 0
 }
 
-/* OwnershipTracker::gainReady */
+/* OwnershipTracker::acquireReleased */
 inline gain(x) {
   if
   :: wants(x) && (rel[x] | BIT(x)) == view[x] && leasesEnded(x) ->
@@ -241,7 +241,7 @@
   fi
 }
 
-/* OwnershipFence::ticked without peers */
+/* OwnershipFence::onTick without peers */
 inline tickAlone(x) {
   if
   :: view[x] == BIT(x) && lease[x] == 0 && alone[x] >= WAIT ->
--- a/Models/PublishedState.pml
+++ b/Models/PublishedState.pml
@@ -155,7 +155,7 @@
 #endif
 }
 
-/* PublishedStore::completeUpTo */
+/* PublishedStore::extendCompleteness */
 inline mergeDigests(d, last, as) {
   if
 #ifdef MARKS_BY_AGE
@@ -241,8 +241,8 @@
   od
 }
 
-/* StateExchange::asked: what the other one lacked when it asked; it may have
- * asked long ago. */
+/* StateExchange::handleRequest: what the other one lacked when it asked; it may
+ * have asked long ago. */
 active proctype Teller() {
   byte d, after, first, second;
   do
@@ -282,7 +282,7 @@
   od
 }
 
-/* Delivery: in any order, or lost. StateExchange::told. */
+/* Delivery: in any order, or lost. StateExchange::handleUpdate. */
 active proctype Network() {
   byte d, after, as, last, first, second;
   do
@@ -309,7 +309,7 @@
   od
 }
 
-/* PublishedStore::forgetOldest, and a new life. */
+/* PublishedStore::dropOldTombstones, and a new life. */
 active proctype Forgetting() {
   byte x;
   do
