--- a/Balsamrack/Daemon/OwnerDispatcher.cpp
+++ b/Balsamrack/Daemon/OwnerDispatcher.cpp
@@ -15,8 +15,10 @@
 
 namespace {
 
-/// Upper 16 bits of the request ids of health probes, which keep them apart
-/// from the ids that entries assign to requests.
+/// Upper 16 bits of the request ids of health probes. They keep these ids apart
+/// from most of the ids that entries assign to requests. Entries' ids are
+/// hashes: about 1 in 65,536 of them has the same upper 16 bits, so that it can
+/// equal the id of a probe.
 constexpr uint64_t HealthRequestIdPrefix = 0xFFFF'0000'0000'0000ULL;
 constexpr Duration HealthTimeout{1'000'000};
 /// A hand-over takes one round trip, a takeover takes seconds: a caller that
