--- a/Balsamrack/Packets/OpeningQueue.cpp
+++ b/Balsamrack/Packets/OpeningQueue.cpp
@@ -23,7 +23,7 @@
 }
 
 OpeningQueue::Item OpeningQueue::pop() {
-  assert(!Waiting.empty());
+  assert(!Items.empty());
   Item item = Items.front();
   Items.pop_front();
   return item;
--- a/Balsamrack/Published/PublishedStore.cpp
+++ b/Balsamrack/Published/PublishedStore.cpp
@@ -158,7 +158,7 @@
 
 std::vector<uint32_t> PublishedStore::bucketHashes(PublishedSection section,
                                                    uint32_t count) const {
-  assert(validBucketCount(count));
+  assert(isValidBucketCount(count));
   std::vector<uint32_t> hashes(count);
   for (uint32_t i = 0; i < MaxBuckets; ++i)
     hashes[i / (MaxBuckets / count)] ^=
