--- a/Balsamrack/Client/TicketCommands.cpp
+++ b/Balsamrack/Client/TicketCommands.cpp
@@ -22,7 +22,7 @@
     return "changed";
   case ObjectChange::Kind::Deleted:
     return "deleted";
-  case ObjectChange::Kind::Overtaken:
+  case ObjectChange::Kind::Superseded:
     break;
   }
   return "overtaken";
@@ -67,9 +67,9 @@
   // What it would change, and what would dangle then.
   auto store = ConfigurationStore::create();
   mergeReplies(replies, *store);
-  const auto changes = store->changesAgainst(*ticket);
+  const auto changes = store->previewChanges(*ticket);
   store->merge(ticket->Objects);
-  const auto warnings = danglingReferences(*store->view());
+  const auto warnings = configurationWarnings(*store->view());
   Report report;
   json document = {{"accepted", true},
                    {"ticket", ticket->Number.Value},
@@ -80,12 +80,13 @@
   for (const ObjectChange &it : changes) {
     document["changes"].push_back({{"kind", objectKindName(it.Key.Kind)},
                                    {"id", it.Key.Name},
-                                   {"change", changeName(it.What)},
-                                   {"held_by_ticket", it.From.Value}});
+                                   {"change", changeName(it.Change)},
+                                   {"held_by_ticket", it.HeldTicket.Value}});
     absl::StrAppend(&report.Text, "  ", objectKindName(it.Key.Kind), " ",
-                    it.Key.Name, ": ", changeName(it.What));
-    if (it.From.Value > 0)
-      absl::StrAppend(&report.Text, " (held by ticket ", it.From.Value, ")");
+                    it.Key.Name, ": ", changeName(it.Change));
+    if (it.HeldTicket.Value > 0)
+      absl::StrAppend(&report.Text, " (held by ticket ", it.HeldTicket.Value,
+                      ")");
     absl::StrAppend(&report.Text, "\n");
   }
   for (const std::string &it : warnings)
--- a/Balsamrack/Configuration/ConfigurationStore.cpp
+++ b/Balsamrack/Configuration/ConfigurationStore.cpp
@@ -34,28 +34,29 @@
 }
 
 /// Cuts \p objects into messages of about \p maxBytes.
-std::vector<StateUpdate> cut(const std::vector<const ObjectState *> &objects,
-                             const StateDigest &held, size_t maxBytes) {
+std::vector<StateUpdate>
+splitIntoUpdates(const std::vector<const ObjectState *> &objects,
+                 const StateDigest &held, size_t maxBytes) {
   std::vector<StateUpdate> updates;
   size_t bytes = maxBytes;
   for (const ObjectState *object : objects) {
-    size_t more = estimatedBytes(*object);
-    if (updates.empty() || bytes + more > maxBytes) {
+    size_t objectBytes = estimatedBytes(*object);
+    if (updates.empty() || bytes + objectBytes > maxBytes) {
       updates.push_back({held, {}});
       bytes = 0;
     }
     updates.back().Objects.push_back(*object);
-    bytes += more;
+    bytes += objectBytes;
   }
   return updates;
 }
 
-ObjectChange changeOf(const ObjectState *held, const ObjectState &next) {
+ObjectChange classifyChange(const ObjectState *held, const ObjectState &next) {
   using Kind = ObjectChange::Kind;
   if (!held)
     return {next.Key, next.deleted() ? Kind::Deleted : Kind::Created, {}};
   if (next.Ticket <= held->Ticket)
-    return {next.Key, Kind::Overtaken, held->Ticket};
+    return {next.Key, Kind::Superseded, held->Ticket};
   if (next.deleted())
     return {next.Key, Kind::Deleted, held->Ticket};
   return {next.Key, held->deleted() ? Kind::Created : Kind::Changed,
@@ -71,12 +72,12 @@
   return std::unique_ptr<ConfigurationStore>(new ConfigurationStore());
 }
 
-bool ConfigurationStore::mergeOne(const ObjectState &object) {
-  auto [it, fresh] = Objects.try_emplace(object.Key, object);
-  if (!fresh && object.Ticket <= it->second.Ticket)
+bool ConfigurationStore::mergeObject(const ObjectState &object) {
+  auto [it, inserted] = Objects.try_emplace(object.Key, object);
+  if (!inserted && object.Ticket <= it->second.Ticket)
     return false;
   uint64_t &bucket = Buckets[bucketOf(object.Key)];
-  if (!fresh)
+  if (!inserted)
     bucket -= stateHash(it->second);
   bucket += stateHash(object);
   it->second = object;
@@ -84,18 +85,18 @@
   return true;
 }
 
-ConfigurationStore::Merged
+ConfigurationStore::MergeResult
 ConfigurationStore::merge(const std::vector<ObjectState> &objects) {
   std::lock_guard<std::mutex> guard(Lock);
-  Merged merged;
+  MergeResult result;
   for (const ObjectState &object : objects)
-    if (mergeOne(object))
-      merged.Changed.push_back(object.Key);
+    if (mergeObject(object))
+      result.Changed.push_back(object.Key);
   // Repeats are the usual case; they cost no new snapshot.
-  if (!merged.Changed.empty())
+  if (!result.Changed.empty())
     View = ConfigurationView::create(Objects, Highest);
-  merged.View = View;
-  return merged;
+  result.View = View;
+  return result;
 }
 
 std::shared_ptr<const ConfigurationView> ConfigurationStore::view() const {
@@ -103,7 +104,7 @@
   return View;
 }
 
-StateDigest ConfigurationStore::heldLocked() const {
+StateDigest ConfigurationStore::digestLocked() const {
   uint64_t hash = 0;
   for (uint64_t bucket : Buckets)
     hash += bucket;
@@ -112,34 +113,34 @@
 
 StateDigest ConfigurationStore::digest() const {
   std::lock_guard<std::mutex> guard(Lock);
-  return heldLocked();
+  return digestLocked();
 }
 
 StateRequest ConfigurationStore::request() const {
   std::lock_guard<std::mutex> guard(Lock);
-  StateRequest asked{heldLocked(), {}};
+  StateRequest result{digestLocked(), {}};
   // An empty store asks for everything; its bucket hashes would say no more.
   if (!Objects.empty())
-    asked.BucketHashes.assign(Buckets.begin(), Buckets.end());
-  return asked;
+    result.BucketHashes.assign(Buckets.begin(), Buckets.end());
+  return result;
 }
 
 std::vector<StateUpdate>
-ConfigurationStore::updatesFor(const StateRequest &asked,
+ConfigurationStore::updatesFor(const StateRequest &request,
                                size_t maxBytes) const {
   std::lock_guard<std::mutex> guard(Lock);
-  bool all = asked.BucketHashes.size() != BucketCount;
+  bool all = request.BucketHashes.size() != BucketCount;
   std::vector<const ObjectState *> wanted;
   for (const auto &[key, object] : Objects) {
     size_t bucket = bucketOf(key);
-    if (all || asked.BucketHashes[bucket] != Buckets[bucket])
+    if (all || request.BucketHashes[bucket] != Buckets[bucket])
       wanted.push_back(&object);
   }
   std::stable_sort(wanted.begin(), wanted.end(),
                    [](const ObjectState *a, const ObjectState *b) {
                      return a->Ticket < b->Ticket;
                    });
-  return cut(wanted, heldLocked(), maxBytes);
+  return splitIntoUpdates(wanted, digestLocked(), maxBytes);
 }
 
 std::vector<ObjectState> ConfigurationStore::objects() const {
@@ -151,19 +152,19 @@
   return list;
 }
 
-bool ConfigurationStore::inForce(TicketNumber number) const {
+bool ConfigurationStore::isInForce(TicketNumber number) const {
   std::lock_guard<std::mutex> guard(Lock);
   return Highest >= number;
 }
 
 std::vector<ObjectChange>
-ConfigurationStore::changesAgainst(const Ticket &ticket) const {
+ConfigurationStore::previewChanges(const Ticket &ticket) const {
   std::lock_guard<std::mutex> guard(Lock);
   std::vector<ObjectChange> changes;
   for (const ObjectState &next : ticket.Objects) {
     auto it = Objects.find(next.Key);
     changes.push_back(
-        changeOf(it == Objects.end() ? nullptr : &it->second, next));
+        classifyChange(it == Objects.end() ? nullptr : &it->second, next));
   }
   return changes;
 }
--- a/Balsamrack/Configuration/ConfigurationStore.h
+++ b/Balsamrack/Configuration/ConfigurationStore.h
@@ -17,14 +17,14 @@
 struct ObjectChange {
   /// Kinds of change.
   enum class Kind {
-    Created,   ///< Not held, or held as deleted.
-    Changed,   ///< Held with a lower ticket number.
-    Deleted,   ///< Held, and the ticket deletes it.
-    Overtaken, ///< Held with this or a higher ticket number: no change.
+    Created,    ///< Not held, or held as deleted.
+    Changed,    ///< Held with a lower ticket number.
+    Deleted,    ///< Held, and the ticket deletes it.
+    Superseded, ///< Held with this or a higher ticket number: no change.
   };
-  ObjectKey Key;             ///< Which object.
-  Kind What = Kind::Created; ///< What would happen.
-  TicketNumber From;         ///< The ticket that gave the state held.
+  ObjectKey Key;               ///< Which object.
+  Kind Change = Kind::Created; ///< What would happen.
+  TicketNumber HeldTicket;     ///< The ticket that gave the state held.
 };
 
 /// The configuration that a daemon holds: a map from object to (ticket number,
@@ -37,7 +37,7 @@
   static constexpr size_t BucketCount = 256;
 
   /// What a merge changed.
-  struct Merged {
+  struct MergeResult {
     std::vector<ObjectKey> Changed;                ///< Objects with new state.
     std::shared_ptr<const ConfigurationView> View; ///< Snapshot after it.
   };
@@ -49,7 +49,7 @@
   /// or lower one is ignored. Guards against a platform that after a failover
   /// answers with older data: it shows as a lower number and changes nothing.
   /// Commutative, associative, idempotent. Thread-safe.
-  Merged merge(const std::vector<ObjectState> &objects);
+  MergeResult merge(const std::vector<ObjectState> &objects);
 
   /// The snapshot in force. Never null. Thread-safe.
   std::shared_ptr<const ConfigurationView> view() const;
@@ -61,19 +61,19 @@
   /// ticket first, in messages of about \p maxBytes each (at least one object a
   /// message). Lowest first, so that an asker that gets only some of them does
   /// not claim the highest number too early. Thread-safe.
-  std::vector<StateUpdate> updatesFor(const StateRequest &asked,
+  std::vector<StateUpdate> updatesFor(const StateRequest &request,
                                       size_t maxBytes) const;
   /// All objects held, deleted ones included, ordered by key. Thread-safe.
   std::vector<ObjectState> objects() const;
   /// True when a ticket with this or a higher number is held. Thread-safe.
-  bool inForce(TicketNumber number) const;
+  bool isInForce(TicketNumber number) const;
   /// What \p ticket would change here. Thread-safe.
-  std::vector<ObjectChange> changesAgainst(const Ticket &ticket) const;
+  std::vector<ObjectChange> previewChanges(const Ticket &ticket) const;
 
 private:
   ConfigurationStore();
-  bool mergeOne(const ObjectState &object);
-  StateDigest heldLocked() const;
+  bool mergeObject(const ObjectState &object);
+  StateDigest digestLocked() const;
 
   mutable std::mutex Lock;                     ///< Guards all below.
   std::map<ObjectKey, ObjectState> Objects;    ///< Deleted ones included.
--- a/Balsamrack/Configuration/ConfigurationView.cpp
+++ b/Balsamrack/Configuration/ConfigurationView.cpp
@@ -21,7 +21,7 @@
   view->Highest = highest;
   for (const auto &[key, object] : objects)
     view->add(object);
-  view->index();
+  view->buildIndexes();
   return view;
 }
 
@@ -35,15 +35,15 @@
     Servers[server->Id] = *server;
 }
 
-void ConfigurationView::index() {
+void ConfigurationView::buildIndexes() {
   for (const auto &[id, server] : Servers) {
     ByService[server.Service].push_back(&server);
     ByDomain[server.Domain].push_back(&server);
   }
   for (const auto &[id, service] : Services)
     for (uint16_t port : service.Ports) {
-      auto [it, fresh] = ByPort.emplace(port, &service);
-      if (!fresh)
+      auto [it, inserted] = ByPort.emplace(port, &service);
+      if (!inserted)
         it->second = nullptr;
     }
 }
@@ -73,7 +73,7 @@
   return find(Services, id);
 }
 
-bool ConfigurationView::domainInService(const DomainId &domain) const {
+bool ConfigurationView::isDomainInService(const DomainId &domain) const {
   const auto *found = find(Domains, domain);
   return found && found->InService;
 }
--- a/Balsamrack/Configuration/ConfigurationView.h
+++ b/Balsamrack/Configuration/ConfigurationView.h
@@ -45,14 +45,14 @@
   const Service *service(const ServiceId &id) const;
   /// True for a domain that operators have in service. A domain that no ticket
   /// described is out: its servers are dangling.
-  bool domainInService(const DomainId &domain) const;
+  bool isDomainInService(const DomainId &domain) const;
   /// The ticket that gave the object its state; zero when there is none.
   TicketNumber ticketOf(const ObjectKey &key) const;
 
 private:
   ConfigurationView() = default;
   void add(const ObjectState &object);
-  void index();
+  void buildIndexes();
 
   TicketNumber Highest;                      ///< Highest ticket number held.
   std::map<DomainId, FailureDomain> Domains; ///< By id.
--- a/Balsamrack/Configuration/TicketCheck.cpp
+++ b/Balsamrack/Configuration/TicketCheck.cpp
@@ -23,8 +23,8 @@
   if (!service)
     return absl::OkStatus();
   for (uint16_t port : service->Ports) {
-    auto [it, fresh] = claimed.emplace(port, service->Id.str());
-    if (!fresh)
+    auto [it, inserted] = claimed.emplace(port, service->Id.str());
+    if (!inserted)
       return fault(absl::StrCat(pointerTo(index), "/state/ports"),
                    absl::StrCat("port ", port, " is claimed by service ",
                                 it->second, " too"));
@@ -32,13 +32,13 @@
   return absl::OkStatus();
 }
 
-void warnOfPorts(const ConfigurationView &view,
-                 std::vector<std::string> &warnings) {
+void addPortConflictWarnings(const ConfigurationView &view,
+                             std::vector<std::string> &warnings) {
   std::map<uint16_t, std::string> claimed;
   for (const auto &[id, service] : view.services())
     for (uint16_t port : service.Ports) {
-      auto [it, fresh] = claimed.emplace(port, id.str());
-      if (!fresh)
+      auto [it, inserted] = claimed.emplace(port, id.str());
+      if (!inserted)
         warnings.push_back(absl::StrCat(
             "port ", port, " is claimed by the services ", it->second, " and ",
             id.str(), "; neither gets its packets"));
@@ -68,7 +68,7 @@
   return absl::OkStatus();
 }
 
-std::vector<std::string> danglingReferences(const ConfigurationView &view) {
+std::vector<std::string> configurationWarnings(const ConfigurationView &view) {
   std::vector<std::string> warnings;
   for (const auto &[id, server] : view.servers()) {
     if (!view.service(server.Service))
@@ -80,7 +80,7 @@
                                       server.Domain.str(),
                                       ", which does not exist"));
   }
-  warnOfPorts(view, warnings);
+  addPortConflictWarnings(view, warnings);
   return warnings;
 }
 
--- a/Balsamrack/Configuration/TicketCheck.h
+++ b/Balsamrack/Configuration/TicketCheck.h
@@ -21,7 +21,7 @@
 /// What an operator should know of a configuration although it is accepted:
 /// a server whose service or domain does not exist, a port that two services
 /// claim. Such objects are simply not routed to. Thread-safe.
-std::vector<std::string> danglingReferences(const ConfigurationView &view);
+std::vector<std::string> configurationWarnings(const ConfigurationView &view);
 
 } // namespace balsamrack
 
--- a/Balsamrack/Configuration/TicketCodec.cpp
+++ b/Balsamrack/Configuration/TicketCodec.cpp
@@ -105,8 +105,8 @@
   absl::StatusOr<Address> at = Address::parse(in.text("address"));
   if (at.ok() && at->Port != 0)
     return *at;
-  in.fault("address", "must be an IPv4 address and a port, such as "
-                      "10.0.0.1:9001");
+  in.addFault("address", "must be an IPv4 address and a port, such as "
+                         "10.0.0.1:9001");
   return {};
 }
 
@@ -115,7 +115,7 @@
     return ServerMode::Active;
   std::string mode = in.text("mode");
   if (mode != "active" && mode != "draining")
-    in.fault("mode", "must be active or draining");
+    in.addFault("mode", "must be active or draining");
   return mode == "draining" ? ServerMode::Draining : ServerMode::Active;
 }
 
@@ -144,7 +144,7 @@
   if (kind == "server")
     return ObjectKind::Server;
   if (kind != "domain")
-    in.fault("kind", "must be domain, service or server");
+    in.addFault("kind", "must be domain, service or server");
   return ObjectKind::Domain;
 }
 
@@ -171,13 +171,13 @@
   object.Key.Name = in.name("id");
   bool deleted = in.has("deleted");
   if (deleted && !in.flag("deleted"))
-    in.fault("deleted", "must be true, or left out");
+    in.addFault("deleted", "must be true, or left out");
   if (deleted && in.has("state"))
-    in.fault("state", "must be left out of a deletion");
+    in.addFault("state", "must be left out of a deletion");
   const json *state = deleted ? nullptr : &in.raw("state");
-  absl::Status own = in.finish();
-  if (!own.ok() || deleted)
-    return own;
+  absl::Status status = in.finish();
+  if (!status.ok() || deleted)
+    return status;
   return readState(*state, in.pointerTo("state"), object);
 }
 
@@ -187,17 +187,17 @@
   ticket.Number = TicketNumber{in.number("ticket", TicketRange)};
   const json &objects = in.raw("objects");
   if (!objects.is_array())
-    in.fault("objects", "must be a list");
-  absl::Status own = in.finish();
-  if (!own.ok())
-    return own;
+    in.addFault("objects", "must be a list");
+  absl::Status status = in.finish();
+  if (!status.ok())
+    return status;
   for (size_t i = 0; i < objects.size(); ++i) {
-    TicketFieldReader item(objects[i], absl::StrCat("/objects/", i));
+    TicketFieldReader objectReader(objects[i], absl::StrCat("/objects/", i));
     ObjectState object;
     object.Ticket = ticket.Number;
-    absl::Status read = readObject(item, object);
-    if (!read.ok())
-      return read;
+    absl::Status objectStatus = readObject(objectReader, object);
+    if (!objectStatus.ok())
+      return objectStatus;
     ticket.Objects.push_back(std::move(object));
   }
   return ticket;
@@ -256,9 +256,9 @@
   absl::StatusOr<Ticket> ticket = readTicket(value);
   if (!ticket.ok())
     return ticket;
-  absl::Status checked = checkTicket(*ticket);
-  if (!checked.ok())
-    return checked;
+  absl::Status status = checkTicket(*ticket);
+  if (!status.ok())
+    return status;
   return ticket;
 }
 
@@ -284,9 +284,9 @@
   TicketFieldReader in(value, "");
   ObjectState object;
   object.Ticket = TicketNumber{in.number("ticket", TicketRange)};
-  absl::Status read = readObject(in, object);
-  if (!read.ok())
-    return read;
+  absl::Status status = readObject(in, object);
+  if (!status.ok())
+    return status;
   return object;
 }
 
--- a/Balsamrack/Configuration/TicketFieldReader.h
+++ b/Balsamrack/Configuration/TicketFieldReader.h
@@ -19,8 +19,8 @@
 public:
   /// A range of whole numbers, both ends included.
   struct Range {
-    uint64_t Low;  ///< Least value.
-    uint64_t High; ///< Greatest value.
+    uint64_t Min; ///< Least value.
+    uint64_t Max; ///< Greatest value.
   };
 
   /// Reads \p value, which stands at the JSON pointer \p pointer. Keeps a
@@ -37,18 +37,19 @@
   /// A whole number in \p range. Not thread-safe.
   uint64_t number(const char *field, Range range);
   /// As number, or \p absent when the field is left out. Not thread-safe.
-  uint64_t numberOr(const char *field, Range range, uint64_t absent);
+  uint64_t numberOr(const char *field, Range range, uint64_t defaultValue);
   /// True or false. Not thread-safe.
   bool flag(const char *field);
   /// \p most or fewer different numbers in \p range, at least one. Not
   /// thread-safe.
-  std::vector<uint64_t> numbers(const char *field, Range range, size_t most);
+  std::vector<uint64_t> numbers(const char *field, Range range,
+                                size_t maxCount);
   /// The field as it is; an empty value when it is missing. Not thread-safe.
   const nlohmann::json &raw(const char *field);
   /// JSON pointer to \p field. Not thread-safe.
   std::string pointerTo(const std::string &field) const;
   /// Notes a fault at \p field, unless there was one. Not thread-safe.
-  void fault(const std::string &field, const std::string &what);
+  void addFault(const std::string &field, const std::string &what);
   /// The first fault; ok when all that is there was asked for and was right.
   /// Not thread-safe.
   absl::Status finish();
@@ -56,8 +57,8 @@
 private:
   const nlohmann::json &Value; ///< The object, or whatever is in its place.
   std::string Pointer;         ///< Where it stands.
-  std::set<std::string> Known; ///< Fields that were asked for.
-  absl::Status Fault;          ///< The first fault.
+  std::set<std::string> RequestedFields; ///< Fields that were asked for.
+  absl::Status Fault;                    ///< The first fault.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/ControlPlane.cpp
+++ b/Balsamrack/Daemon/ControlPlane.cpp
@@ -324,7 +324,7 @@
     ServersChanged &change = owned[server->Service];
     change.Ticket = view->highest();
     change.Settings = *service;
-    change.Servers.push_back({*server, view->domainInService(server->Domain),
+    change.Servers.push_back({*server, view->isDomainInService(server->Domain),
                               originOf(gain.Kind), gain.LastKnown,
                               gain.InProgress, gain.DispatchAllowedFrom});
   }
@@ -350,7 +350,7 @@
                                    const OwnershipMap &map) const {
   RoutedServer route;
   route.Server = server;
-  route.DomainInService = view.domainInService(server.Domain);
+  route.DomainInService = view.isDomainInService(server.Domain);
   route.DomainReachable = Members->domainReachable(server.Domain);
   route.Owner = ownerOf(server, map);
   const auto it = Members->members().find(route.Owner.Id);
--- a/Balsamrack/Daemon/Daemon.cpp
+++ b/Balsamrack/Daemon/Daemon.cpp
@@ -39,10 +39,10 @@
 EntryHandlerSettings entrySettingsOf(const Settings &values, uint64_t seed) {
   EntryHandlerSettings settings;
   settings.Router.TokenKey = values.Peers.FleetKey;
-  settings.Router.KeyReplicaCount = values.Keys.Guardians;
+  settings.Router.KeyReplicaCount = values.Keys.KeyReplicas;
   settings.Router.KeyMemory = values.Keys.Memory;
   settings.Router.AssumeNoEarlierKeys = values.Keys.AssumeNoEarlierKeysAtStart;
-  settings.Router.OnUnreachableReplica = values.Keys.WhenCut;
+  settings.Router.OnUnreachableReplica = values.Keys.OnUnreachableReplica;
   settings.PortOffset = values.Callers.PortOffset;
   settings.MaxInProgress = values.Callers.MaxInProgress;
   settings.Seed = seed;
@@ -109,7 +109,7 @@
     return ownerFlows.status();
   Flows = std::move(*ownerFlows);
   KeyStoreSettings keys;
-  keys.KeyReplicaCount = Config.Keys.Guardians;
+  keys.KeyReplicaCount = Config.Keys.KeyReplicas;
   keys.KeyMemory = Config.Keys.Memory;
   keys.AssumeNoEarlierKeys = Config.Keys.AssumeNoEarlierKeysAtStart;
   keys.MaxKeys = Config.Keys.MaxKeys;
--- a/Balsamrack/Daemon/DaemonOperatorHandler.cpp
+++ b/Balsamrack/Daemon/DaemonOperatorHandler.cpp
@@ -225,7 +225,7 @@
     return badAnswer(400, "number has to be a ticket's number");
   return goodAnswer({{"vm", Sources.Self.Id.str()},
                      {"ticket", Sources.Store.view()->highest().Value},
-                     {"in_force", Sources.Store.inForce(number)}});
+                     {"in_force", Sources.Store.isInForce(number)}});
 }
 
 OperatorAnswer
--- a/Balsamrack/Daemon/PacketControlPlane.cpp
+++ b/Balsamrack/Daemon/PacketControlPlane.cpp
@@ -48,7 +48,7 @@
 
 absl::StatusOr<std::unique_ptr<PacketControlPlane>> PacketControlPlane::create(
     const EntryVm &self, const std::vector<EntryVm> &seeds, Incarnation run,
-    uint64_t seed, std::unique_ptr<DatagramPeers> peers,
+    uint64_t seed, std::unique_ptr<DatagramTransport> peers,
     PublishedSource &source, const Clock &clock, PacketTelemetry &telemetry,
     PacketControlListener &listener) {
   std::unique_ptr<PacketControlPlane> part(new PacketControlPlane(
@@ -63,7 +63,7 @@
 
 PacketControlPlane::PacketControlPlane(const EntryVm &self, Incarnation run,
                                        uint64_t seed,
-                                       std::unique_ptr<DatagramPeers> peers,
+                                       std::unique_ptr<DatagramTransport> peers,
                                        PublishedSource &source,
                                        const Clock &clock,
                                        PacketTelemetry &telemetry,
--- a/Balsamrack/Daemon/PacketControlPlane.h
+++ b/Balsamrack/Daemon/PacketControlPlane.h
@@ -41,9 +41,10 @@
   /// Membership::create(). Precondition: all references outlive the result.
   static absl::StatusOr<std::unique_ptr<PacketControlPlane>>
   create(const EntryVm &self, const std::vector<EntryVm> &seeds,
-         Incarnation run, uint64_t seed, std::unique_ptr<DatagramPeers> peers,
-         PublishedSource &source, const Clock &clock,
-         PacketTelemetry &telemetry, PacketControlListener &listener);
+         Incarnation run, uint64_t seed,
+         std::unique_ptr<DatagramTransport> peers, PublishedSource &source,
+         const Clock &clock, PacketTelemetry &telemetry,
+         PacketControlListener &listener);
   PacketControlPlane(const PacketControlPlane &) = delete;
   PacketControlPlane &operator=(const PacketControlPlane &) = delete;
   ~PacketControlPlane();
@@ -61,7 +62,7 @@
 
 private:
   PacketControlPlane(const EntryVm &self, Incarnation run, uint64_t seed,
-                     std::unique_ptr<DatagramPeers> peers,
+                     std::unique_ptr<DatagramTransport> peers,
                      PublishedSource &source, const Clock &clock,
                      PacketTelemetry &telemetry,
                      PacketControlListener &listener);
@@ -94,7 +95,7 @@
   const EntryVm Self;
   Incarnation Run;
   SeededRandom Random;
-  const std::unique_ptr<DatagramPeers> Peers;
+  const std::unique_ptr<DatagramTransport> Peers;
   PublishedSource &Source;
   const Clock &Time;
   PacketTelemetry &TelemetrySink;
--- a/Balsamrack/Daemon/PacketDaemon.cpp
+++ b/Balsamrack/Daemon/PacketDaemon.cpp
@@ -74,10 +74,10 @@
 }
 
 absl::Status PacketDaemon::start() {
-  auto socket = PacketSocket::open(Settings.Packets);
+  auto socket = PacketSocket::open(Settings.PacketAddress);
   if (!socket.ok())
     return socket.status();
-  auto peers = DatagramPeers::open(Settings.Peers);
+  auto peers = DatagramTransport::open(Settings.PeerAddress);
   if (!peers.ok())
     return peers.status();
   Incarnation run = newIncarnation();
@@ -98,19 +98,19 @@
     return state.status();
   Control = *std::move(state);
   auto ready =
-      HttpListener::create(portAt(Settings.Ready),
+      HttpListener::create(portAt(Settings.ReadyAddress),
                            [this](const std::string &, const Message &message) {
                              return answerReady(message);
                            });
   if (!ready.ok())
     return ready.status();
   ReadyPort = *std::move(ready);
-  if (Settings.Metrics.Port == 0)
+  if (Settings.MetricsAddress.Port == 0)
     return absl::OkStatus();
   Operators = std::make_unique<PacketOperatorHandler>(Settings, *Forwarder,
                                                       TelemetrySink);
   auto metrics =
-      OperatorPort::create(Settings.Metrics, {AnyAddress}, *Operators);
+      OperatorPort::create(Settings.MetricsAddress, {AnyAddress}, *Operators);
   if (!metrics.ok())
     return metrics.status();
   MetricsPort = *std::move(metrics);
@@ -144,10 +144,11 @@
 void PacketDaemon::onRefreshed() { Forwarder->setFresh(); }
 
 void PacketDaemon::reload(const PacketSettings &settings) {
-  bool fixed =
-      settings.Packets == Settings.Packets &&
-      settings.Ready == Settings.Ready && settings.Peers == Settings.Peers &&
-      settings.Source == Settings.Source && settings.Domain == Settings.Domain;
+  bool fixed = settings.PacketAddress == Settings.PacketAddress &&
+               settings.ReadyAddress == Settings.ReadyAddress &&
+               settings.PeerAddress == Settings.PeerAddress &&
+               settings.PublishedAddress == Settings.PublishedAddress &&
+               settings.Domain == Settings.Domain;
   TelemetrySink.log(LogLine(Part::Daemon,
                             fixed ? Severity::Info : Severity::Warning,
                             "reloaded")
@@ -162,7 +163,7 @@
   Control->announceLeaving();
   TimePoint began = Deps.Time.now();
   TimePoint last =
-      began + std::max(Settings.Grace - ShutdownMargin, Duration{0});
+      began + std::max(Settings.ShutdownGrace - ShutdownMargin, Duration{0});
   TimePoint quietSince = began;
   uint64_t seen = Forwarder->received();
   for (TimePoint now = began; now < last; now = Deps.Time.now()) {
--- a/Balsamrack/Daemon/PacketTelemetry.cpp
+++ b/Balsamrack/Daemon/PacketTelemetry.cpp
@@ -138,8 +138,8 @@
   Registry->set(PeerBytes, {{"direction", "received"}},
                 static_cast<double>(peers.BytesReceived));
   Registry->set(Peers, {}, static_cast<double>(live));
-  setMessageMetrics("sent", peers.SentOf);
-  setMessageMetrics("received", peers.ReceivedOf);
+  setMessageMetrics("sent", peers.SentByType);
+  setMessageMetrics("received", peers.ReceivedByType);
 }
 
 void PacketTelemetry::setMessageMetrics(const char *direction,
--- a/Balsamrack/Peers/CborShape.cpp
+++ b/Balsamrack/Peers/CborShape.cpp
@@ -27,87 +27,89 @@
 /// Walks over one item without recursion: the library's parser recurses for
 /// each level, so that a frame of millions of nested arrays would overflow the
 /// stack before it could report an error.
-class ShapeWalk {
+class CborValidator {
 public:
-  ShapeWalk(const std::string &bytes, const CborLimits &limits)
-      : Text(bytes), Limits(limits) {}
+  CborValidator(const std::string &bytes, const CborLimits &limits)
+      : Input(bytes), Limits(limits) {}
 
-  absl::Status run() {
-    if (Text.size() > Limits.Bytes)
+  absl::Status validate() {
+    if (Input.size() > Limits.MaxBytes)
       return fault("frame too large");
-    Open.push_back(1);
-    while (!Open.empty()) {
-      if (Open.back() == 0) {
-        Open.pop_back();
+    OpenLevels.push_back(1);
+    while (!OpenLevels.empty()) {
+      if (OpenLevels.back() == 0) {
+        OpenLevels.pop_back();
         continue;
       }
-      --Open.back();
-      absl::Status status = item();
+      --OpenLevels.back();
+      absl::Status status = readItem();
       if (!status.ok())
         return status;
     }
-    return At == Text.size() ? absl::OkStatus() : fault("bytes after the end");
+    return Offset == Input.size() ? absl::OkStatus()
+                                  : fault("bytes after the end");
   }
 
 private:
   static absl::Status fault(const char *what) {
     return absl::InvalidArgumentError(what);
   }
-  size_t left() const { return Text.size() - At; }
+  size_t remainingBytes() const { return Input.size() - Offset; }
 
   /// Reads the value that follows the head byte's low five bits.
-  bool value(uint8_t low, uint64_t &out) {
-    out = low;
-    if (low <= LargestInlineValue)
+  bool readArgument(uint8_t additionalInfo, uint64_t &out) {
+    out = additionalInfo;
+    if (additionalInfo <= LargestInlineValue)
       return true;
-    if (low > LargestLengthCode)
+    if (additionalInfo > LargestLengthCode)
       return false;
-    size_t n = size_t(1) << (low - LargestInlineValue - 1);
-    if (left() < n)
+    size_t n = size_t(1) << (additionalInfo - LargestInlineValue - 1);
+    if (remainingBytes() < n)
       return false;
     out = 0;
     for (size_t i = 0; i < n; ++i)
-      out = out << 8 | static_cast<uint8_t>(Text[At++]);
+      out = out << 8 | static_cast<uint8_t>(Input[Offset++]);
     return true;
   }
 
-  absl::Status container(uint64_t count) {
+  absl::Status openContainer(uint64_t count) {
     // Each value takes at least a byte, so a larger count is a lie that would
     // only make the parser reserve memory.
-    if (count > left())
+    if (count > remainingBytes())
       return fault("truncated");
-    if (Open.size() > Limits.Depth)
+    if (OpenLevels.size() > Limits.MaxDepth)
       return fault("nested too deeply");
-    Open.push_back(count);
+    OpenLevels.push_back(count);
     return absl::OkStatus();
   }
 
-  absl::Status item() {
-    if (left() == 0)
+  absl::Status readItem() {
+    if (remainingBytes() == 0)
       return fault("truncated");
-    if (++Items > Limits.Items)
+    if (++ItemCount > Limits.MaxItems)
       return fault("too many values");
-    auto head = static_cast<uint8_t>(Text[At++]);
-    uint64_t n = 0;
-    if (!value(head & 31, n))
+    auto initialByte = static_cast<uint8_t>(Input[Offset++]);
+    uint64_t argument = 0;
+    if (!readArgument(initialByte & 31, argument))
       return fault("truncated, or a length that is not definite");
-    switch (head >> 5) {
+    switch (initialByte >> 5) {
     case Unsigned:
     case Negative:
       return absl::OkStatus();
     case Bytes:
     case Major::Text:
-      if (n > left())
+      if (argument > remainingBytes())
         return fault("truncated");
-      At += n;
+      Offset += argument;
       return absl::OkStatus();
     case Array:
-      return container(n);
+      return openContainer(argument);
     case Map:
-      return n > left() ? fault("truncated") : container(2 * n);
+      return argument > remainingBytes() ? fault("truncated")
+                                         : openContainer(2 * argument);
     case Simple:
-      if ((head & 31) <= LargestInlineValue && n >= FirstSimple &&
-          n <= LastSimple)
+      if ((initialByte & 31) <= LargestInlineValue && argument >= FirstSimple &&
+          argument <= LastSimple)
         return absl::OkStatus();
       break;
     default:
@@ -116,18 +118,17 @@
     return fault("a kind of value that no message uses");
   }
 
-  const std::string &Text;
+  const std::string &Input;
   const CborLimits &Limits;
-  std::vector<uint64_t> Open; ///< Values still to come, by open level.
-  size_t At = 0;              ///< Offset of the next byte.
-  size_t Items = 0;           ///< Values seen.
+  std::vector<uint64_t> OpenLevels; ///< Values still to come, by open level.
+  size_t Offset = 0;                ///< Offset of the next byte.
+  size_t ItemCount = 0;             ///< Values seen.
 };
 
 } // namespace
 
-absl::Status checkCborShape(const std::string &bytes,
-                            const CborLimits &limits) {
-  return ShapeWalk(bytes, limits).run();
+absl::Status validateCbor(const std::string &bytes, const CborLimits &limits) {
+  return CborValidator(bytes, limits).validate();
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Peers/DatagramPeers.cpp
+++ b/Balsamrack/Peers/DatagramPeers.cpp
@@ -21,9 +21,9 @@
 /// First bytes of each datagram; a later layout gets another one.
 constexpr uint32_t Magic = 0x62726431;
 /// Magic, message number, piece number, number of pieces.
-constexpr size_t HeadBytes = 12;
+constexpr size_t HeaderBytes = 12;
 /// A burst of a whole configuration to a domain fits in.
-constexpr int BufferBytes = 512 * 1024;
+constexpr int SocketBufferBytes = 512 * 1024;
 
 void put16(char *out, uint16_t v) {
   v = htons(v);
@@ -46,136 +46,142 @@
 
 } // namespace
 
-absl::StatusOr<std::unique_ptr<DatagramPeers>>
-DatagramPeers::open(const Address &at) {
-  auto fd = openDatagramSocket(at, BufferBytes);
+absl::StatusOr<std::unique_ptr<DatagramTransport>>
+DatagramTransport::open(const Address &at) {
+  auto fd = openDatagramSocket(at, SocketBufferBytes);
   if (!fd.ok())
     return fd.status();
-  return std::unique_ptr<DatagramPeers>(new DatagramPeers(*fd));
+  return std::unique_ptr<DatagramTransport>(new DatagramTransport(*fd));
 }
 
-DatagramPeers::~DatagramPeers() { close(Fd); }
+DatagramTransport::~DatagramTransport() { close(Fd); }
 
-absl::Status DatagramPeers::send(const Address &to,
-                                 const PeerMessage &message) {
+absl::Status DatagramTransport::send(const Address &to,
+                                     const PeerMessage &message) {
   return sendFrame(to, encodePeerMessage(message),
-                   Counters.SentOf[message.index()]);
+                   Counters.SentByType[message.index()]);
 }
 
-absl::Status DatagramPeers::sendAll(const std::vector<Address> &to,
-                                    const PeerMessage &message) {
+absl::Status DatagramTransport::sendAll(const std::vector<Address> &to,
+                                        const PeerMessage &message) {
   std::string frame = encodePeerMessage(message);
   absl::Status first;
   for (const Address &it : to)
-    first.Update(sendFrame(it, frame, Counters.SentOf[message.index()]));
+    first.Update(sendFrame(it, frame, Counters.SentByType[message.index()]));
   return first;
 }
 
-absl::Status DatagramPeers::sendFrame(const Address &to,
-                                      const std::string &frame,
-                                      MessageCount &count) {
-  size_t pieces =
-      std::max<size_t>(1, (frame.size() + PieceBytes - 1) / PieceBytes);
-  if (pieces > MostPieces)
+absl::Status DatagramTransport::sendFrame(const Address &to,
+                                          const std::string &frame,
+                                          MessageCount &count) {
+  size_t fragments = std::max<size_t>(1, (frame.size() + MaxFragmentBytes - 1) /
+                                             MaxFragmentBytes);
+  if (fragments > MaxFragments)
     return makeError(absl::StatusCode::kResourceExhausted, Step::SendToPeer,
                      to.str(), "the message is too long for datagrams");
-  sockaddr_in end{};
-  end.sin_family = AF_INET;
-  end.sin_port = htons(to.Port);
-  inet_pton(AF_INET, to.Ip.c_str(), &end.sin_addr);
-  ++LastMessage;
-  std::array<char, HeadBytes + PieceBytes> out{};
-  for (size_t i = 0; i < pieces; ++i) {
-    size_t n = std::min(PieceBytes, frame.size() - i * PieceBytes);
+  sockaddr_in destination{};
+  destination.sin_family = AF_INET;
+  destination.sin_port = htons(to.Port);
+  inet_pton(AF_INET, to.Ip.c_str(), &destination.sin_addr);
+  ++LastMessageNumber;
+  std::array<char, HeaderBytes + MaxFragmentBytes> out{};
+  for (size_t i = 0; i < fragments; ++i) {
+    size_t n = std::min(MaxFragmentBytes, frame.size() - i * MaxFragmentBytes);
     put32(out.data(), Magic);
-    put32(out.data() + 4, LastMessage);
+    put32(out.data() + 4, LastMessageNumber);
     put16(out.data() + 8, static_cast<uint16_t>(i));
-    put16(out.data() + 10, static_cast<uint16_t>(pieces));
-    std::memcpy(out.data() + HeadBytes, frame.data() + i * PieceBytes, n);
-    ssize_t sent = sendto(Fd, out.data(), HeadBytes + n, 0,
-                          reinterpret_cast<sockaddr *>(&end), sizeof end);
+    put16(out.data() + 10, static_cast<uint16_t>(fragments));
+    std::memcpy(out.data() + HeaderBytes, frame.data() + i * MaxFragmentBytes,
+                n);
+    ssize_t sent =
+        sendto(Fd, out.data(), HeaderBytes + n, 0,
+               reinterpret_cast<sockaddr *>(&destination), sizeof destination);
     if (sent < 0) {
-      ++Counters.SendFailed;
+      ++Counters.SendFailures;
       return makeError(absl::StatusCode::kUnavailable, Step::SendToPeer,
                        to.str(), std::strerror(errno));
     }
-    ++Counters.Sent;
+    ++Counters.DatagramsSent;
     Counters.BytesSent += static_cast<uint64_t>(sent);
   }
   count.add(frame.size());
   return absl::OkStatus();
 }
 
-void DatagramPeers::receive(const Got &got) {
-  std::array<char, HeadBytes + PieceBytes + 1> in{};
+void DatagramTransport::receive(const MessageHandler &handler) {
+  std::array<char, HeaderBytes + MaxFragmentBytes + 1> in{};
   for (;;) {
-    sockaddr_in end{};
-    socklen_t length = sizeof end;
+    sockaddr_in source{};
+    socklen_t length = sizeof source;
     ssize_t n = recvfrom(Fd, in.data(), in.size(), 0,
-                         reinterpret_cast<sockaddr *>(&end), &length);
+                         reinterpret_cast<sockaddr *>(&source), &length);
     // An error of an earlier send (nobody listens there) is told here; what
     // waits behind it is read by the next call.
     if (n < 0)
       return;
-    ++Counters.Received;
+    ++Counters.DatagramsReceived;
     Counters.BytesReceived += static_cast<uint64_t>(n);
     char text[INET_ADDRSTRLEN] = "";
-    inet_ntop(AF_INET, &end.sin_addr, text, sizeof text);
-    take({text, ntohs(end.sin_port)}, in.data(), static_cast<size_t>(n), got);
+    inet_ntop(AF_INET, &source.sin_addr, text, sizeof text);
+    handleDatagram({text, ntohs(source.sin_port)}, in.data(),
+                   static_cast<size_t>(n), handler);
   }
 }
 
-void DatagramPeers::take(const Address &from, const char *bytes, size_t n,
-                         const Got &got) {
-  size_t piece = n >= HeadBytes ? get16(bytes + 8) : 0;
-  size_t pieces = n >= HeadBytes ? get16(bytes + 10) : 0;
-  if (n < HeadBytes || n > HeadBytes + PieceBytes || get32(bytes) != Magic ||
-      piece >= pieces || pieces > MostPieces) {
-    ++Counters.Bad;
+void DatagramTransport::handleDatagram(const Address &from, const char *bytes,
+                                       size_t size,
+                                       const MessageHandler &handler) {
+  size_t index = size >= HeaderBytes ? get16(bytes + 8) : 0;
+  size_t fragments = size >= HeaderBytes ? get16(bytes + 10) : 0;
+  if (size < HeaderBytes || size > HeaderBytes + MaxFragmentBytes ||
+      get32(bytes) != Magic || index >= fragments || fragments > MaxFragments) {
+    ++Counters.Malformed;
     return;
   }
-  std::string content(bytes + HeadBytes, n - HeadBytes);
-  if (pieces == 1) {
-    complete(from, content, got);
+  std::string content(bytes + HeaderBytes, size - HeaderBytes);
+  if (fragments == 1) {
+    deliver(from, content, handler);
     return;
   }
-  PendingKey key{from, get32(bytes + 4)};
-  if (Unfinished.count(key) == 0 && Unfinished.size() >= MostPending)
-    dropOldest();
-  Pending &pending = Unfinished[key];
-  if (pending.Pieces.empty()) {
-    pending.Began = ++Arrivals;
-    pending.Pieces.resize(pieces);
+  PartialKey key{from, get32(bytes + 4)};
+  if (PartialMessages.count(key) == 0 &&
+      PartialMessages.size() >= MaxPartialMessages)
+    evictOldestPartial();
+  PartialMessage &partial = PartialMessages[key];
+  if (partial.Fragments.empty()) {
+    partial.ArrivalOrder = ++PartialMessagesBegun;
+    partial.Fragments.resize(fragments);
   }
-  if (pending.Pieces.size() != pieces || !pending.Pieces[piece].empty())
+  if (partial.Fragments.size() != fragments ||
+      !partial.Fragments[index].empty())
     return;
-  pending.Pieces[piece] = std::move(content);
-  if (++pending.Here < pieces)
+  partial.Fragments[index] = std::move(content);
+  if (++partial.ReceivedFragments < fragments)
     return;
   std::string frame;
-  for (const std::string &it : pending.Pieces)
+  for (const std::string &it : partial.Fragments)
     frame += it;
-  Unfinished.erase(key);
-  complete(from, frame, got);
+  PartialMessages.erase(key);
+  deliver(from, frame, handler);
 }
 
-void DatagramPeers::dropOldest() {
-  auto oldest = std::min_element(Unfinished.begin(), Unfinished.end(),
+void DatagramTransport::evictOldestPartial() {
+  auto oldest = std::min_element(PartialMessages.begin(), PartialMessages.end(),
                                  [](const auto &a, const auto &b) {
                                    return a.second.Began < b.second.Began;
                                  });
-  Unfinished.erase(oldest);
+  PartialMessages.erase(oldest);
 }
 
-void DatagramPeers::complete(const Address &from, const std::string &frame,
-                             const Got &got) {
+void DatagramTransport::deliver(const Address &from, const std::string &frame,
+                                const MessageHandler &handler) {
   auto message = decodePeerMessage(frame);
   if (!message.ok()) {
-    ++Counters.Bad;
+    ++Counters.Malformed;
     return;
   }
-  Counters.ReceivedOf[message->index()].add(frame.size());
-  got(from, *std::move(message));
+  Counters.ReceivedByType[message->index()].add(frame.size());
+  handler(from, *std::move(message));
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Peers/DatagramPeers.h
+++ b/Balsamrack/Peers/DatagramPeers.h
@@ -34,14 +34,14 @@
 
 /// Counts of a DatagramPeers since its start.
 struct DatagramCounters {
-  uint64_t BytesSent = 0;     ///< Payload of datagrams.
-  uint64_t BytesReceived = 0; ///< As above.
-  uint64_t Sent = 0;          ///< Datagrams.
-  uint64_t Received = 0;      ///< As above.
-  uint64_t Bad = 0;           ///< Datagrams or messages that could not be read.
-  uint64_t SendFailed = 0;    ///< Datagrams that the system did not take.
-  MessageCounts SentOf;       ///< Messages sent, by type.
-  MessageCounts ReceivedOf;   ///< Whole messages that came in, by type.
+  uint64_t BytesSent = 0;         ///< Payload of datagrams.
+  uint64_t BytesReceived = 0;     ///< As above.
+  uint64_t DatagramsSent = 0;     ///< Datagrams.
+  uint64_t DatagramsReceived = 0; ///< As above.
+  uint64_t Malformed = 0;    ///< Datagrams or messages that could not be read.
+  uint64_t SendFailures = 0; ///< Datagrams that the system did not take.
+  MessageCounts SentByType;  ///< Messages sent, by type.
+  MessageCounts ReceivedByType; ///< Whole messages that came in, by type.
 };
 
 /// Carries messages between daemons as UDP datagrams; a long message goes in
@@ -50,24 +50,26 @@
 /// a daemon says a few hundred bytes a second to peers that change all the
 /// time, and a connection that falls silent holds up what is said next on it.
 /// Not thread-safe.
-class DatagramPeers {
+class DatagramTransport {
 public:
   /// Bytes of a message in one datagram: fits a usual link's 1,500.
-  static constexpr size_t PieceBytes = 1'400;
+  static constexpr size_t MaxFragmentBytes = 1'400;
   /// Pieces of one message: 700 KB, more than any configuration we know.
-  static constexpr size_t MostPieces = 512;
+  static constexpr size_t MaxFragments = 512;
   /// Messages that are being put together; the oldest gives way.
-  static constexpr size_t MostPending = 16;
+  static constexpr size_t MaxPartialMessages = 16;
 
   /// Called for each message that came in, with its sender's address.
-  using Got = std::function<void(const Address &from, PeerMessage message)>;
+  using MessageHandler =
+      std::function<void(const Address &from, PeerMessage message)>;
 
   /// Opens the socket at \p at. Error (step listen, peer ip:port) when the
   /// address is taken or not ours. Thread-safe.
-  static absl::StatusOr<std::unique_ptr<DatagramPeers>> open(const Address &at);
-  DatagramPeers(const DatagramPeers &) = delete;
-  DatagramPeers &operator=(const DatagramPeers &) = delete;
-  ~DatagramPeers();
+  static absl::StatusOr<std::unique_ptr<DatagramTransport>>
+  open(const Address &at);
+  DatagramTransport(const DatagramTransport &) = delete;
+  DatagramTransport &operator=(const DatagramTransport &) = delete;
+  ~DatagramTransport();
 
   /// Readable when receive() has something.
   int fd() const { return Fd; }
@@ -79,30 +81,32 @@
   absl::Status sendAll(const std::vector<Address> &to,
                        const PeerMessage &message);
   /// Takes in all that waits.
-  void receive(const Got &got);
+  void receive(const MessageHandler &handler);
   /// What it has carried so far.
   const DatagramCounters &counters() const { return Counters; }
 
 private:
   /// A message of which some pieces are here.
-  struct Pending {
-    uint64_t Began = 0; ///< Order of arrival.
-    size_t Here = 0;    ///< Pieces that have come.
-    std::vector<std::string> Pieces;
+  struct PartialMessage {
+    uint64_t ArrivalOrder = 0;    ///< Order of arrival.
+    size_t ReceivedFragments = 0; ///< Pieces that have come.
+    std::vector<std::string> Fragments;
   };
-  using PendingKey = std::pair<Address, uint32_t>;
+  using PartialKey = std::pair<Address, uint32_t>;
 
-  explicit DatagramPeers(int fd) : Fd(fd) {}
+  explicit DatagramTransport(int fd) : Fd(fd) {}
   absl::Status sendFrame(const Address &to, const std::string &frame,
                          MessageCount &count);
-  void take(const Address &from, const char *bytes, size_t n, const Got &got);
-  void complete(const Address &from, const std::string &frame, const Got &got);
-  void dropOldest();
+  void handleDatagram(const Address &from, const char *bytes, size_t size,
+                      const MessageHandler &handler);
+  void deliver(const Address &from, const std::string &frame,
+               const MessageHandler &handler);
+  void evictOldestPartial();
 
   const int Fd;
-  uint32_t LastMessage = 0; ///< Number of the last message sent.
-  uint64_t Arrivals = 0;    ///< Counts messages begun.
-  std::map<PendingKey, Pending> Unfinished;
+  uint32_t LastMessageNumber = 0;    ///< Number of the last message sent.
+  uint64_t PartialMessagesBegun = 0; ///< Counts messages begun.
+  std::map<PartialKey, PartialMessage> PartialMessages;
   DatagramCounters Counters;
 };
 
--- a/Balsamrack/Peers/PeerAcceptor.cpp
+++ b/Balsamrack/Peers/PeerAcceptor.cpp
@@ -28,7 +28,7 @@
 
 /// True for the codes that say that a frame could not be taken. websocketpp
 /// uses internal_endpoint_error for some, such as a length in too many bytes.
-bool blamesAFrame(close_code::value code) {
+bool isFrameError(close_code::value code) {
   return code == close_code::protocol_error ||
          code == close_code::unsupported_data ||
          code == close_code::invalid_payload ||
@@ -37,14 +37,14 @@
 }
 
 /// A connection that a peer opened.
-struct Guest {
+struct InboundConnection {
   enum class Stage { Proof, Hello, Ready };
 
-  Stage At = Stage::Proof;
+  Stage CurrentStage = Stage::Proof;
   std::string Ip;
-  std::string WantedProof; ///< What the peer must show.
-  EntryVm Vm;              ///< Who it is, once Ready.
-  bool Refused = false;    ///< We have cut it off, and said so.
+  std::string ExpectedProof;  ///< What the peer must show.
+  EntryVm Vm;                 ///< Who it is, once Ready.
+  bool ClosedByError = false; ///< We have cut it off, and said so.
 };
 
 /// Touched by the context's thread only, but for create() and at().
@@ -53,28 +53,30 @@
   WebsocketAcceptor(const PeerTransportSettings &settings,
                     PeerListener &listener, TransportStats &stats,
                     boost::asio::io_context &context, AddressSet allowed,
-                    PeerSeen onHello)
+                    HelloCallback onHello)
       : Settings(settings), Listener(listener), Stats(stats), Context(context),
         Allowed(std::move(allowed)), OnHello(std::move(onHello)) {}
 
   absl::Status start();
-  Address at() const override { return Where; }
+  Address at() const override { return BoundAddress; }
   void close() override;
-  bool closed() const override { return Guests.empty(); }
+  bool closed() const override { return Connections.empty(); }
 
 private:
-  using Guestbook = std::map<Handle, Guest, std::owner_less<Handle>>;
+  using ConnectionMap =
+      std::map<Handle, InboundConnection, std::owner_less<Handle>>;
 
   bool onValidate(const Handle &h);
   void onOpen(const Handle &h);
   void onMessage(const Handle &h, const Server::message_ptr &m);
   void onClose(const Handle &h);
-  bool checkProof(Guest &guest, const Server::message_ptr &m);
-  void takeHello(const Handle &h, Guest &guest, const PeerMessage &message);
-  void refuse(const Handle &h, const std::string &peer, absl::Status why,
-              close_code::value code);
-  bool turnAway(const Server::connection_ptr &c, const std::string &ip,
-                http_code::value status, const char *why);
+  bool checkProof(InboundConnection &inbound, const Server::message_ptr &m);
+  void handleHello(const Handle &h, InboundConnection &inbound,
+                   const PeerMessage &message);
+  void closeWithError(const Handle &h, const std::string &peer,
+                      absl::Status why, close_code::value code);
+  bool rejectHandshake(const Server::connection_ptr &c, const std::string &ip,
+                       http_code::value status, const char *why);
   void report(const absl::Status &status) const {
     if (Settings.OnFault)
       Settings.OnFault(status);
@@ -85,17 +87,18 @@
   TransportStats &Stats;
   boost::asio::io_context &Context;
   const AddressSet Allowed;
-  const PeerSeen OnHello;
+  const HelloCallback OnHello;
   Server Endpoint;
-  Address Where;
-  Guestbook Guests;
-  std::map<VmId, Handle> Current; ///< The newest connection of each peer.
+  Address BoundAddress;
+  ConnectionMap Connections;
+  std::map<VmId, Handle>
+      NewestConnections; ///< The newest connection of each peer.
 };
 
 absl::Status WebsocketAcceptor::start() {
   // websocketpp does not tell why it can't listen; this does.
-  Where = Settings.Listen;
-  auto probe = ListenSocket::open(Where);
+  BoundAddress = Settings.Listen;
+  auto probe = ListenSocket::open(BoundAddress);
   if (!probe.ok())
     return probe.status();
   { ListenSocket closed = *std::move(probe); }
@@ -114,20 +117,21 @@
         onMessage(h, m);
       });
   ErrorCode ec;
-  Endpoint.listen(Where.Ip, std::to_string(Where.Port), ec);
+  Endpoint.listen(BoundAddress.Ip, std::to_string(BoundAddress.Port), ec);
   if (!ec)
     Endpoint.start_accept(ec);
   if (ec)
-    return makeError(absl::StatusCode::kUnavailable, Step::Listen, Where.str(),
-                     ec.message());
+    return makeError(absl::StatusCode::kUnavailable, Step::Listen,
+                     BoundAddress.str(), ec.message());
   boost::system::error_code bec;
-  Where.Port = Endpoint.get_local_endpoint(bec).port();
+  BoundAddress.Port = Endpoint.get_local_endpoint(bec).port();
   return absl::OkStatus();
 }
 
-bool WebsocketAcceptor::turnAway(const Server::connection_ptr &c,
-                                 const std::string &ip, http_code::value status,
-                                 const char *why) {
+bool WebsocketAcceptor::rejectHandshake(const Server::connection_ptr &c,
+                                        const std::string &ip,
+                                        http_code::value status,
+                                        const char *why) {
   ++Stats.PeersRefused;
   c->set_status(status);
   report(makeError(absl::StatusCode::kPermissionDenied, Step::DecodePeerMessage,
@@ -144,22 +148,23 @@
   std::string ip =
       c->get_raw_socket().remote_endpoint(bec).address().to_string();
   if (!Allowed.contains(ip))
-    return turnAway(c, ip, http_code::forbidden, "address is not a peer's");
-  if (Guests.size() >= MaxPeerConnections)
-    return turnAway(c, ip, http_code::service_unavailable,
-                    "too many connections");
-  const std::string theirs = c->get_request_header(NonceHeader);
-  if (!FleetKeyProof::isNonce(theirs))
-    return turnAway(c, ip, http_code::bad_request, "no nonce");
-  const std::string ours = FleetKeyProof::makeNonce();
-  c->append_header(NonceHeader, ours);
+    return rejectHandshake(c, ip, http_code::forbidden,
+                           "address is not a peer's");
+  if (Connections.size() >= MaxPeerConnections)
+    return rejectHandshake(c, ip, http_code::service_unavailable,
+                           "too many connections");
+  const std::string dialerNonce = c->get_request_header(NonceHeader);
+  if (!FleetKeyProof::isNonce(dialerNonce))
+    return rejectHandshake(c, ip, http_code::bad_request, "no nonce");
+  const std::string acceptorNonce = FleetKeyProof::makeNonce();
+  c->append_header(NonceHeader, acceptorNonce);
   c->append_header(ProofHeader,
                    FleetKeyProof::make(Settings.FleetKey, ProofSide::Acceptor,
-                                       theirs, ours));
-  Guest &guest = Guests[h];
-  guest.Ip = std::move(ip);
-  guest.WantedProof =
-      FleetKeyProof::make(Settings.FleetKey, ProofSide::Dialer, theirs, ours);
+                                       dialerNonce, acceptorNonce));
+  InboundConnection &inbound = Connections[h];
+  inbound.Ip = std::move(ip);
+  inbound.ExpectedProof = FleetKeyProof::make(
+      Settings.FleetKey, ProofSide::Dialer, dialerNonce, acceptorNonce);
   return true;
 }
 
@@ -170,18 +175,21 @@
     return;
   tunePeerSocket(c->get_raw_socket().native_handle(), Settings.StallTimeout);
   Endpoint.set_timer(HelloTimeoutMillis, [this, h](const ErrorCode &) {
-    auto it = Guests.find(h);
-    if (it != Guests.end() && it->second.At != Guest::Stage::Ready)
-      refuse(h, it->second.Ip, absl::DeadlineExceededError("no Hello in time"),
-             close_code::policy_violation);
+    auto it = Connections.find(h);
+    if (it != Connections.end() &&
+        it->second.CurrentStage != InboundConnection::Stage::Ready)
+      closeWithError(h, it->second.Ip,
+                     absl::DeadlineExceededError("no Hello in time"),
+                     close_code::policy_violation);
   });
 }
 
-void WebsocketAcceptor::refuse(const Handle &h, const std::string &peer,
-                               absl::Status why, close_code::value code) {
-  auto it = Guests.find(h);
-  if (it != Guests.end())
-    it->second.Refused = true;
+void WebsocketAcceptor::closeWithError(const Handle &h, const std::string &peer,
+                                       absl::Status why,
+                                       close_code::value code) {
+  auto it = Connections.find(h);
+  if (it != Connections.end())
+    it->second.ClosedByError = true;
   ErrorCode ec;
   Endpoint.close(h, code, std::string(why.message()).substr(0, 100), ec);
   report(atStep(std::move(why), Step::DecodePeerMessage, peer));
@@ -189,58 +197,60 @@
 
 void WebsocketAcceptor::onMessage(const Handle &h,
                                   const Server::message_ptr &m) {
-  auto it = Guests.find(h);
-  if (it == Guests.end())
+  auto it = Connections.find(h);
+  if (it == Connections.end())
     return;
-  Guest &guest = it->second;
+  InboundConnection &inbound = it->second;
   const std::string &frame = m->get_payload();
-  if (guest.At == Guest::Stage::Proof) {
-    Stats.received(false, frame.size());
-    if (checkProof(guest, m))
+  if (inbound.CurrentStage == InboundConnection::Stage::Proof) {
+    Stats.countReceived(false, frame.size());
+    if (checkProof(inbound, m))
       return;
     ++Stats.PeersRefused;
-    return refuse(h, guest.Ip,
-                  absl::PermissionDeniedError("wrong proof of the fleet's key"),
-                  close_code::policy_violation);
+    return closeWithError(
+        h, inbound.Ip,
+        absl::PermissionDeniedError("wrong proof of the fleet's key"),
+        close_code::policy_violation);
   }
   auto message = decodePeerMessage(frame);
-  Stats.received(message.ok() && isDataMessage(*message), frame.size());
-  bool ready = guest.At == Guest::Stage::Ready;
+  Stats.countReceived(message.ok() && isDataMessage(*message), frame.size());
+  bool ready = inbound.CurrentStage == InboundConnection::Stage::Ready;
   if (message.ok() && ready == std::holds_alternative<Hello>(*message))
     message = absl::InvalidArgumentError("Hello must come first, and once");
   if (!message.ok()) {
     ++Stats.BadFrames;
-    return refuse(
-        h, ready ? guest.Vm.Id.str() : guest.Ip,
+    return closeWithError(
+        h, ready ? inbound.Vm.Id.str() : inbound.Ip,
         absl::Status(message.status().code(), message.status().message()),
         close_code::protocol_error);
   }
   if (ready)
-    Listener.onPeerMessage(EntryVm(guest.Vm), *std::move(message));
+    Listener.onPeerMessage(EntryVm(inbound.Vm), *std::move(message));
   else
-    takeHello(h, guest, *message);
+    handleHello(h, inbound, *message);
 }
 
-bool WebsocketAcceptor::checkProof(Guest &guest, const Server::message_ptr &m) {
+bool WebsocketAcceptor::checkProof(InboundConnection &inbound,
+                                   const Server::message_ptr &m) {
   if (m->get_opcode() != text ||
-      !FleetKeyProof::equal(guest.WantedProof, m->get_payload()))
+      !FleetKeyProof::equal(inbound.ExpectedProof, m->get_payload()))
     return false;
-  guest.At = Guest::Stage::Hello;
+  inbound.CurrentStage = InboundConnection::Stage::Hello;
   return true;
 }
 
-void WebsocketAcceptor::takeHello(const Handle &h, Guest &guest,
-                                  const PeerMessage &message) {
-  guest.Vm = std::get<Hello>(message).Vm;
-  guest.At = Guest::Stage::Ready;
+void WebsocketAcceptor::handleHello(const Handle &h, InboundConnection &inbound,
+                                    const PeerMessage &message) {
+  inbound.Vm = std::get<Hello>(message).Vm;
+  inbound.CurrentStage = InboundConnection::Stage::Ready;
   // A daemon that was restarted sends work at once; the answers must not fail
   // because connects to its earlier run did.
-  OnHello(guest.Vm.Id);
+  OnHello(inbound.Vm.Id);
   std::string hello = encodePeerMessage(Hello{Settings.Self, Settings.Run});
   ErrorCode ec;
   Endpoint.send(h, hello, binary, ec);
-  Stats.sent(false, hello.size());
-  auto [it, isNew] = Current.emplace(guest.Vm.Id, h);
+  Stats.countSent(false, hello.size());
+  auto [it, isNew] = NewestConnections.emplace(inbound.Vm.Id, h);
   if (!isNew)
     // The earlier one is broken, even if the update about it is still on its
     // way.
@@ -249,37 +259,38 @@
 }
 
 void WebsocketAcceptor::onClose(const Handle &h) {
-  auto it = Guests.find(h);
-  if (it == Guests.end())
+  auto it = Connections.find(h);
+  if (it == Connections.end())
     return;
-  Guest guest = std::move(it->second);
-  Guests.erase(it);
+  InboundConnection inbound = std::move(it->second);
+  Connections.erase(it);
   ErrorCode ec;
   auto c = Endpoint.get_con_from_hdl(h, ec);
   // websocketpp itself refuses what breaks its own protocol, and tells only by
   // the code with which it closed.
-  if (!ec && !guest.Refused && blamesAFrame(c->get_local_close_code())) {
+  if (!ec && !inbound.ClosedByError &&
+      isFrameError(c->get_local_close_code())) {
     ++Stats.BadFrames;
     report(makeError(absl::StatusCode::kInvalidArgument,
-                     Step::DecodePeerMessage, guest.Ip,
+                     Step::DecodePeerMessage, inbound.Ip,
                      c->get_local_close_reason()));
   }
-  if (guest.At != Guest::Stage::Ready)
+  if (inbound.CurrentStage != InboundConnection::Stage::Ready)
     return;
   ++Stats.ConnectionsLost;
-  auto current = Current.find(guest.Vm.Id);
+  auto current = NewestConnections.find(inbound.Vm.Id);
   std::owner_less<Handle> less;
-  if (current != Current.end() && !less(current->second, h) &&
+  if (current != NewestConnections.end() && !less(current->second, h) &&
       !less(h, current->second))
-    Current.erase(current);
-  Listener.onPeerLost(guest.Vm.Id);
+    NewestConnections.erase(current);
+  Listener.onPeerLost(inbound.Vm.Id);
 }
 
 void WebsocketAcceptor::close() {
   ErrorCode ec;
   if (Endpoint.is_listening())
     Endpoint.stop_listening(ec);
-  for (const auto &[h, guest] : Guests)
+  for (const auto &[h, inbound] : Connections)
     Endpoint.close(h, close_code::going_away, "stopping", ec);
 }
 
@@ -288,17 +299,17 @@
 absl::StatusOr<std::unique_ptr<PeerAcceptor>>
 PeerAcceptor::create(const PeerTransportSettings &settings,
                      PeerListener &listener, TransportStats &stats,
-                     boost::asio::io_context &context, PeerSeen onHello) {
+                     boost::asio::io_context &context, HelloCallback onHello) {
   auto allowed = AddressSet::parse(settings.Allowed);
   if (!allowed.ok())
     return atStep(allowed.status(), Step::Listen, settings.Listen.str());
-  auto made = std::make_unique<WebsocketAcceptor>(settings, listener, stats,
-                                                  context, *std::move(allowed),
-                                                  std::move(onHello));
-  absl::Status status = made->start();
+  auto acceptor = std::make_unique<WebsocketAcceptor>(
+      settings, listener, stats, context, *std::move(allowed),
+      std::move(onHello));
+  absl::Status status = acceptor->start();
   if (!status.ok())
     return status;
-  return made;
+  return acceptor;
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Peers/PeerAcceptor.h
+++ b/Balsamrack/Peers/PeerAcceptor.h
@@ -19,13 +19,13 @@
 public:
   /// Told on the context's thread, before any of its messages, that a peer has
   /// said Hello.
-  using PeerSeen = std::function<void(const VmId &)>;
+  using HelloCallback = std::function<void(const VmId &)>;
   /// Starts to listen. Precondition: all arguments outlive the result. Error
   /// (step listen) when that fails. Thread-safe.
   static absl::StatusOr<std::unique_ptr<PeerAcceptor>>
   create(const PeerTransportSettings &settings, PeerListener &listener,
          TransportStats &stats, boost::asio::io_context &context,
-         PeerSeen onHello);
+         HelloCallback onHello);
   virtual ~PeerAcceptor() = default;
   /// Where it listens, with the real port. Thread-safe.
   virtual Address at() const = 0;
--- a/Balsamrack/Peers/PeerCodec.cpp
+++ b/Balsamrack/Peers/PeerCodec.cpp
@@ -104,7 +104,7 @@
 }
 
 absl::StatusOr<PeerMessage> decodePeerMessage(const std::string &frame) {
-  absl::Status shape = checkCborShape(frame, CborLimits{MaxPeerFrameBytes});
+  absl::Status shape = validateCbor(frame, CborLimits{MaxPeerFrameBytes});
   if (!shape.ok())
     return atStep(std::move(shape), Step::DecodePeerMessage, "");
   nlohmann::json root = nlohmann::json::from_cbor(frame, true, false);
--- a/Balsamrack/Peers/PeerDialer.cpp
+++ b/Balsamrack/Peers/PeerDialer.cpp
@@ -30,20 +30,20 @@
 
 /// A link and its connection. All but the link itself is touched by the
 /// context's thread only.
-struct Route {
-  Route(const PeerTransportSettings &settings, const VmId &peer)
+struct OutboundChannel {
+  OutboundChannel(const PeerTransportSettings &settings, const VmId &peer)
       : Link(settings, peer) {}
 
   enum class State { Idle, Connecting, Open };
 
   PeerLink Link;
-  State Is = State::Idle;
+  State CurrentState = State::Idle;
   Client::connection_ptr Connection; ///< Null while idle.
-  Address To;                        ///< Where Connection leads to.
+  Address RemoteAddress;             ///< Where Connection leads to.
   std::string Nonce;                 ///< Of this connection.
 };
 
-using RoutePtr = std::shared_ptr<Route>;
+using ChannelPtr = std::shared_ptr<OutboundChannel>;
 
 class WebsocketDialer final : public PeerDialer {
 public:
@@ -59,32 +59,35 @@
 
   /// A connection's handlers hold its route, and the route the connection.
   ~WebsocketDialer() override {
-    for (const RoutePtr &route : allRoutes())
-      route->Connection.reset();
+    for (const ChannelPtr &channel : allChannels())
+      channel->Connection.reset();
   }
 
   absl::Status send(const EntryVm &to, QueuedFrame frame) override;
-  void peerLives(const VmId &peer) override { routeTo(peer)->Link.succeed(); }
+  void peerLives(const VmId &peer) override {
+    findOrCreateChannel(peer)->Link.recordConnectSuccess();
+  }
   void refuseMore() override;
   bool drained() const override;
   void close() override;
   bool closed() const override;
 
 private:
-  RoutePtr routeTo(const VmId &peer);
-  std::vector<RoutePtr> allRoutes() const;
-  void serve(const RoutePtr &route);
-  void connect(const RoutePtr &route);
-  void watchConnect(const RoutePtr &route);
-  void setHandlers(const RoutePtr &route, const Client::connection_ptr &c);
-  void onOpen(const RoutePtr &route);
-  void onMessage(const RoutePtr &route, const std::string &frame);
-  void onEnd(const RoutePtr &route);
-  void failConnect(const RoutePtr &route, const std::string &why);
-  void giveBack(const RoutePtr &route, const QueuedFrame &frame);
-  void flush(const RoutePtr &route);
-  void drop(const RoutePtr &route, close_code::value code, const char *why);
-  void report(const RoutePtr &route, absl::StatusCode code,
+  ChannelPtr findOrCreateChannel(const VmId &peer);
+  std::vector<ChannelPtr> allChannels() const;
+  void processQueue(const ChannelPtr &channel);
+  void connect(const ChannelPtr &channel);
+  void startConnectTimer(const ChannelPtr &channel);
+  void setHandlers(const ChannelPtr &channel, const Client::connection_ptr &c);
+  void onOpen(const ChannelPtr &channel);
+  void onMessage(const ChannelPtr &channel, const std::string &frame);
+  void onClosed(const ChannelPtr &channel);
+  void handleConnectFailure(const ChannelPtr &channel, const std::string &why);
+  void reportUnsent(const ChannelPtr &channel, const QueuedFrame &frame);
+  void flush(const ChannelPtr &channel);
+  void dropConnection(const ChannelPtr &channel, close_code::value code,
+                      const char *why);
+  void report(const ChannelPtr &channel, absl::StatusCode code,
               const std::string &why);
 
   const PeerTransportSettings &Settings;
@@ -94,234 +97,242 @@
   Client Endpoint;
   SeededRandom Random;     ///< Context's thread only.
   mutable std::mutex Lock; ///< Guards what follows.
-  std::map<VmId, RoutePtr> Routes;
-  bool Refusing = false;
+  std::map<VmId, ChannelPtr> Channels;
+  bool RejectsNewFrames = false;
 };
 
-RoutePtr WebsocketDialer::routeTo(const VmId &peer) {
+ChannelPtr WebsocketDialer::findOrCreateChannel(const VmId &peer) {
   std::lock_guard<std::mutex> hold(Lock);
-  RoutePtr &route = Routes[peer];
-  if (!route) {
-    route = std::make_shared<Route>(Settings, peer);
-    if (Refusing)
-      route->Link.close();
+  ChannelPtr &channel = Channels[peer];
+  if (!channel) {
+    channel = std::make_shared<OutboundChannel>(Settings, peer);
+    if (RejectsNewFrames)
+      channel->Link.close();
   }
-  return route;
+  return channel;
 }
 
-std::vector<RoutePtr> WebsocketDialer::allRoutes() const {
+std::vector<ChannelPtr> WebsocketDialer::allChannels() const {
   std::lock_guard<std::mutex> hold(Lock);
-  std::vector<RoutePtr> all;
-  for (const auto &[id, route] : Routes)
-    all.push_back(route);
+  std::vector<ChannelPtr> all;
+  for (const auto &[id, channel] : Channels)
+    all.push_back(channel);
   return all;
 }
 
 absl::Status WebsocketDialer::send(const EntryVm &to, QueuedFrame frame) {
-  RoutePtr route = routeTo(to.Id);
+  ChannelPtr channel = findOrCreateChannel(to.Id);
   bool wake = false;
   absl::Status status =
-      route->Link.push(to, std::move(frame), steady_clock::now(), wake);
+      channel->Link.push(to, std::move(frame), steady_clock::now(), wake);
   if (wake)
-    boost::asio::post(Context, [this, route] { serve(route); });
+    boost::asio::post(Context, [this, channel] { processQueue(channel); });
   return status;
 }
 
-void WebsocketDialer::serve(const RoutePtr &route) {
-  route->Link.serving();
-  if (route->Is == Route::State::Open && route->To != route->Link.address()) {
-    drop(route, close_code::going_away, "moved");
-    Listener.onPeerLost(route->Link.peer());
+void WebsocketDialer::processQueue(const ChannelPtr &channel) {
+  channel->Link.clearWakePending();
+  if (channel->CurrentState == OutboundChannel::State::Open &&
+      channel->RemoteAddress != channel->Link.address()) {
+    dropConnection(channel, close_code::going_away, "moved");
+    Listener.onPeerLost(channel->Link.peer());
   }
-  if (route->Link.empty())
+  if (channel->Link.empty())
     return;
-  if (route->Is == Route::State::Idle)
-    connect(route);
-  else if (route->Is == Route::State::Open)
-    flush(route);
+  if (channel->CurrentState == OutboundChannel::State::Idle)
+    connect(channel);
+  else if (channel->CurrentState == OutboundChannel::State::Open)
+    flush(channel);
 }
 
-void WebsocketDialer::connect(const RoutePtr &route) {
+void WebsocketDialer::connect(const ChannelPtr &channel) {
   ErrorCode ec;
-  route->To = route->Link.address();
-  auto c = Endpoint.get_connection("ws://" + route->To.str() + PeerPath, ec);
+  channel->RemoteAddress = channel->Link.address();
+  auto c = Endpoint.get_connection(
+      "ws://" + channel->RemoteAddress.str() + PeerPath, ec);
   if (ec)
-    return failConnect(route, ec.message());
-  route->Nonce = FleetKeyProof::makeNonce();
-  c->append_header(NonceHeader, route->Nonce);
-  setHandlers(route, c);
-  route->Is = Route::State::Connecting;
-  route->Connection = c;
+    return handleConnectFailure(channel, ec.message());
+  channel->Nonce = FleetKeyProof::makeNonce();
+  c->append_header(NonceHeader, channel->Nonce);
+  setHandlers(channel, c);
+  channel->CurrentState = OutboundChannel::State::Connecting;
+  channel->Connection = c;
   Endpoint.connect(c);
-  watchConnect(route);
+  startConnectTimer(channel);
 }
 
-void WebsocketDialer::setHandlers(const RoutePtr &route,
+void WebsocketDialer::setHandlers(const ChannelPtr &channel,
                                   const Client::connection_ptr &c) {
   // A route may have gone on to another connection when an event of an earlier
   // one arrives; that one must not be taken for an update of the later.
-  auto current = [this, route,
-                  id = std::weak_ptr<Client::connection_type>(c)](auto then) {
-    return [this, route, id, then](const Handle &) {
+  auto ifCurrent = [this, channel,
+                    id = std::weak_ptr<Client::connection_type>(c)](auto then) {
+    return [this, channel, id, then](const Handle &) {
       auto c = id.lock();
-      if (c && c == route->Connection)
-        (this->*then)(route);
+      if (c && c == channel->Connection)
+        (this->*then)(channel);
     };
   };
-  c->set_open_handler(current(&WebsocketDialer::onOpen));
-  c->set_fail_handler(current(&WebsocketDialer::onEnd));
-  c->set_close_handler(current(&WebsocketDialer::onEnd));
+  c->set_open_handler(ifCurrent(&WebsocketDialer::onOpen));
+  c->set_fail_handler(ifCurrent(&WebsocketDialer::onClosed));
+  c->set_close_handler(ifCurrent(&WebsocketDialer::onClosed));
   c->set_message_handler(
-      [this, route, id = std::weak_ptr<Client::connection_type>(c)](
+      [this, channel, id = std::weak_ptr<Client::connection_type>(c)](
           const Handle &, const Client::message_ptr &m) {
         auto c = id.lock();
-        if (c && c == route->Connection)
-          onMessage(route, m->get_payload());
+        if (c && c == channel->Connection)
+          onMessage(channel, m->get_payload());
       });
 }
 
-void WebsocketDialer::watchConnect(const RoutePtr &route) {
+void WebsocketDialer::startConnectTimer(const ChannelPtr &channel) {
   auto timer = std::make_shared<boost::asio::steady_timer>(
       Context, std::chrono::microseconds(Settings.ConnectTimeout));
-  timer->async_wait([this, route, timer,
-                     c = route->Connection](const boost::system::error_code &) {
-    if (route->Connection != c || route->Is != Route::State::Connecting)
+  timer->async_wait([this, channel, timer, c = channel->Connection](
+                        const boost::system::error_code &) {
+    if (channel->Connection != c ||
+        channel->CurrentState != OutboundChannel::State::Connecting)
       return;
     ErrorCode ec;
     c->terminate(ec);
-    if (route->Connection == c)
-      failConnect(route, "connect timeout");
+    if (channel->Connection == c)
+      handleConnectFailure(channel, "connect timeout");
   });
 }
 
-void WebsocketDialer::onOpen(const RoutePtr &route) {
-  const auto &c = route->Connection;
+void WebsocketDialer::onOpen(const ChannelPtr &channel) {
+  const auto &c = channel->Connection;
   tunePeerSocket(c->get_raw_socket().native_handle(), Settings.StallTimeout);
-  const std::string theirs = c->get_response_header(NonceHeader);
-  const std::string want = FleetKeyProof::make(
-      Settings.FleetKey, ProofSide::Acceptor, route->Nonce, theirs);
-  if (!FleetKeyProof::equal(want, c->get_response_header(ProofHeader))) {
+  const std::string acceptorNonce = c->get_response_header(NonceHeader);
+  const std::string expectedProof = FleetKeyProof::make(
+      Settings.FleetKey, ProofSide::Acceptor, channel->Nonce, acceptorNonce);
+  if (!FleetKeyProof::equal(expectedProof,
+                            c->get_response_header(ProofHeader))) {
     ++Stats.PeersRefused;
-    return failConnect(route, "peer does not know the fleet's key");
+    return handleConnectFailure(channel, "peer does not know the fleet's key");
   }
   std::string proof = FleetKeyProof::make(Settings.FleetKey, ProofSide::Dialer,
-                                          route->Nonce, theirs);
+                                          channel->Nonce, acceptorNonce);
   std::string hello = encodePeerMessage(Hello{Settings.Self, Settings.Run});
   c->send(proof, text);
   c->send(hello, binary);
-  Stats.sent(false, proof.size());
-  Stats.sent(false, hello.size());
+  Stats.countSent(false, proof.size());
+  Stats.countSent(false, hello.size());
 }
 
-void WebsocketDialer::onMessage(const RoutePtr &route,
+void WebsocketDialer::onMessage(const ChannelPtr &channel,
                                 const std::string &frame) {
-  Stats.received(false, frame.size());
+  Stats.countReceived(false, frame.size());
   auto message = decodePeerMessage(frame);
   const auto *hello = message.ok() ? std::get_if<Hello>(&*message) : nullptr;
-  if (!hello || route->Is != Route::State::Connecting) {
+  if (!hello || channel->CurrentState != OutboundChannel::State::Connecting) {
     ++Stats.BadFrames;
-    report(route, absl::StatusCode::kInvalidArgument, "Hello expected");
+    report(channel, absl::StatusCode::kInvalidArgument, "Hello expected");
     ErrorCode ec;
-    return route->Connection->close(close_code::protocol_error,
-                                    "Hello expected", ec);
+    return channel->Connection->close(close_code::protocol_error,
+                                      "Hello expected", ec);
   }
   // The VM list lags: another VM may have the address by now, and would take
   // what is meant for the old one.
-  if (hello->Vm.Id != route->Link.peer())
-    return failConnect(route, "address belongs to " + hello->Vm.Id.str());
-  route->Is = Route::State::Open;
-  route->Link.succeed();
-  flush(route);
+  if (hello->Vm.Id != channel->Link.peer())
+    return handleConnectFailure(channel,
+                                "address belongs to " + hello->Vm.Id.str());
+  channel->CurrentState = OutboundChannel::State::Open;
+  channel->Link.recordConnectSuccess();
+  flush(channel);
 }
 
-void WebsocketDialer::flush(const RoutePtr &route) {
+void WebsocketDialer::flush(const ChannelPtr &channel) {
   QueuedFrame frame;
-  auto c = route->Connection;
-  while (!route->Link.empty()) {
+  auto c = channel->Connection;
+  while (!channel->Link.empty()) {
     if (c->get_buffered_amount() > MaxBufferedBytes) {
-      Endpoint.set_timer(FullBufferRetryMillis,
-                         [this, route](const ErrorCode &) { serve(route); });
+      Endpoint.set_timer(
+          FullBufferRetryMillis,
+          [this, channel](const ErrorCode &) { processQueue(channel); });
       return;
     }
-    if (!route->Link.pop(frame))
+    if (!channel->Link.pop(frame))
       return;
     // The connection is closing and took nothing; what waits goes out on the
     // next one.
     if (c->send(frame.Bytes, binary))
-      return route->Link.putBack(std::move(frame));
-    Stats.sent(frame.Data, frame.Bytes.size());
+      return channel->Link.putBack(std::move(frame));
+    Stats.countSent(frame.IsData, frame.Bytes.size());
   }
 }
 
-void WebsocketDialer::onEnd(const RoutePtr &route) {
-  if (route->Is == Route::State::Connecting) {
-    ErrorCode why = route->Connection->get_ec();
-    return failConnect(route, why.message());
+void WebsocketDialer::onClosed(const ChannelPtr &channel) {
+  if (channel->CurrentState == OutboundChannel::State::Connecting) {
+    ErrorCode why = channel->Connection->get_ec();
+    return handleConnectFailure(channel, why.message());
   }
-  route->Is = Route::State::Idle;
-  route->Connection.reset();
+  channel->CurrentState = OutboundChannel::State::Idle;
+  channel->Connection.reset();
   ++Stats.ConnectionsLost;
-  Listener.onPeerLost(route->Link.peer());
-  serve(route); // What still waits did not leave.
+  Listener.onPeerLost(channel->Link.peer());
+  processQueue(channel); // What still waits did not leave.
 }
 
-void WebsocketDialer::failConnect(const RoutePtr &route,
-                                  const std::string &why) {
-  drop(route, close_code::policy_violation, "connect failed");
+void WebsocketDialer::handleConnectFailure(const ChannelPtr &channel,
+                                           const std::string &why) {
+  dropConnection(channel, close_code::policy_violation, "connect failed");
   ++Stats.ConnectsFailed;
-  report(route, absl::StatusCode::kUnavailable, why);
-  for (const QueuedFrame &frame : route->Link.fail(steady_clock::now(), Random))
-    giveBack(route, frame);
-  Listener.onPeerLost(route->Link.peer());
+  report(channel, absl::StatusCode::kUnavailable, why);
+  for (const QueuedFrame &frame :
+       channel->Link.recordConnectFailure(steady_clock::now(), Random))
+    reportUnsent(channel, frame);
+  Listener.onPeerLost(channel->Link.peer());
 }
 
-void WebsocketDialer::giveBack(const RoutePtr &route,
-                               const QueuedFrame &frame) {
+void WebsocketDialer::reportUnsent(const ChannelPtr &channel,
+                                   const QueuedFrame &frame) {
   auto message = decodePeerMessage(frame.Bytes);
   if (message.ok())
-    Listener.onSendFailed(route->Link.peer(), *std::move(message));
+    Listener.onSendFailed(channel->Link.peer(), *std::move(message));
 }
 
-void WebsocketDialer::drop(const RoutePtr &route, close_code::value code,
-                           const char *why) {
-  auto c = std::exchange(route->Connection, nullptr);
-  route->Is = Route::State::Idle;
+void WebsocketDialer::dropConnection(const ChannelPtr &channel,
+                                     close_code::value code, const char *why) {
+  auto c = std::exchange(channel->Connection, nullptr);
+  channel->CurrentState = OutboundChannel::State::Idle;
   ErrorCode ec;
   if (c)
     c->close(code, why, ec);
 }
 
-void WebsocketDialer::report(const RoutePtr &route, absl::StatusCode code,
+void WebsocketDialer::report(const ChannelPtr &channel, absl::StatusCode code,
                              const std::string &why) {
   if (Settings.OnFault)
     Settings.OnFault(
-        makeError(code, Step::SendToPeer, route->Link.peer().str(), why));
+        makeError(code, Step::SendToPeer, channel->Link.peer().str(), why));
 }
 
 void WebsocketDialer::refuseMore() {
   std::lock_guard<std::mutex> hold(Lock);
-  Refusing = true;
-  for (const auto &[id, route] : Routes)
-    route->Link.close();
+  RejectsNewFrames = true;
+  for (const auto &[id, channel] : Channels)
+    channel->Link.close();
 }
 
 bool WebsocketDialer::drained() const {
-  for (const RoutePtr &route : allRoutes())
-    if (!route->Link.empty() || route->Is == Route::State::Connecting)
+  for (const ChannelPtr &channel : allChannels())
+    if (!channel->Link.empty() ||
+        channel->CurrentState == OutboundChannel::State::Connecting)
       return false;
   return true;
 }
 
 void WebsocketDialer::close() {
   ErrorCode ec;
-  for (const RoutePtr &route : allRoutes())
-    if (route->Connection)
-      route->Connection->close(close_code::going_away, "stopping", ec);
+  for (const ChannelPtr &channel : allChannels())
+    if (channel->Connection)
+      channel->Connection->close(close_code::going_away, "stopping", ec);
 }
 
 bool WebsocketDialer::closed() const {
-  for (const RoutePtr &route : allRoutes())
-    if (route->Connection)
+  for (const ChannelPtr &channel : allChannels())
+    if (channel->Connection)
       return false;
   return true;
 }
@@ -335,8 +346,8 @@
   // Guards against a race inside websocketpp: its byte order test fills a
   // static on first use, from whichever threads send first. One thread does it
   // here, before any other one sends.
-  static const uint64_t prepared = websocketpp::lib::net::_htonll(1);
-  (void)prepared;
+  static const uint64_t byteOrderTested = websocketpp::lib::net::_htonll(1);
+  (void)byteOrderTested;
   return std::make_unique<WebsocketDialer>(settings, listener, stats, context);
 }
 
--- a/Balsamrack/Peers/PeerLink.cpp
+++ b/Balsamrack/Peers/PeerLink.cpp
@@ -7,7 +7,8 @@
 
 namespace balsamrack {
 
-absl::Status PeerLink::refuse(absl::StatusCode code, const char *why) const {
+absl::Status PeerLink::makeSendError(absl::StatusCode code,
+                                     const char *why) const {
   return makeError(code, Step::SendToPeer, Peer.str(), why);
 }
 
@@ -15,33 +16,35 @@
                             bool &wake) {
   std::lock_guard<std::mutex> hold(Lock);
   if (Closed)
-    return refuse(absl::StatusCode::kUnavailable, "transport has stopped");
+    return makeSendError(absl::StatusCode::kUnavailable,
+                         "transport has stopped");
   // The VM was replaced by one at another address: what the old one did says
   // nothing of the new one.
-  if (At != to.PeerAt)
-    NotBefore = Instant();
-  At = to.PeerAt;
+  if (RemoteAddress != to.PeerAt)
+    NextConnectTime = Instant();
+  RemoteAddress = to.PeerAt;
   // A peer that refused a moment ago is not asked again for each message: the
   // sender hears at once, and can try another.
-  if (now < NotBefore)
-    return refuse(absl::StatusCode::kUnavailable, "last connect failed");
+  if (now < NextConnectTime)
+    return makeSendError(absl::StatusCode::kUnavailable, "last connect failed");
   if (Frames.size() >= Settings.MaxQueuedMessages ||
-      Bytes + frame.Bytes.size() > Settings.MaxQueuedBytes)
-    return refuse(absl::StatusCode::kResourceExhausted, "too much waits");
-  Bytes += frame.Bytes.size();
+      QueuedBytes + frame.Bytes.size() > Settings.MaxQueuedBytes)
+    return makeSendError(absl::StatusCode::kResourceExhausted,
+                         "too much waits");
+  QueuedBytes += frame.Bytes.size();
   Frames.push_back(std::move(frame));
-  wake = !std::exchange(Woken, true);
+  wake = !std::exchange(WakePending, true);
   return absl::OkStatus();
 }
 
 Address PeerLink::address() const {
   std::lock_guard<std::mutex> hold(Lock);
-  return At;
+  return RemoteAddress;
 }
 
-void PeerLink::serving() {
+void PeerLink::clearWakePending() {
   std::lock_guard<std::mutex> hold(Lock);
-  Woken = false;
+  WakePending = false;
 }
 
 bool PeerLink::pop(QueuedFrame &frame) {
@@ -50,13 +53,13 @@
     return false;
   frame = std::move(Frames.front());
   Frames.pop_front();
-  Bytes -= frame.Bytes.size();
+  QueuedBytes -= frame.Bytes.size();
   return true;
 }
 
 void PeerLink::putBack(QueuedFrame frame) {
   std::lock_guard<std::mutex> hold(Lock);
-  Bytes += frame.Bytes.size();
+  QueuedBytes += frame.Bytes.size();
   Frames.push_front(std::move(frame));
 }
 
@@ -65,22 +68,23 @@
   return Frames.empty();
 }
 
-std::deque<QueuedFrame> PeerLink::fail(Instant now, RandomSource &random) {
+std::deque<QueuedFrame> PeerLink::recordConnectFailure(Instant now,
+                                                       RandomSource &random) {
   std::lock_guard<std::mutex> hold(Lock);
   Backoff = std::clamp(2 * Backoff, Settings.MinBackoff, Settings.MaxBackoff);
   // Half of it at random, so that a fleet does not come back in step to a
   // daemon that was restarted.
-  NotBefore = now + Backoff / 2 +
-              Duration(random.below(static_cast<uint64_t>(
-                  std::max<Duration::rep>(Backoff.count() / 2, 1))));
-  Bytes = 0;
+  NextConnectTime = now + Backoff / 2 +
+                    Duration(random.below(static_cast<uint64_t>(
+                        std::max<Duration::rep>(Backoff.count() / 2, 1))));
+  QueuedBytes = 0;
   return std::exchange(Frames, {});
 }
 
-void PeerLink::succeed() {
+void PeerLink::recordConnectSuccess() {
   std::lock_guard<std::mutex> hold(Lock);
   Backoff = Duration(0);
-  NotBefore = Instant();
+  NextConnectTime = Instant();
 }
 
 void PeerLink::close() {
--- a/Balsamrack/Peers/PeerLink.h
+++ b/Balsamrack/Peers/PeerLink.h
@@ -16,8 +16,8 @@
 
 /// An encoded message that waits for its connection.
 struct QueuedFrame {
-  std::string Bytes; ///< The frame.
-  bool Data = false; ///< True for data, false for control traffic.
+  std::string Bytes;   ///< The frame.
+  bool IsData = false; ///< True for data, false for control traffic.
 };
 
 /// What waits for one peer, and when it may be connected to again. Thread-safe.
@@ -40,7 +40,7 @@
   /// Where to connect to.
   Address address() const;
   /// Whoever serves the link is about to look at it.
-  void serving();
+  void clearWakePending();
   /// Takes the oldest frame out; false when none waits.
   bool pop(QueuedFrame &frame);
   /// Puts a frame that was taken out back as the oldest.
@@ -48,25 +48,26 @@
   /// True when nothing waits.
   bool empty() const;
   /// A connect failed: lets nothing in for a while, and returns what waited.
-  std::deque<QueuedFrame> fail(Instant now, RandomSource &random);
+  std::deque<QueuedFrame> recordConnectFailure(Instant now,
+                                               RandomSource &random);
   /// A connect succeeded, in either direction.
-  void succeed();
+  void recordConnectSuccess();
   /// Lets nothing more in.
   void close();
 
 private:
-  absl::Status refuse(absl::StatusCode code, const char *why) const;
+  absl::Status makeSendError(absl::StatusCode code, const char *why) const;
 
   const PeerTransportSettings &Settings;
   const VmId Peer;
   mutable std::mutex Lock; ///< Guards what follows.
   std::deque<QueuedFrame> Frames;
-  size_t Bytes = 0; ///< Of all frames.
-  Address At;
-  bool Woken = false; ///< Whoever serves the link has been told.
+  size_t QueuedBytes = 0; ///< Of all frames.
+  Address RemoteAddress;
+  bool WakePending = false; ///< Whoever serves the link has been told.
   bool Closed = false;
   Duration Backoff{0}; ///< After the next failed connect; zero for the least.
-  Instant NotBefore;   ///< No connect before that.
+  Instant NextConnectTime; ///< No connect before that.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Peers/PublishedFields.h
+++ b/Balsamrack/Peers/PublishedFields.h
@@ -17,18 +17,18 @@
 /// routes were listed one by one; a daemon that knows only that form refuses
 /// the message and reads the publishing service by itself.
 enum class PublishedKind {
-  Gone = 0,
+  Deleted = 0,
   Server = 2,
-  DomainOut = 3,
+  DomainOutOfService = 3,
   Configuration = 4
 };
 
 /// The kind of \p content on the wire. Thread-safe.
 inline PublishedKind kindOf(const PublishedContent &content) {
   if (std::holds_alternative<std::monostate>(content))
-    return PublishedKind::Gone;
+    return PublishedKind::Deleted;
   if (std::holds_alternative<DomainOutOfService>(content))
-    return PublishedKind::DomainOut;
+    return PublishedKind::DomainOutOfService;
   using Server = std::shared_ptr<const PublishedServer>;
   return std::holds_alternative<Server>(content) ? PublishedKind::Server
                                                  : PublishedKind::Configuration;
@@ -112,7 +112,7 @@
   ar("r", m.At);
   ar.oneOf("k", kind, PublishedKind::Configuration);
   switch (kind) {
-  case PublishedKind::Gone:
+  case PublishedKind::Deleted:
     if constexpr (Ar::Reads)
       m.Content = std::monostate();
     return;
@@ -129,7 +129,7 @@
     }
     return;
   }
-  case PublishedKind::DomainOut:
+  case PublishedKind::DomainOutOfService:
     if constexpr (Ar::Reads)
       m.Content = DomainOutOfService();
     ar("o", std::get<DomainOutOfService>(m.Content));
--- a/Balsamrack/Peers/TransportStats.h
+++ b/Balsamrack/Peers/TransportStats.h
@@ -13,17 +13,17 @@
 class TransportStats {
 public:
   /// Counts a frame that was handed to a connection.
-  void sent(bool data, size_t bytes) {
+  void countSent(bool data, size_t bytes) {
     (data ? DataSent : ControlSent) += bytes;
     ++FramesSent;
   }
   /// Counts a frame that came in.
-  void received(bool data, size_t bytes) {
+  void countReceived(bool data, size_t bytes) {
     (data ? DataReceived : ControlReceived) += bytes;
     ++FramesReceived;
   }
   /// The counts so far.
-  TransportCounters read() const {
+  TransportCounters snapshot() const {
     TransportCounters c;
     c.ControlBytesSent = ControlSent;
     c.DataBytesSent = DataSent;
--- a/Balsamrack/Peers/WebsocketTransport.cpp
+++ b/Balsamrack/Peers/WebsocketTransport.cpp
@@ -20,10 +20,10 @@
 
 using std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds DrainLimit(1000); ///< For what waits.
+constexpr std::chrono::milliseconds DrainTimeout(1000); ///< For what waits.
 constexpr std::chrono::milliseconds
-    CloseLimit(500);                              ///< For the leave messages.
-constexpr std::chrono::milliseconds StopCheck(2); ///< Between two looks.
+    CloseTimeout(500); ///< For the leave messages.
+constexpr std::chrono::milliseconds StopPollInterval(2); ///< Between two looks.
 
 class AsioTransport final : public WebsocketTransport {
 public:
@@ -33,15 +33,15 @@
 
   absl::Status start(PeerListener &listener);
   absl::Status send(const EntryVm &to, const PeerMessage &message) override;
-  TransportCounters counters() const override { return Stats.read(); }
+  TransportCounters counters() const override { return Stats.snapshot(); }
   void stop() override;
   Address at() const override { return Acceptor->at(); }
 
 private:
   void run();
-  void drain(steady_clock::time_point limit);
-  void close(steady_clock::time_point limit);
-  template <class Then> void later(Then then);
+  void drain(steady_clock::time_point deadline);
+  void close(steady_clock::time_point deadline);
+  template <class Then> void scheduleCheck(Then check);
 
   const PeerTransportSettings Settings;
   TransportStats Stats;
@@ -49,7 +49,7 @@
   std::unique_ptr<PeerAcceptor> Acceptor;
   std::unique_ptr<PeerDialer> Dialer;
   std::mutex StopLock; ///< Held while the thread is joined.
-  std::thread Loop;
+  std::thread IoThread;
 };
 
 absl::Status AsioTransport::start(PeerListener &listener) {
@@ -62,7 +62,7 @@
   Acceptor = *std::move(acceptor);
   Dialer = PeerDialer::create(Settings, listener, Stats, Context);
   try {
-    Loop = std::thread([this] { run(); });
+    IoThread = std::thread([this] { run(); });
   } catch (const std::system_error &e) {
     return makeError(absl::StatusCode::kInternal, Step::Listen,
                      Settings.Listen.str(), e.what());
@@ -97,35 +97,36 @@
   }
 }
 
-template <class Then> void AsioTransport::later(Then then) {
-  auto timer = std::make_shared<boost::asio::steady_timer>(Context, StopCheck);
+template <class Then> void AsioTransport::scheduleCheck(Then check) {
+  auto timer =
+      std::make_shared<boost::asio::steady_timer>(Context, StopPollInterval);
   timer->async_wait(
-      [timer, then](const boost::system::error_code &) { then(); });
+      [timer, check](const boost::system::error_code &) { check(); });
 }
 
-void AsioTransport::drain(steady_clock::time_point limit) {
-  if (!Dialer->drained() && steady_clock::now() < limit)
-    return later([this, limit] { drain(limit); });
+void AsioTransport::drain(steady_clock::time_point deadline) {
+  if (!Dialer->drained() && steady_clock::now() < deadline)
+    return scheduleCheck([this, deadline] { drain(deadline); });
   Dialer->close();
   Acceptor->close();
-  close(steady_clock::now() + CloseLimit);
+  close(steady_clock::now() + CloseTimeout);
 }
 
-void AsioTransport::close(steady_clock::time_point limit) {
+void AsioTransport::close(steady_clock::time_point deadline) {
   bool closed = Dialer->closed() && Acceptor->closed();
-  if (!closed && steady_clock::now() < limit)
-    return later([this, limit] { close(limit); });
+  if (!closed && steady_clock::now() < deadline)
+    return scheduleCheck([this, deadline] { close(deadline); });
   Context.stop();
 }
 
 void AsioTransport::stop() {
-  std::lock_guard<std::mutex> once(StopLock);
-  if (!Loop.joinable())
+  std::lock_guard<std::mutex> lock(StopLock);
+  if (!IoThread.joinable())
     return;
   Dialer->refuseMore();
   boost::asio::post(Context,
-                    [this] { drain(steady_clock::now() + DrainLimit); });
-  Loop.join();
+                    [this] { drain(steady_clock::now() + DrainTimeout); });
+  IoThread.join();
 }
 
 } // namespace
@@ -133,11 +134,11 @@
 absl::StatusOr<std::unique_ptr<WebsocketTransport>>
 WebsocketTransport::create(const PeerTransportSettings &settings,
                            PeerListener &listener) {
-  auto made = std::make_unique<AsioTransport>(settings);
-  absl::Status status = made->start(listener);
+  auto transport = std::make_unique<AsioTransport>(settings);
+  absl::Status status = transport->start(listener);
   if (!status.ok())
     return status;
-  return made;
+  return transport;
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Settings/PacketSettings.cpp
+++ b/Balsamrack/Settings/PacketSettings.cpp
@@ -36,7 +36,7 @@
     Address seed;
     readAddress(document, absl::StrCat("/peers/seeds/", i), seed, faults);
     // Only the host counts: daemons speak to each other on the peers' port.
-    seed.Port = out.Peers.Port;
+    seed.Port = out.PeerAddress.Port;
     out.Seeds.push_back(seed);
   }
 }
@@ -90,13 +90,13 @@
 }
 
 EntryVm PacketSettings::self() const {
-  return EntryVm{VmId(Peers.Ip), Domain, Peers, false};
+  return EntryVm{VmId(PeerAddress.Ip), Domain, PeerAddress, false};
 }
 
 std::vector<EntryVm> PacketSettings::seedPeers() const {
   std::vector<EntryVm> peers;
   for (const Address &seed : Seeds)
-    if (seed.Ip != Peers.Ip)
+    if (seed.Ip != PeerAddress.Ip)
       peers.push_back({VmId(seed.Ip), DomainId(), seed, false});
   return peers;
 }
@@ -116,19 +116,20 @@
   out.Name = document["vm"].get<std::string>();
   out.Domain = DomainId(document["failure_domain"].get<std::string>());
   out.ReadyPath = document["ready"]["path"].get<std::string>();
-  readAddress(document, "/packets/listen", out.Packets, result.Faults);
-  readAddress(document, "/ready/listen", out.Ready, result.Faults);
-  readAddress(document, "/peers/listen", out.Peers, result.Faults);
-  readAddress(document, "/published/address", out.Source, result.Faults);
-  readAddress(document, "/metrics/listen", out.Metrics, result.Faults);
+  readAddress(document, "/packets/listen", out.PacketAddress, result.Faults);
+  readAddress(document, "/ready/listen", out.ReadyAddress, result.Faults);
+  readAddress(document, "/peers/listen", out.PeerAddress, result.Faults);
+  readAddress(document, "/published/address", out.PublishedAddress,
+              result.Faults);
+  readAddress(document, "/metrics/listen", out.MetricsAddress, result.Faults);
   readSeeds(document, out, result.Faults);
   const json::json_pointer flows("/packets/max_flows");
   if (document.contains(flows))
     out.MaxFlows = document.at(flows).get<uint32_t>();
   const json::json_pointer grace("/shutdown/grace_s");
   if (document.contains(grace))
-    out.Grace = Duration(static_cast<int64_t>(document.at(grace).get<double>() *
-                                              MicrosPerSecond));
+    out.ShutdownGrace = Duration(static_cast<int64_t>(
+        document.at(grace).get<double>() * MicrosPerSecond));
   return result;
 }
 
--- a/Balsamrack/Settings/PacketSettings.h
+++ b/Balsamrack/Settings/PacketSettings.h
@@ -10,18 +10,18 @@
 
 /// Settings of a daemon of the packet carrier. Plain data.
 struct PacketSettings {
-  std::string Name;            ///< For logs; the VM's own name.
-  DomainId Domain;             ///< The failure domain that it stands in.
-  Address Packets;             ///< Where callers' packets come in.
-  Address Ready;               ///< Where the fabric asks whether to send.
-  std::string ReadyPath;       ///< What it asks for.
-  Address Peers;               ///< Where other daemons send to; the port is the
-                               ///< same on all VMs.
-  std::vector<Address> Seeds;  ///< Daemons that may be there.
-  Address Source;              ///< Where operators and servers publish.
-  Address Metrics;             ///< Prometheus text; port zero: nowhere.
-  Duration Grace{6'000'000};   ///< From SIGTERM to SIGKILL.
-  uint32_t MaxFlows = 100'000; ///< Flows remembered.
+  std::string Name;           ///< For logs; the VM's own name.
+  DomainId Domain;            ///< The failure domain that it stands in.
+  Address PacketAddress;      ///< Where callers' packets come in.
+  Address ReadyAddress;       ///< Where the fabric asks whether to send.
+  std::string ReadyPath;      ///< What it asks for.
+  Address PeerAddress;        ///< Where other daemons send to; the port is the
+                              ///< same on all VMs.
+  std::vector<Address> Seeds; ///< Daemons that may be there.
+  Address PublishedAddress;   ///< Where operators and servers publish.
+  Address MetricsAddress;     ///< Prometheus text; port zero: nowhere.
+  Duration ShutdownGrace{6'000'000}; ///< From SIGTERM to SIGKILL.
+  uint32_t MaxFlows = 100'000;       ///< Flows remembered.
 
   /// This daemon as its peers know it: by its address, which is unique in the
   /// fleet at any time. Thread-safe.
--- a/Balsamrack/Settings/SchemaCheck.cpp
+++ b/Balsamrack/Settings/SchemaCheck.cpp
@@ -18,15 +18,16 @@
 
 using nlohmann::json;
 
-constexpr size_t MaxShown = 80; ///< Longer values are cut in messages.
+constexpr size_t MaxShownChars = 80; ///< Longer values are cut in messages.
 
-std::string shown(const json &value) {
+std::string formatValue(const json &value) {
   std::string text = value.dump(-1, ' ', false, json::error_handler_t::replace);
-  return text.size() <= MaxShown ? text : text.substr(0, MaxShown) + "...";
+  return text.size() <= MaxShownChars ? text
+                                      : text.substr(0, MaxShownChars) + "...";
 }
 
 /// What a schema node allows, in words.
-std::string allowedBy(const json &node) {
+std::string describeAllowed(const json &node) {
   std::string text = node.value("type", std::string("value"));
   if (node.contains("enum"))
     return absl::StrCat("one of ", node["enum"].dump());
@@ -47,7 +48,7 @@
 
 /// Walks along one error's context ("<root>", "[name]", ...) in schema and
 /// document at the same time.
-struct Place {
+struct SchemaCursor {
   json::json_pointer Pointer;
   const json *Schema;
   const json *Value;
@@ -80,49 +81,52 @@
 }
 
 /// Faults of the members of the object at \p place: unknown and missing ones.
-void addMemberFaults(const Place &place, std::vector<SettingsFault> &faults) {
-  const json &known = (*place.Schema)["properties"];
-  bool closed = place.Schema->value("additionalProperties", true) == false;
-  for (const auto &[name, value] : place.Value->items()) {
+void addMemberFaults(const SchemaCursor &cursor,
+                     std::vector<SettingsFault> &faults) {
+  const json &known = (*cursor.Schema)["properties"];
+  bool closed = cursor.Schema->value("additionalProperties", true) == false;
+  for (const auto &[name, value] : cursor.Value->items()) {
     if (!closed || known.contains(name))
       continue;
     std::string names;
     for (const auto &it : known.items())
       absl::StrAppend(&names, names.empty() ? "" : ", ", it.key());
-    faults.push_back({pointerText(place.Pointer / name),
-                      absl::StrCat("unknown field, ", shown(value)),
+    faults.push_back({pointerText(cursor.Pointer / name),
+                      absl::StrCat("unknown field, ", formatValue(value)),
                       absl::StrCat("fields ", names)});
   }
-  if (!place.Schema->contains("required"))
+  if (!cursor.Schema->contains("required"))
     return;
-  for (const auto &name : (*place.Schema)["required"])
-    if (!place.Value->contains(name.get<std::string>()))
-      faults.push_back({pointerText(place.Pointer / name.get<std::string>()),
-                        "nothing", allowedBy(known[name.get<std::string>()])});
+  for (const auto &name : (*cursor.Schema)["required"])
+    if (!cursor.Value->contains(name.get<std::string>()))
+      faults.push_back({pointerText(cursor.Pointer / name.get<std::string>()),
+                        "nothing",
+                        describeAllowed(known[name.get<std::string>()])});
 }
 
 /// Collects faults below \p place in pointer order.
-void collect(const Place &place, const std::set<std::string> &broken,
-             std::vector<SettingsFault> &faults) {
-  const std::string type = place.Schema->value("type", std::string());
-  const bool rightObject = type == "object" && place.Value->is_object();
-  const bool rightArray = type == "array" && place.Value->is_array();
-  if (rightObject) {
-    addMemberFaults(place, faults);
-    for (const auto &it : place.Value->items()) {
-      Place inner = place;
+void collectFaults(const SchemaCursor &cursor,
+                   const std::set<std::string> &invalidPointers,
+                   std::vector<SettingsFault> &faults) {
+  const std::string type = cursor.Schema->value("type", std::string());
+  const bool isExpectedObject = type == "object" && cursor.Value->is_object();
+  const bool isExpectedArray = type == "array" && cursor.Value->is_array();
+  if (isExpectedObject) {
+    addMemberFaults(cursor, faults);
+    for (const auto &it : cursor.Value->items()) {
+      SchemaCursor inner = cursor;
       if (inner.descend("[" + it.key() + "]"))
-        collect(inner, broken, faults);
+        collectFaults(inner, invalidPointers, faults);
     }
     return;
   }
-  if (broken.count(place.Pointer.to_string()) > 0)
-    faults.push_back({pointerText(place.Pointer), shown(*place.Value),
-                      allowedBy(*place.Schema)});
-  for (size_t i = 0; rightArray && i < place.Value->size(); ++i) {
-    Place inner = place;
+  if (invalidPointers.count(cursor.Pointer.to_string()) > 0)
+    faults.push_back({pointerText(cursor.Pointer), formatValue(*cursor.Value),
+                      describeAllowed(*cursor.Schema)});
+  for (size_t i = 0; isExpectedArray && i < cursor.Value->size(); ++i) {
+    SchemaCursor inner = cursor;
     if (inner.descend(absl::StrCat("[", i, "]")))
-      collect(inner, broken, faults);
+      collectFaults(inner, invalidPointers, faults);
   }
 }
 
@@ -143,17 +147,18 @@
 
   // Its messages name neither the value nor the limits, and it repeats an
   // error for each level above; keep the places and word them ourselves.
-  std::set<std::string> broken;
+  std::set<std::string> invalidPointers;
   valijson::ValidationResults::Error error;
   while (results.popError(error)) {
-    Place place{json::json_pointer(), &schema, &document};
+    SchemaCursor cursor{json::json_pointer(), &schema, &document};
     for (size_t i = 1; i < error.context.size(); ++i)
-      if (!place.descend(error.context[i]))
+      if (!cursor.descend(error.context[i]))
         break;
-    broken.insert(place.Pointer.to_string());
+    invalidPointers.insert(cursor.Pointer.to_string());
   }
   std::vector<SettingsFault> faults;
-  collect({json::json_pointer(), &schema, &document}, broken, faults);
+  collectFaults({json::json_pointer(), &schema, &document}, invalidPointers,
+                faults);
   return faults;
 }
 
--- a/Balsamrack/Settings/Settings.cpp
+++ b/Balsamrack/Settings/Settings.cpp
@@ -23,9 +23,9 @@
 constexpr const char *AddressForm = "an IPv4 address and port, as 10.0.0.1:80";
 
 /// Reads checked fields; collects what the schema can't say.
-class Reader {
+class SettingsReader {
 public:
-  Reader(const json &document, std::vector<SettingsFault> &faults)
+  SettingsReader(const json &document, std::vector<SettingsFault> &faults)
       : Document(document), Faults(faults) {}
 
   const json *find(const char *pointer) const {
@@ -56,7 +56,8 @@
     else
       out = *parsed;
   }
-  void allowed(const std::string &pointer, std::vector<std::string> &out) {
+  void addressRanges(const std::string &pointer,
+                     std::vector<std::string> &out) {
     const json &list = Document.at(json::json_pointer(pointer));
     for (size_t i = 0; i < list.size(); ++i) {
       const std::string text = list[i].get<std::string>();
@@ -85,10 +86,11 @@
 constexpr Duration Millisecond{1'000};
 constexpr Duration Second{1'000'000};
 
-void readPeers(Reader &reader, const json &document, PeerSettings &out) {
+void readPeers(SettingsReader &reader, const json &document,
+               PeerSettings &out) {
   reader.address("/peers/listen", out.Listen);
   reader.text("/peers/fleet_key", out.FleetKey);
-  reader.allowed("/peers/allowed", out.Allowed);
+  reader.addressRanges("/peers/allowed", out.Allowed);
   if (!reader.find("/peers/seeds"))
     return;
   const json &seeds = document["peers"]["seeds"];
@@ -101,18 +103,18 @@
   }
 }
 
-void readKeys(const Reader &reader, KeySettings &out) {
+void readKeys(const SettingsReader &reader, KeySettings &out) {
   reader.duration("/keys/memory_s", Second, out.Memory);
-  reader.number("/keys/guardians", out.Guardians);
+  reader.number("/keys/guardians", out.KeyReplicas);
   reader.number("/keys/max_keys", out.MaxKeys);
   reader.flag("/keys/assume_no_earlier_keys_at_start",
               out.AssumeNoEarlierKeysAtStart);
   const json *policy = reader.find("/keys/when_cut");
   if (policy && *policy == "run_with_reachable")
-    out.WhenCut = UnreachableReplicaPolicy::RunWithReachable;
+    out.OnUnreachableReplica = UnreachableReplicaPolicy::RunWithReachable;
 }
 
-void readTiming(const Reader &reader, const KeySettings &keys,
+void readTiming(const SettingsReader &reader, const KeySettings &keys,
                 MembershipSettings &out) {
   reader.duration("/membership/period_ms", Millisecond, out.ProbePeriod);
   reader.duration("/membership/probe_timeout_ms", Millisecond,
@@ -124,7 +126,8 @@
   out.ForgetAfter = std::max(out.ForgetAfter, keys.Memory);
 }
 
-void readObservability(const Reader &reader, ObservabilitySettings &out) {
+void readObservability(const SettingsReader &reader,
+                       ObservabilitySettings &out) {
   reader.text("/log/level", out.LogLevel);
   reader.text("/log/format", out.LogFormat);
   reader.text("/log/file", out.LogFile);
@@ -135,7 +138,8 @@
 }
 
 /// Rules between fields, which a schema can't state.
-void checkTogether(const Settings &values, std::vector<SettingsFault> &faults) {
+void checkCrossFieldRules(const Settings &values,
+                          std::vector<SettingsFault> &faults) {
   const absl::Status timing = values.Timing.check();
   if (!timing.ok())
     faults.push_back({"/membership", "times that don't fit together",
@@ -171,7 +175,7 @@
 
   // Types and limits hold from here on.
   Settings &out = result.Values;
-  Reader reader(document, result.Faults);
+  SettingsReader reader(document, result.Faults);
   out.Vm = VmId(document["vm"].get<std::string>());
   out.Domain = DomainId(document["failure_domain"].get<std::string>());
   reader.text("/callers/ip", out.Callers.Ip);
@@ -185,7 +189,7 @@
   reader.number("/callers/max_in_progress", out.Callers.MaxInProgress);
   readPeers(reader, document, out.Peers);
   reader.address("/operators/listen", out.Operators.Listen);
-  reader.allowed("/operators/allowed", out.Operators.Allowed);
+  reader.addressRanges("/operators/allowed", out.Operators.Allowed);
   reader.address("/platform/address", out.Platform.At);
   reader.duration("/platform/watch_ms", Millisecond, out.Platform.Watch);
   reader.duration("/platform/min_backoff_ms", Millisecond,
@@ -201,7 +205,7 @@
   reader.number("/flows/max_flows", out.MaxFlows);
   readObservability(reader, out.Observability);
   reader.duration("/shutdown/limit_ms", Millisecond, out.ShutdownLimit);
-  checkTogether(out, result.Faults);
+  checkCrossFieldRules(out, result.Faults);
   return result;
 }
 
--- a/Balsamrack/Settings/Settings.h
+++ b/Balsamrack/Settings/Settings.h
@@ -48,10 +48,10 @@
 /// How idempotency keys are remembered.
 struct KeySettings {
   Duration Memory{600'000'000}; ///< How long a key is remembered.
-  uint32_t Guardians = 2;       ///< Daemons that remember each key.
+  uint32_t KeyReplicas = 2;     ///< Daemons that remember each key.
   uint32_t MaxKeys = 400'000;   ///< Bound of keys held by this daemon.
   bool AssumeNoEarlierKeysAtStart = false; ///< True on a first install only.
-  UnreachableReplicaPolicy WhenCut =
+  UnreachableReplicaPolicy OnUnreachableReplica =
       UnreachableReplicaPolicy::Refuse; ///< See UnreachableReplicaPolicy.
 };
 
--- a/PerformanceTest/ControlMeasure.cpp
+++ b/PerformanceTest/ControlMeasure.cpp
@@ -138,7 +138,7 @@
       [&] {
         bool all = true;
         for (size_t i = 0; i < nodes.size(); ++i) {
-          if (times[i] < 0 && nodes[i]->Store->inForce({1}))
+          if (times[i] < 0 && nodes[i]->Store->isInForce({1}))
             times[i] = seconds(fleet.now() - from);
           all = all && (times[i] >= 0 || nodes[i]->Paused);
         }
--- a/Programs/balsamrack-packetd.cpp
+++ b/Programs/balsamrack-packetd.cpp
@@ -107,7 +107,7 @@
       return Good;
   const PacketSettings settings = file.values();
   platform::EchoPackets codec;
-  auto source = platform::StoreReader::create(settings.Source);
+  auto source = platform::StoreReader::create(settings.PublishedAddress);
   if (!source.ok()) {
     std::cerr << "balsamrack-packetd: " << describe(source.status()) << "\n";
     return Failed;
--- a/UnitTests/Configuration/ConfigurationStoreTest.cpp
+++ b/UnitTests/Configuration/ConfigurationStoreTest.cpp
@@ -47,7 +47,7 @@
       }));
 }
 
-std::string textOf(const ConfigurationStore &store) {
+std::string serialize(const ConfigurationStore &store) {
   std::string text;
   for (const ObjectState &object : store.objects())
     text += objectToJson(object).dump() + "\n";
@@ -65,19 +65,19 @@
   EXPECT_TRUE(rc::check([] {
     auto one = *anyStates();
     auto two = *anyStates();
-    auto there = storeOf(one);
-    there->merge(two);
-    auto back = storeOf(two);
-    back->merge(one);
-    back->merge(two);
-    auto together = one;
-    together.insert(together.end(), two.begin(), two.end());
-    auto sum = storeOf(together);
-    RC_ASSERT(textOf(*there) == textOf(*back));
-    RC_ASSERT(textOf(*there) == textOf(*sum));
-    RC_ASSERT(there->digest().Hash == sum->digest().Hash);
-    RC_ASSERT(there->digest().Highest == back->digest().Highest);
-    RC_ASSERT(there->merge(one).Changed.empty());
+    auto oneThenTwo = storeOf(one);
+    oneThenTwo->merge(two);
+    auto twoThenOne = storeOf(two);
+    twoThenOne->merge(one);
+    twoThenOne->merge(two);
+    auto combined = one;
+    combined.insert(combined.end(), two.begin(), two.end());
+    auto mergedAtOnce = storeOf(combined);
+    RC_ASSERT(serialize(*oneThenTwo) == serialize(*twoThenOne));
+    RC_ASSERT(serialize(*oneThenTwo) == serialize(*mergedAtOnce));
+    RC_ASSERT(oneThenTwo->digest().Hash == mergedAtOnce->digest().Hash);
+    RC_ASSERT(oneThenTwo->digest().Highest == twoThenOne->digest().Highest);
+    RC_ASSERT(oneThenTwo->merge(one).Changed.empty());
   }));
 }
 
@@ -103,7 +103,7 @@
       two->merge(update.Objects);
     for (const StateUpdate &update : two->updatesFor(one->request(), 600))
       one->merge(update.Objects);
-    RC_ASSERT(textOf(*one) == textOf(*two));
+    RC_ASSERT(serialize(*one) == serialize(*two));
     RC_ASSERT(one->digest().Hash == two->digest().Hash);
   }));
 }
@@ -114,7 +114,7 @@
 TEST(ConfigurationStoreTest, IgnoresAnOlderAnswerOfThePlatform) {
   auto store = storeOf({domainState("bern-a", 9, false)});
   EXPECT_TRUE(store->merge({domainState("bern-a", 4, true)}).Changed.empty());
-  EXPECT_FALSE(store->view()->domainInService(DomainId("bern-a")));
+  EXPECT_FALSE(store->view()->isDomainInService(DomainId("bern-a")));
   EXPECT_EQ(store->digest().Highest, TicketNumber{9});
 }
 
@@ -127,8 +127,8 @@
   auto updates = full->updatesFor(asker->request(), 1);
   ASSERT_EQ(updates.size(), 3U);
   asker->merge(updates[0].Objects);
-  EXPECT_TRUE(asker->inForce(TicketNumber{1}));
-  EXPECT_FALSE(asker->inForce(TicketNumber{3}));
+  EXPECT_TRUE(asker->isInForce(TicketNumber{1}));
+  EXPECT_FALSE(asker->isInForce(TicketNumber{3}));
 }
 
 // An operator gives the plan archive the port of booking by mistake. Packets
@@ -138,7 +138,7 @@
   ASSERT_NE(store->view()->serviceAtPort(7001), nullptr);
   auto merged = store->merge({serviceState("archive", 2, 7001)});
   EXPECT_EQ(merged.View->serviceAtPort(7001), nullptr);
-  EXPECT_EQ(danglingReferences(*merged.View).size(), 1U);
+  EXPECT_EQ(configurationWarnings(*merged.View).size(), 1U);
 }
 
 TEST(ConfigurationStoreTest, TellsWhatATicketWouldChange) {
@@ -147,11 +147,11 @@
   Ticket ticket{TicketNumber{3}, {}};
   for (const char *name : {"a", "b", "c"})
     ticket.Objects.push_back(domainState(name, 3, false));
-  auto changes = store->changesAgainst(ticket);
+  auto changes = store->previewChanges(ticket);
   ASSERT_EQ(changes.size(), 3U);
-  EXPECT_EQ(changes[0].What, Kind::Overtaken);
-  EXPECT_EQ(changes[1].What, Kind::Changed);
-  EXPECT_EQ(changes[2].What, Kind::Created);
+  EXPECT_EQ(changes[0].Change, Kind::Superseded);
+  EXPECT_EQ(changes[1].Change, Kind::Changed);
+  EXPECT_EQ(changes[2].Change, Kind::Created);
 }
 
 TEST(ConfigurationViewTest, KeepsServersOfServicesApart) {
@@ -165,7 +165,7 @@
   EXPECT_EQ(view->serversOf(ServiceId("booking")).size(), 1U);
   EXPECT_TRUE(view->serversOf(ServiceId("archive")).empty());
   EXPECT_EQ(view->serversIn(DomainId("bern-a")).size(), 1U);
-  EXPECT_EQ(danglingReferences(*view).size(), 2U);
+  EXPECT_EQ(configurationWarnings(*view).size(), 2U);
 }
 
 } // namespace
--- a/UnitTests/Configuration/TicketCodecTest.cpp
+++ b/UnitTests/Configuration/TicketCodecTest.cpp
@@ -58,9 +58,9 @@
 }
 
 struct Fault {
-  const char *Name;  ///< Of the case.
-  std::string Text;  ///< The ticket.
-  const char *Place; ///< JSON pointer that the error must name.
+  const char *Name;    ///< Of the case.
+  std::string Text;    ///< The ticket.
+  const char *Pointer; ///< JSON pointer that the error must name.
 };
 
 class TicketFaultTest : public testing::TestWithParam<Fault> {};
@@ -74,7 +74,7 @@
   EXPECT_EQ(ticket.status().code(), absl::StatusCode::kInvalidArgument);
   EXPECT_EQ(stepOf(ticket.status()), "check-ticket");
   EXPECT_THAT(describe(ticket.status()),
-              HasSubstr(std::string(": ") + GetParam().Place + ": "));
+              HasSubstr(std::string(": ") + GetParam().Pointer + ": "));
 }
 
 const Fault Faults[] = {
--- a/UnitTests/Daemon/PacketDaemonTest.cpp
+++ b/UnitTests/Daemon/PacketDaemonTest.cpp
@@ -82,12 +82,12 @@
         Log(EventLog::create(EventLogSettings(), Null, Time)) {
     Settings.Name = "vm-1";
     Settings.Domain = DomainId("bern-a");
-    Settings.Packets = PacketsAt.at();
-    Settings.Ready = ReadyAt.at();
+    Settings.PacketAddress = PacketsAt.at();
+    Settings.ReadyAddress = ReadyAt.at();
     Settings.ReadyPath = "/ready";
-    Settings.Peers = PeersAt.at();
-    Settings.Metrics = MetricsAt.at();
-    Settings.Grace = Duration(100'000);
+    Settings.PeerAddress = PeersAt.at();
+    Settings.MetricsAddress = MetricsAt.at();
+    Settings.ShutdownGrace = Duration(100'000);
   }
   ~PacketDaemonTest() override {
     Log.reset();
@@ -107,8 +107,8 @@
     int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     sockaddr_in to{};
     to.sin_family = AF_INET;
-    to.sin_port = htons(Settings.Packets.Port);
-    to.sin_addr.s_addr = inet_addr(Settings.Packets.Ip.c_str());
+    to.sin_port = htons(Settings.PacketAddress.Port);
+    to.sin_addr.s_addr = inet_addr(Settings.PacketAddress.Ip.c_str());
     EXPECT_EQ(sendto(fd, packet, sizeof packet, 0,
                      reinterpret_cast<sockaddr *>(&to), sizeof to),
               static_cast<ssize_t>(sizeof packet));
--- a/UnitTests/Peers/BadPeerTest.cpp
+++ b/UnitTests/Peers/BadPeerTest.cpp
@@ -58,11 +58,11 @@
 
 struct BadPeer {
   const char *Name;
-  const char *Key;    ///< Empty: sends no proof of its own.
-  std::string Sends;  ///< After the proof.
-  uint64_t BadFrames; ///< What is counted.
-  uint64_t Refused;   ///< What is counted.
-  const char *Says;   ///< In the fault and in the close frame.
+  const char *Key;           ///< Empty: sends no proof of its own.
+  std::string Frames;        ///< After the proof.
+  uint64_t BadFrames;        ///< What is counted.
+  uint64_t Refused;          ///< What is counted.
+  const char *ExpectedError; ///< In the fault and in the close frame.
 };
 
 class EachBadPeer : public testing::TestWithParam<BadPeer> {};
@@ -79,11 +79,12 @@
   ASSERT_EQ(header.substr(9, 3), "101") << header;
   if (*p.Key)
     c.sendAll(frame(Text, proofFor(header, p.Key)));
-  c.sendAll(p.Sends);
+  c.sendAll(p.Frames);
   ASSERT_TRUE(waitUntil([&] { return !b.faults().empty(); }));
   c.sendAll(frame(Close, ""));
-  EXPECT_NE(c.readToEnd().find(p.Says), std::string::npos);
-  EXPECT_NE(b.faults()[0].find(p.Says), std::string::npos) << b.faults()[0];
+  EXPECT_NE(c.readToEnd().find(p.ExpectedError), std::string::npos);
+  EXPECT_NE(b.faults()[0].find(p.ExpectedError), std::string::npos)
+      << b.faults()[0];
   EXPECT_NE(b.faults()[0].find("decode-peer-message"), std::string::npos);
   EXPECT_EQ(b.Transport->counters().BadFrames, p.BadFrames);
   EXPECT_EQ(b.Transport->counters().PeersRefused, p.Refused);
--- a/UnitTests/Peers/DatagramPeersTest.cpp
+++ b/UnitTests/Peers/DatagramPeersTest.cpp
@@ -14,13 +14,13 @@
 namespace balsamrack {
 namespace {
 
-class DatagramPeersTest : public testing::Test {
+class DatagramTransportTest : public testing::Test {
 protected:
   void SetUp() override {
     for (auto *it : {&A, &B}) {
       // A free port: bound by nobody, and taken at once.
       for (uint16_t port = 31000; !*it && port < 31900; ++port) {
-        auto opened = DatagramPeers::open({"127.0.0.1", port});
+        auto opened = DatagramTransport::open({"127.0.0.1", port});
         if (opened.ok()) {
           *it = *std::move(opened);
           At[it == &A ? 0 : 1] = {"127.0.0.1", port};
@@ -29,9 +29,9 @@
       ASSERT_TRUE(*it);
     }
   }
-  std::vector<PeerMessage> receive(size_t least) {
+  std::vector<PeerMessage> receive(size_t minCount) {
     std::vector<PeerMessage> all;
-    for (int i = 0; i < 100 && all.size() < least; ++i) {
+    for (int i = 0; i < 100 && all.size() < minCount; ++i) {
       pollfd polled{B->fd(), POLLIN, 0};
       poll(&polled, 1, 20);
       B->receive([&](const Address &from, PeerMessage message) {
@@ -41,11 +41,11 @@
     }
     return all;
   }
-  std::unique_ptr<DatagramPeers> A, B;
+  std::unique_ptr<DatagramTransport> A, B;
   Address At[2];
 };
 
-TEST_F(DatagramPeersTest, EachMessageArrives) {
+TEST_F(DatagramTransportTest, EachMessageArrives) {
   auto sent = samplePeerMessages();
   for (const PeerMessage &message : sent)
     ASSERT_TRUE(A->send(At[1], message).ok());
@@ -54,15 +54,15 @@
   for (size_t i = 0; i < got.size(); ++i) {
     size_t bytes = encodePeerMessage(sent[i]).size();
     EXPECT_EQ(encodePeerMessage(got[i]), encodePeerMessage(sent[i]));
-    EXPECT_EQ(A->counters().SentOf[i].Bytes, bytes);
-    EXPECT_EQ(B->counters().ReceivedOf[i].Bytes, bytes);
-    EXPECT_EQ(B->counters().ReceivedOf[i].Messages, 1U);
+    EXPECT_EQ(A->counters().SentByType[i].Bytes, bytes);
+    EXPECT_EQ(B->counters().ReceivedByType[i].Bytes, bytes);
+    EXPECT_EQ(B->counters().ReceivedByType[i].Messages, 1U);
   }
 }
 
 // Guards against a configuration of thousands of routes, none like another,
 // that is lost for its length.
-TEST_F(DatagramPeersTest, ALongMessageComesInPieces) {
+TEST_F(DatagramTransportTest, ALongMessageComesInPieces) {
   auto c = std::make_shared<OperatorConfiguration>();
   for (uint16_t i = 0; i < 3000; ++i)
     c->Routes.push_back({{"198.18.1.1", static_cast<uint16_t>(i + 1)},
@@ -80,10 +80,10 @@
   auto got = receive(1);
   ASSERT_EQ(got.size(), 1U);
   EXPECT_EQ(encodePeerMessage(got[0]), encodePeerMessage(PeerMessage(update)));
-  EXPECT_GT(A->counters().Sent, 50U);
+  EXPECT_GT(A->counters().DatagramsSent, 50U);
 }
 
-TEST_F(DatagramPeersTest, AMessageThatIsTooLongIsAnError) {
+TEST_F(DatagramTransportTest, AMessageThatIsTooLongIsAnError) {
   StateRequest request;
   request.BucketHashes.assign(200'000, UINT64_MAX);
   EXPECT_EQ(A->send(At[1], request).code(),
@@ -91,7 +91,7 @@
 }
 
 // Story: somebody else's datagrams come to the port of peers.
-TEST_F(DatagramPeersTest, GarbageIsCountedAndHarmless) {
+TEST_F(DatagramTransportTest, GarbageIsCountedAndHarmless) {
   int fd = socket(AF_INET, SOCK_DGRAM, 0);
   sockaddr_in to{};
   to.sin_family = AF_INET;
@@ -112,7 +112,7 @@
   close(fd);
   ASSERT_TRUE(A->send(At[1], samplePeerMessages()[1]).ok());
   EXPECT_EQ(receive(1).size(), 1U);
-  EXPECT_GT(B->counters().Bad, 100U);
+  EXPECT_GT(B->counters().Malformed, 100U);
 }
 
 } // namespace
--- a/UnitTests/Peers/PeerCodecTest.cpp
+++ b/UnitTests/Peers/PeerCodecTest.cpp
@@ -13,7 +13,7 @@
 
 /// Control bytes that a daemon may spend while one configuration comes into
 /// force: 3 KB a second for six seconds.
-constexpr size_t ConfigurationBytes = 18'000;
+constexpr size_t MaxConfigurationBytes = 18'000;
 
 class EachMessage : public testing::TestWithParam<size_t> {
 protected:
@@ -105,7 +105,7 @@
 struct BadFrame {
   const char *Name;
   std::string Frame;
-  const char *Says;
+  const char *ExpectedError;
 };
 
 class EachBadFrame : public testing::TestWithParam<BadFrame> {};
@@ -113,7 +113,7 @@
 TEST_P(EachBadFrame, IsRefusedWithAReason) {
   auto got = decodePeerMessage(GetParam().Frame);
   ASSERT_FALSE(got.ok());
-  EXPECT_NE(got.status().message().find(GetParam().Says),
+  EXPECT_NE(got.status().message().find(GetParam().ExpectedError),
             absl::string_view::npos)
       << got.status();
 }
@@ -182,7 +182,7 @@
       {},
       false};
   std::string frame = encodePeerMessage(update);
-  EXPECT_LE(frame.size(), ConfigurationBytes);
+  EXPECT_LE(frame.size(), MaxConfigurationBytes);
   auto back = decodePeerMessage(frame);
   ASSERT_TRUE(back.ok()) << back.status();
   const PublishedObject &object =
@@ -196,13 +196,13 @@
     return all;
   };
   auto sent = byAddress(*large);
-  auto came = byAddress(got);
-  ASSERT_EQ(came.size(), sent.size());
+  auto received = byAddress(got);
+  ASSERT_EQ(received.size(), sent.size());
   for (const auto &[at, route] : sent) {
-    EXPECT_EQ(came[at].Targets, route.Targets);
-    EXPECT_EQ(came[at].Objective, route.Objective);
-    EXPECT_EQ(came[at].Timeout, route.Timeout);
-    EXPECT_EQ(came[at].Idempotent, route.Idempotent);
+    EXPECT_EQ(received[at].Targets, route.Targets);
+    EXPECT_EQ(received[at].Objective, route.Objective);
+    EXPECT_EQ(received[at].Timeout, route.Timeout);
+    EXPECT_EQ(received[at].Idempotent, route.Idempotent);
   }
 }
 
--- a/UnitTests/Peers/TransportPeer.cpp
+++ b/UnitTests/Peers/TransportPeer.cpp
@@ -6,7 +6,7 @@
 
 namespace balsamrack {
 
-PeerTransportSettings TransportPeer::settingsOf(const std::string &name) {
+PeerTransportSettings TransportPeer::settingsFor(const std::string &name) {
   PeerTransportSettings s;
   s.Listen = {"127.0.0.1", 0};
   s.Self.Id = VmId(name);
@@ -51,7 +51,7 @@
   return Faults;
 }
 
-bool TransportPeer::saw(const std::string &event) const {
+bool TransportPeer::hasEvent(const std::string &event) const {
   std::lock_guard<std::mutex> hold(Lock);
   return std::find(Events.begin(), Events.end(), event) != Events.end();
 }
@@ -61,7 +61,7 @@
     std::lock_guard<std::mutex> hold(Lock);
     Frames.push_back(from.Id.str() + " " + encodePeerMessage(message));
   }
-  std::lock_guard<std::mutex> wait(Gate);
+  std::lock_guard<std::mutex> wait(ReceiveGate);
 }
 
 void TransportPeer::onPeerLost(const VmId &peer) {
--- a/UnitTests/Peers/TransportPeer.h
+++ b/UnitTests/Peers/TransportPeer.h
@@ -14,10 +14,10 @@
 class TransportPeer final : public PeerListener {
 public:
   /// Settings of a peer called \p name that lets 127.0.0.1 in.
-  static PeerTransportSettings settingsOf(const std::string &name);
+  static PeerTransportSettings settingsFor(const std::string &name);
 
   explicit TransportPeer(const std::string &name)
-      : TransportPeer(settingsOf(name)) {}
+      : TransportPeer(settingsFor(name)) {}
   explicit TransportPeer(PeerTransportSettings settings);
 
   /// The peer as others know it.
@@ -29,7 +29,7 @@
   /// Faults that the transport reported, described.
   std::vector<std::string> faults() const;
   /// True when \p event has been seen.
-  bool saw(const std::string &event) const;
+  bool hasEvent(const std::string &event) const;
 
   void onPeerMessage(const EntryVm &from, PeerMessage message) override;
   void onPeerLost(const VmId &peer) override;
@@ -43,7 +43,8 @@
   std::vector<std::string> Faults;
 
 public:
-  std::mutex Gate; ///< While a test holds it, this peer stays at work on the
+  std::mutex
+      ReceiveGate; ///< While a test holds it, this peer stays at work on the
                    ///< message that it has just taken, and reads no more.
   std::unique_ptr<WebsocketTransport> Transport; ///< Ends before the rest.
 };
--- a/UnitTests/Peers/WebsocketTransportTest.cpp
+++ b/UnitTests/Peers/WebsocketTransportTest.cpp
@@ -44,13 +44,13 @@
 
 TEST(WebsocketTransportTest, ManyThreadsSendBothWays) {
   constexpr size_t Threads = 4;
-  constexpr size_t Each = 200;
+  constexpr size_t MessagesPerThread = 200;
   TransportPeer a("vm-a");
   TransportPeer b("vm-b");
   std::vector<std::thread> senders;
   for (size_t t = 0; t < Threads; ++t)
     senders.emplace_back([&] {
-      for (size_t i = 0; i < Each; ++i) {
+      for (size_t i = 0; i < MessagesPerThread; ++i) {
         a.Transport->send(b.vm(), Small).IgnoreError();
         b.Transport->send(a.vm(), withBody(1000)).IgnoreError();
       }
@@ -58,8 +58,8 @@
   for (std::thread &t : senders)
     t.join();
   EXPECT_TRUE(waitUntil([&] {
-    return a.received().size() == Threads * Each &&
-           b.received().size() == Threads * Each;
+    return a.received().size() == Threads * MessagesPerThread &&
+           b.received().size() == Threads * MessagesPerThread;
   }));
 }
 
@@ -85,7 +85,7 @@
 struct StalledPeer {
   const char *Name;
   int64_t StallTimeoutMillis;
-  bool Arrives;
+  bool ExpectArrival;
 };
 
 class EachStalledPeer : public testing::TestWithParam<StalledPeer> {};
@@ -95,24 +95,24 @@
 // that the connection ends once the stall timeout is over, and what was written
 // to it is lost though the peer lives.
 TEST_P(EachStalledPeer, LosesItsConnectionAfterTheStallTimeout) {
-  PeerTransportSettings settings = TransportPeer::settingsOf("vm-a");
+  PeerTransportSettings settings = TransportPeer::settingsFor("vm-a");
   settings.StallTimeout = Duration(GetParam().StallTimeoutMillis * 1000);
   TransportPeer a(settings);
   TransportPeer b("vm-b");
-  std::unique_lock<std::mutex> atWork(b.Gate);
+  std::unique_lock<std::mutex> blocked(b.ReceiveGate);
   ASSERT_TRUE(a.Transport->send(b.vm(), Small).ok());
   ASSERT_TRUE(waitUntil([&] { return b.received().size() == 1; }));
   ASSERT_TRUE(a.Transport->send(b.vm(), withBody(4 << 20)).ok());
   // How long the frame takes to its first byte on the wire is not known, so
   // the shorter timeout is waited for while the peer still reads nothing.
-  if (GetParam().Arrives) {
+  if (GetParam().ExpectArrival) {
     std::this_thread::sleep_for(std::chrono::milliseconds(1500));
-    atWork.unlock();
+    blocked.unlock();
     EXPECT_TRUE(waitUntil([&] { return b.received().size() == 2; }));
   } else {
-    EXPECT_TRUE(waitUntil([&] { return a.saw("lost vm-b"); }));
+    EXPECT_TRUE(waitUntil([&] { return a.hasEvent("lost vm-b"); }));
   }
-  EXPECT_EQ(a.saw("lost vm-b"), !GetParam().Arrives);
+  EXPECT_EQ(a.hasEvent("lost vm-b"), !GetParam().ExpectArrival);
 }
 
 INSTANTIATE_TEST_SUITE_P(Timeouts, EachStalledPeer,
@@ -126,13 +126,13 @@
 // leave, since only those may be placed again, and must not wait for a connect
 // timeout on Each further one.
 TEST(WebsocketTransportTest, UnreachablePeerGivesTheMessagesBack) {
-  PeerTransportSettings settings = TransportPeer::settingsOf("vm-a");
+  PeerTransportSettings settings = TransportPeer::settingsFor("vm-a");
   settings.MinBackoff = settings.MaxBackoff = Duration(300'000);
   TransportPeer a(settings);
-  ReservedPort nobody;
-  EntryVm gone{VmId("vm-x"), DomainId("bern-a"), nobody.at()};
+  ReservedPort unusedPort;
+  EntryVm gone{VmId("vm-x"), DomainId("bern-a"), unusedPort.at()};
   ASSERT_TRUE(a.Transport->send(gone, withBody(9)).ok());
-  ASSERT_TRUE(waitUntil([&] { return a.saw("lost vm-x"); }));
+  ASSERT_TRUE(waitUntil([&] { return a.hasEvent("lost vm-x"); }));
   EXPECT_EQ(a.events(),
             (std::vector<std::string>{"failed vm-x Forward", "lost vm-x"}));
   absl::Status again = a.Transport->send(gone, Small);
@@ -149,13 +149,13 @@
   ASSERT_TRUE(a.Transport->send(b->vm(), withBody(9)).ok());
   ASSERT_TRUE(waitUntil([&] { return b->received().size() == 1; }));
   b.reset();
-  ASSERT_TRUE(waitUntil([&] { return a.saw("lost vm-b"); }));
+  ASSERT_TRUE(waitUntil([&] { return a.hasEvent("lost vm-b"); }));
   EXPECT_EQ(a.events(), std::vector<std::string>{"lost vm-b"});
 }
 
 TEST(WebsocketTransportTest, PeerThatComesBackIsReachedAgain) {
   ReservedPort port;
-  PeerTransportSettings settings = TransportPeer::settingsOf("vm-b");
+  PeerTransportSettings settings = TransportPeer::settingsFor("vm-b");
   settings.Listen = port.at();
   TransportPeer a("vm-a");
   auto b = std::make_unique<TransportPeer>(settings);
@@ -179,25 +179,25 @@
   EntryVm old = b.vm();
   old.Id = VmId("vm-old");
   ASSERT_TRUE(a.Transport->send(old, Small).ok());
-  EXPECT_TRUE(waitUntil([&] { return a.saw("lost vm-old"); }));
-  EXPECT_TRUE(a.saw("failed vm-old CancelRequest"));
+  EXPECT_TRUE(waitUntil([&] { return a.hasEvent("lost vm-old"); }));
+  EXPECT_TRUE(a.hasEvent("failed vm-old CancelRequest"));
   EXPECT_TRUE(b.received().empty());
 }
 
 TEST(WebsocketTransportTest, SilentPeerEndsByTheConnectTimeout) {
   ScriptedServer silent([](RawConnection c, int) { c.readToEnd(); });
-  PeerTransportSettings settings = TransportPeer::settingsOf("vm-a");
+  PeerTransportSettings settings = TransportPeer::settingsFor("vm-a");
   settings.ConnectTimeout = Duration(100'000);
   TransportPeer a(settings);
   EntryVm vm{VmId("vm-s"), DomainId("d"), silent.at()};
   ASSERT_TRUE(a.Transport->send(vm, Small).ok());
-  EXPECT_TRUE(waitUntil([&] { return a.saw("lost vm-s"); }));
-  EXPECT_TRUE(a.saw("failed vm-s CancelRequest"));
+  EXPECT_TRUE(waitUntil([&] { return a.hasEvent("lost vm-s"); }));
+  EXPECT_TRUE(a.hasEvent("failed vm-s CancelRequest"));
 }
 
 TEST(WebsocketTransportTest, QueueIsBounded) {
   ScriptedServer silent([](RawConnection c, int) { c.readToEnd(); });
-  PeerTransportSettings settings = TransportPeer::settingsOf("vm-a");
+  PeerTransportSettings settings = TransportPeer::settingsFor("vm-a");
   settings.MaxQueuedMessages = 2;
   settings.MaxQueuedBytes = 1000;
   TransportPeer a(settings);
@@ -211,50 +211,50 @@
 }
 
 TEST(WebsocketTransportTest, StopSendsWhatIsQueuedAndThenNothing) {
-  constexpr size_t Many = 500;
+  constexpr size_t MessageTotal = 500;
   TransportPeer a("vm-a");
   TransportPeer b("vm-b");
-  for (size_t i = 0; i < Many; ++i)
+  for (size_t i = 0; i < MessageTotal; ++i)
     ASSERT_TRUE(a.Transport->send(b.vm(), withBody(1000)).ok());
   a.Transport->stop();
   EXPECT_EQ(a.Transport->send(b.vm(), Small).code(),
             absl::StatusCode::kUnavailable);
-  EXPECT_TRUE(waitUntil([&] { return b.received().size() == Many; }));
+  EXPECT_TRUE(waitUntil([&] { return b.received().size() == MessageTotal; }));
 }
 
 TEST(WebsocketTransportTest, SaysWhyItCannotListen) {
   TransportPeer a("vm-a");
-  PeerTransportSettings settings = TransportPeer::settingsOf("vm-b");
+  PeerTransportSettings settings = TransportPeer::settingsFor("vm-b");
   settings.Listen = a.vm().PeerAt;
-  auto clash = WebsocketTransport::create(settings, a);
-  EXPECT_EQ(clash.status().code(), absl::StatusCode::kAlreadyExists);
-  EXPECT_EQ(stepOf(clash.status()), "listen");
+  auto result = WebsocketTransport::create(settings, a);
+  EXPECT_EQ(result.status().code(), absl::StatusCode::kAlreadyExists);
+  EXPECT_EQ(stepOf(result.status()), "listen");
   settings.Listen.Port = 0;
   settings.Allowed = {"nowhere"};
   EXPECT_EQ(WebsocketTransport::create(settings, a).status().code(),
             absl::StatusCode::kInvalidArgument);
 }
 
-struct Stranger {
+struct UnauthorizedPeer {
   const char *Name;
   const char *Key;
   const char *Allowed;
 };
 
-class EachStranger : public testing::TestWithParam<Stranger> {};
+class EachUnauthorizedPeer : public testing::TestWithParam<UnauthorizedPeer> {};
 
 // Story: a daemon of a test fleet is pointed at a production VM by mistake. Its
 // old tickets and its view of the members must not get in.
-TEST_P(EachStranger, IsNotLetIn) {
-  PeerTransportSettings guard = TransportPeer::settingsOf("vm-b");
-  guard.Allowed = {GetParam().Allowed};
-  TransportPeer b(guard);
-  PeerTransportSettings settings = TransportPeer::settingsOf("vm-a");
+TEST_P(EachUnauthorizedPeer, IsNotLetIn) {
+  PeerTransportSettings acceptorSettings = TransportPeer::settingsFor("vm-b");
+  acceptorSettings.Allowed = {GetParam().Allowed};
+  TransportPeer b(acceptorSettings);
+  PeerTransportSettings settings = TransportPeer::settingsFor("vm-a");
   settings.FleetKey = GetParam().Key;
   TransportPeer a(settings);
   ASSERT_TRUE(a.Transport->send(b.vm(), Small).ok());
-  EXPECT_TRUE(waitUntil([&] { return a.saw("lost vm-b"); }));
-  EXPECT_TRUE(a.saw("failed vm-b CancelRequest"));
+  EXPECT_TRUE(waitUntil([&] { return a.hasEvent("lost vm-b"); }));
+  EXPECT_TRUE(a.hasEvent("failed vm-b CancelRequest"));
   EXPECT_TRUE(b.received().empty());
   EXPECT_EQ(a.Transport->counters().PeersRefused +
                 b.Transport->counters().PeersRefused,
@@ -262,10 +262,11 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Strangers, EachStranger,
-    testing::Values(Stranger{"OtherKey", "another key", "127.0.0.1"},
-                    Stranger{"NoKey", "", "127.0.0.1"},
-                    Stranger{"OtherAddress", "key of the fleet", "10.0.0.0/8"}),
+    Strangers, EachUnauthorizedPeer,
+    testing::Values(UnauthorizedPeer{"OtherKey", "another key", "127.0.0.1"},
+                    UnauthorizedPeer{"NoKey", "", "127.0.0.1"},
+                    UnauthorizedPeer{"OtherAddress", "key of the fleet",
+                                     "10.0.0.0/8"}),
     [](const auto &info) { return std::string(info.param.Name); });
 
 } // namespace
--- a/UnitTests/Settings/PacketSettingsTest.cpp
+++ b/UnitTests/Settings/PacketSettingsTest.cpp
@@ -13,7 +13,7 @@
   ASSERT_TRUE(read.Faults.empty()) << read.Faults[0].str();
   EXPECT_EQ(read.Values.Domain.str(), "bern-a");
   EXPECT_EQ(read.Values.self().Id.str(), "10.1.0.10");
-  EXPECT_EQ(read.Values.Grace, Duration(6'000'000));
+  EXPECT_EQ(read.Values.ShutdownGrace, Duration(6'000'000));
   auto seeds = read.Values.seedPeers();
   ASSERT_EQ(seeds.size(), 1U) << "itself left out";
   EXPECT_EQ(seeds[0].PeerAt.str(), "10.2.0.40:7720") << "on the peers' port";
@@ -21,8 +21,8 @@
 
 struct BadFile {
   const char *Name;
-  const char *From;
-  const char *To;
+  const char *Original;
+  const char *Replacement;
   const char *Pointer;
 };
 
@@ -30,9 +30,10 @@
 
 TEST_P(EachBadPacketSetting, IsNamedWithItsReason) {
   std::string text = Good;
-  size_t at = text.find(GetParam().From);
+  size_t at = text.find(GetParam().Original);
   ASSERT_NE(at, std::string::npos);
-  text.replace(at, std::string(GetParam().From).size(), GetParam().To);
+  text.replace(at, std::string(GetParam().Original).size(),
+               GetParam().Replacement);
   PacketSettingsResult read = parsePacketSettings(text);
   ASSERT_FALSE(read.Faults.empty());
   EXPECT_EQ(read.Faults[0].Pointer, GetParam().Pointer);
--- a/UnitTests/Settings/SettingsTest.cpp
+++ b/UnitTests/Settings/SettingsTest.cpp
@@ -69,7 +69,7 @@
   const SettingsResult result = parseSettings(document.dump());
   ASSERT_TRUE(result.Faults.empty()) << result.Faults[0].str();
   EXPECT_EQ(result.Values.Keys.Memory, Duration(5'000'000));
-  EXPECT_EQ(result.Values.Keys.WhenCut,
+  EXPECT_EQ(result.Values.Keys.OnUnreachableReplica,
             UnreachableReplicaPolicy::RunWithReachable);
   EXPECT_EQ(result.Values.Peers.Seeds.at(0).Id, VmId("vm-2"));
 }
