--- a/Balsamrack/Client/OperatorClient.cpp
+++ b/Balsamrack/Client/OperatorClient.cpp
@@ -77,8 +77,9 @@
     reply.Body.assign(static_cast<const char *>(response.binary_body),
                       response.binary_body_length);
   } else {
-    reply.How = makeError(absl::StatusCode::kUnavailable, Step::AnswerOperator,
-                          daemon.str(), "no answer");
+    reply.How =
+        makeError(absl::StatusCode::kUnavailable, Step::HandleOperatorRequest,
+                  daemon.str(), "no answer");
   }
   ulfius_clean_request(&request);
   ulfius_clean_response(&response);
--- a/Balsamrack/Core/Address.cpp
+++ b/Balsamrack/Core/Address.cpp
@@ -10,16 +10,16 @@
 absl::StatusOr<Address> Address::parse(const std::string &text) {
   size_t colon = text.rfind(':');
   uint32_t port = 0;
-  in_addr raw{};
+  in_addr parsed{};
   if (colon == std::string::npos ||
       !absl::SimpleAtoi(text.substr(colon + 1), &port) || port > 65535)
     return absl::InvalidArgumentError(
         absl::StrCat("not an ip:port: ", text.substr(0, 64)));
-  Address a{text.substr(0, colon), static_cast<uint16_t>(port)};
-  if (inet_pton(AF_INET, a.Ip.c_str(), &raw) != 1)
+  Address address{text.substr(0, colon), static_cast<uint16_t>(port)};
+  if (inet_pton(AF_INET, address.Ip.c_str(), &parsed) != 1)
     return absl::InvalidArgumentError(
         absl::StrCat("not an IPv4 address: ", text.substr(0, 64)));
-  return a;
+  return address;
 }
 
 std::string Address::str() const { return absl::StrCat(Ip, ":", Port); }
--- a/Balsamrack/Core/AddressSet.cpp
+++ b/Balsamrack/Core/AddressSet.cpp
@@ -13,11 +13,11 @@
 
 constexpr uint32_t AddressBits = 32;
 
-std::optional<uint32_t> quad(const std::string &text) {
-  in_addr raw{};
-  if (inet_pton(AF_INET, text.c_str(), &raw) != 1)
+std::optional<uint32_t> parseIpv4(const std::string &text) {
+  in_addr parsed{};
+  if (inet_pton(AF_INET, text.c_str(), &parsed) != 1)
     return std::nullopt;
-  return ntohl(raw.s_addr);
+  return ntohl(parsed.s_addr);
 }
 
 } // namespace
@@ -28,7 +28,7 @@
   for (const std::string &text : list) {
     size_t slash = text.find('/');
     uint32_t bits = AddressBits;
-    auto address = quad(text.substr(0, slash));
+    auto address = parseIpv4(text.substr(0, slash));
     bool ok = address.has_value();
     if (slash != std::string::npos)
       ok = ok && absl::SimpleAtoi(text.substr(slash + 1), &bits) &&
@@ -43,7 +43,7 @@
 }
 
 bool AddressSet::contains(const std::string &ip) const {
-  auto address = quad(ip);
+  auto address = parseIpv4(ip);
   return address &&
          std::any_of(Ranges.begin(), Ranges.end(), [&](const Range &r) {
            return (*address & r.Mask) == r.First;
--- a/Balsamrack/Core/DatagramSocket.h
+++ b/Balsamrack/Core/DatagramSocket.h
@@ -10,7 +10,7 @@
 /// buffers of \p bufferBytes as far as the system grants them. The caller
 /// closes it. Error (step listen, peer ip:port) when the address is taken or
 /// not ours. Thread-safe.
-absl::StatusOr<int> openDatagramSocket(const Address &at, int bufferBytes);
+absl::StatusOr<int> openDatagramSocket(const Address &address, int bufferBytes);
 
 } // namespace balsamrack
 
--- a/Balsamrack/Core/Errors.cpp
+++ b/Balsamrack/Core/Errors.cpp
@@ -33,7 +33,7 @@
     return "admit";
   case Step::Dispatch:
     return "dispatch";
-  case Step::AwaitAnswer:
+  case Step::AwaitResponse:
     return "await-answer";
   case Step::DecodePeerMessage:
     return "decode-peer-message";
@@ -47,7 +47,7 @@
     return "probe";
   case Step::HandOver:
     return "hand-over";
-  case Step::AnswerOperator:
+  case Step::HandleOperatorRequest:
     return "answer-operator";
   case Step::Record:
     return "record";
@@ -59,10 +59,11 @@
 
 absl::Status makeError(absl::StatusCode code, Step step,
                        const std::string &peer, const std::string &message) {
-  return atStep(absl::Status(code, message), step, peer);
+  return addErrorContext(absl::Status(code, message), step, peer);
 }
 
-absl::Status atStep(absl::Status status, Step step, const std::string &peer) {
+absl::Status addErrorContext(absl::Status status, Step step,
+                             const std::string &peer) {
   if (status.ok() || status.GetPayload(StepUrl))
     return status;
   status.SetPayload(StepUrl, absl::Cord(stepName(step)));
--- a/Balsamrack/Core/Errors.h
+++ b/Balsamrack/Core/Errors.h
@@ -17,14 +17,14 @@
   ForwardToOwner,
   Admit,
   Dispatch,
-  AwaitAnswer,
+  AwaitResponse,
   DecodePeerMessage,
   SendToPeer,
   ReadPlatform,
   CheckTicket,
   Probe,
   HandOver,
-  AnswerOperator,
+  HandleOperatorRequest,
   Record,
   Replay,
 };
@@ -39,7 +39,8 @@
 
 /// Adds step and peer to an error that has none yet; an ok status and one that
 /// has them stay as they are. Thread-safe.
-absl::Status atStep(absl::Status status, Step step, const std::string &peer);
+absl::Status addErrorContext(absl::Status status, Step step,
+                             const std::string &peer);
 
 /// Name of the step that \p status carries, or an empty string. Thread-safe.
 std::string stepOf(const absl::Status &status);
--- a/Balsamrack/Core/ListenSocket.cpp
+++ b/Balsamrack/Core/ListenSocket.cpp
@@ -17,49 +17,50 @@
 
 constexpr int Backlog = 1024; ///< Connections that wait to be accepted.
 
-absl::Status listenError(int error, const Address &at, const char *call) {
+absl::Status listenError(int error, const Address &address, const char *call) {
   auto code = error == EADDRINUSE ? absl::StatusCode::kAlreadyExists
                                   : absl::StatusCode::kUnavailable;
-  return makeError(code, Step::Listen, at.str(),
-                   "cannot listen at " + at.str() + ": " + call + ": " +
+  return makeError(code, Step::Listen, address.str(),
+                   "cannot listen at " + address.str() + ": " + call + ": " +
                        std::generic_category().message(error));
 }
 
 } // namespace
 
-absl::StatusOr<ListenSocket> ListenSocket::open(const Address &at) {
-  sockaddr_in raw{};
-  raw.sin_family = AF_INET;
-  raw.sin_port = htons(at.Port);
-  if (inet_pton(AF_INET, at.Ip.c_str(), &raw.sin_addr) != 1)
-    return makeError(absl::StatusCode::kInvalidArgument, Step::Listen, at.str(),
-                     "not an IPv4 address: " + at.Ip);
+absl::StatusOr<ListenSocket> ListenSocket::open(const Address &address) {
+  sockaddr_in socketAddress{};
+  socketAddress.sin_family = AF_INET;
+  socketAddress.sin_port = htons(address.Port);
+  if (inet_pton(AF_INET, address.Ip.c_str(), &socketAddress.sin_addr) != 1)
+    return makeError(absl::StatusCode::kInvalidArgument, Step::Listen,
+                     address.str(), "not an IPv4 address: " + address.Ip);
   int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (fd < 0)
-    return listenError(errno, at, "socket");
-  ListenSocket made(fd, at);
+    return listenError(errno, address, "socket");
+  ListenSocket result(fd, address);
   // Without this a daemon that is started again could not listen for a minute,
   // while connections of its earlier run are in TIME_WAIT.
-  int on = 1;
-  ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  auto *addr = reinterpret_cast<sockaddr *>(&raw);
-  socklen_t len = sizeof raw;
+  int enable = 1;
+  ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof enable);
+  auto *addr = reinterpret_cast<sockaddr *>(&socketAddress);
+  socklen_t len = sizeof socketAddress;
   if (::bind(fd, addr, len) != 0)
-    return listenError(errno, at, "bind");
+    return listenError(errno, address, "bind");
   if (::listen(fd, Backlog) != 0)
-    return listenError(errno, at, "listen");
+    return listenError(errno, address, "listen");
   if (::getsockname(fd, addr, &len) != 0)
-    return listenError(errno, at, "getsockname");
-  made.At.Port = ntohs(raw.sin_port);
-  return made;
+    return listenError(errno, address, "getsockname");
+  result.BoundAddress.Port = ntohs(socketAddress.sin_port);
+  return result;
 }
 
 ListenSocket::ListenSocket(ListenSocket &&other) noexcept
-    : Fd(std::exchange(other.Fd, -1)), At(std::move(other.At)) {}
+    : Fd(std::exchange(other.Fd, -1)),
+      BoundAddress(std::move(other.BoundAddress)) {}
 
 ListenSocket &ListenSocket::operator=(ListenSocket &&other) noexcept {
   std::swap(Fd, other.Fd);
-  std::swap(At, other.At);
+  std::swap(BoundAddress, other.BoundAddress);
   return *this;
 }
 
--- a/Balsamrack/Core/ListenSocket.h
+++ b/Balsamrack/Core/ListenSocket.h
@@ -13,7 +13,7 @@
   /// (step listen, peer ip:port) with the system's reason: kAlreadyExists when
   /// the port is taken, kUnavailable when the address is not ours or may not be
   /// used. Thread-safe.
-  static absl::StatusOr<ListenSocket> open(const Address &at);
+  static absl::StatusOr<ListenSocket> open(const Address &address);
 
   ListenSocket(ListenSocket &&other) noexcept;
   ListenSocket &operator=(ListenSocket &&other) noexcept;
@@ -22,13 +22,14 @@
   /// The file descriptor, still owned by this object.
   int fd() const { return Fd; }
   /// Where it listens, with the real port.
-  const Address &at() const { return At; }
+  const Address &address() const { return BoundAddress; }
 
 private:
-  ListenSocket(int fd, Address at) : Fd(fd), At(std::move(at)) {}
+  ListenSocket(int fd, Address address)
+      : Fd(fd), BoundAddress(std::move(address)) {}
 
-  int Fd;     ///< -1 once moved from.
-  Address At; ///< Where it listens.
+  int Fd;               ///< -1 once moved from.
+  Address BoundAddress; ///< Where it listens.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Core/Random.h
+++ b/Balsamrack/Core/Random.h
@@ -16,7 +16,7 @@
   /// A number in [0, \p bound). Precondition: \p bound > 0. Not thread-safe.
   uint64_t below(uint64_t bound) { return next() % bound; }
   /// A number in [0, 1). Not thread-safe.
-  double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
+  double nextDouble() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
 };
 
 /// splitmix64 (Steele, Lea, Flood 2014): small state, good enough for jitter
--- a/Balsamrack/Core/SignalPipe.cpp
+++ b/Balsamrack/Core/SignalPipe.cpp
@@ -16,42 +16,43 @@
 constexpr int64_t MicrosPerMilli = 1000;
 
 /// Where the handler writes to; -1: nowhere.
-std::atomic<int> HandlerEnd{-1};
+std::atomic<int> SignalWriteEnd{-1};
 
 extern "C" void writeSignal(int signal) {
-  int saved = errno;
+  int savedErrno = errno;
   auto byte = static_cast<uint8_t>(signal);
   // A full pipe holds signals enough to act on.
-  (void)!write(HandlerEnd.load(), &byte, 1);
-  errno = saved;
+  (void)!write(SignalWriteEnd.load(), &byte, 1);
+  errno = savedErrno;
 }
 
 } // namespace
 
 absl::StatusOr<std::unique_ptr<SignalPipe>>
 SignalPipe::create(std::initializer_list<int> signals) {
-  int ends[2];
-  if (HandlerEnd.load() >= 0 || pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0)
+  int pipeEnds[2];
+  if (SignalWriteEnd.load() >= 0 ||
+      pipe2(pipeEnds, O_NONBLOCK | O_CLOEXEC) != 0)
     return absl::InternalError("cannot take signals over");
-  HandlerEnd = ends[1];
+  SignalWriteEnd = pipeEnds[1];
   struct sigaction action {};
   action.sa_handler = writeSignal;
   action.sa_flags = SA_RESTART;
-  for (int it : signals)
-    sigaction(it, &action, nullptr);
-  return std::unique_ptr<SignalPipe>(new SignalPipe(ends[0], ends[1]));
+  for (int signal : signals)
+    sigaction(signal, &action, nullptr);
+  return std::unique_ptr<SignalPipe>(new SignalPipe(pipeEnds[0], pipeEnds[1]));
 }
 
 SignalPipe::~SignalPipe() {
-  HandlerEnd = -1;
+  SignalWriteEnd = -1;
   close(ReadEnd);
   close(WriteEnd);
 }
 
-int SignalPipe::wait(Duration most) {
+int SignalPipe::wait(Duration timeout) {
   pollfd polled{ReadEnd, POLLIN, 0};
   // A signal may end the wait early, on this thread or by its byte.
-  poll(&polled, 1, static_cast<int>(most.count() / MicrosPerMilli));
+  poll(&polled, 1, static_cast<int>(timeout.count() / MicrosPerMilli));
   uint8_t signal = 0;
   return read(ReadEnd, &signal, 1) == 1 ? signal : 0;
 }
--- a/Balsamrack/Core/SignalPipe.h
+++ b/Balsamrack/Core/SignalPipe.h
@@ -26,7 +26,7 @@
   ~SignalPipe();
 
   /// The next signal, or zero when none comes within \p most.
-  int wait(Duration most);
+  int wait(Duration timeout);
 
 private:
   SignalPipe(int readEnd, int writeEnd)
--- a/Balsamrack/Core/Time.h
+++ b/Balsamrack/Core/Time.h
@@ -12,16 +12,16 @@
 
 /// Names the monotonic time line of one process; times of two VMs can't be
 /// mixed up with wall time.
-struct MonotonicTimeLine {
+struct MonotonicTimeBase {
   using duration = Duration;
   using rep = Duration::rep;
   using period = Duration::period;
-  using time_point = std::chrono::time_point<MonotonicTimeLine, Duration>;
+  using time_point = std::chrono::time_point<MonotonicTimeBase, Duration>;
   static constexpr bool is_steady = true;
 };
 
 /// A moment on the monotonic clock of this process.
-using TimePoint = MonotonicTimeLine::time_point;
+using TimePoint = MonotonicTimeBase::time_point;
 
 /// Source of the current time; decisions never read a clock on their own, they
 /// are handed a TimePoint.
--- a/Balsamrack/Daemon/ControlPlane.cpp
+++ b/Balsamrack/Daemon/ControlPlane.cpp
@@ -22,7 +22,7 @@
 OwnedServer::Origin originOf(AcquisitionKind how) {
   switch (how) {
   case AcquisitionKind::FirstOwner:
-    return OwnedServer::Origin::Founded;
+    return OwnedServer::Origin::FirstOwner;
   case AcquisitionKind::HandedOver:
     return OwnedServer::Origin::HandedOver;
   case AcquisitionKind::TakenOver:
@@ -121,7 +121,7 @@
       decision.AtStep = stepName(Step::CheckTicket);
       decision.AtPeer = from;
       TelemetrySink.recordDecision(std::move(decision));
-      TelemetrySink.log(Part::Reader, Severity::Info,
+      TelemetrySink.log(Component::Reader, Severity::Info,
                         absl::StrCat("Ticket ", merged.View->highest().Value,
                                      " is in force, received from ", from,
                                      "."));
@@ -173,7 +173,7 @@
   // servers from the OwnerDispatcher, which would otherwise dispatch to them
   // once more.
   ExpiryToClear = Fence.expiries();
-  TelemetrySink.log(Part::Membership, Severity::Warning,
+  TelemetrySink.log(Component::Membership, Severity::Warning,
                     "Authority to dispatch had expired. All servers are "
                     "released and acquired again.");
   stepOwnership(now, AuthorityExpired{});
@@ -252,7 +252,7 @@
   } else if (std::get_if<DeclaredDead>(&action)) {
     stepOwnership(now, AuthorityExpired{});
   } else if (std::get_if<Superseded>(&action)) {
-    TelemetrySink.log(Part::Membership, Severity::Error,
+    TelemetrySink.log(Component::Membership, Severity::Error,
                       "A later run of this VM exists. This one shuts down.");
     stepOwnership(now, AuthorityExpired{});
     IsSuperseded = true;
@@ -418,7 +418,8 @@
     for (auto &[to, message] : outbox) {
       const absl::Status status = Sender.send(to, std::move(message));
       if (!status.ok())
-        TelemetrySink.log(Part::Membership, Severity::Debug, describe(status));
+        TelemetrySink.log(Component::Membership, Severity::Debug,
+                          describe(status));
     }
     if (view)
       applyView();
@@ -467,7 +468,7 @@
     ViewBuiltAt = Time.now();
     auto built = buildView(ViewBuiltAt);
     if (!built.ok()) {
-      TelemetrySink.recordError(Part::Daemon, built.status());
+      TelemetrySink.recordError(Component::Daemon, built.status());
       return;
     }
     View = view = std::move(*built);
--- a/Balsamrack/Daemon/Daemon.cpp
+++ b/Balsamrack/Daemon/Daemon.cpp
@@ -176,7 +176,7 @@
   peers.FleetKey = Config.Peers.FleetKey;
   peers.Allowed = Config.Peers.Allowed;
   peers.OnFault = [this](const absl::Status &fault) {
-    TelemetrySink->recordError(Part::Peers, fault);
+    TelemetrySink->recordError(Component::Peers, fault);
   };
   auto transport = WebsocketTransport::create(peers, *this);
   if (!transport.ok())
@@ -201,7 +201,7 @@
   if (!operators.ok())
     return operators.status();
   OperatorListener = std::move(*operators);
-  TelemetrySink->log(Part::Daemon, Severity::Info,
+  TelemetrySink->log(Component::Daemon, Severity::Info,
                      absl::StrCat("VM ", Self.Id.str(), " in ",
                                   Self.Domain.str(), " is serving. Run ",
                                   Run.Value, "."));
@@ -211,7 +211,7 @@
 bool Daemon::shutDown() {
   const TimePoint start = Time.now();
   const TimePoint end = start + Config.ShutdownLimit;
-  TelemetrySink->log(Part::Daemon, Severity::Info, "Shutdown begins.");
+  TelemetrySink->log(Component::Daemon, Severity::Info, "Shutdown begins.");
 
   // Hand owned servers over while still serving packets. This may use half of
   // the shutdown limit, so that requests in progress keep the other half to
@@ -242,7 +242,7 @@
   Servers->stop();
   Transport->stop();
   Stopped = true;
-  TelemetrySink->log(Part::Daemon, Severity::Info,
+  TelemetrySink->log(Component::Daemon, Severity::Info,
                      absl::StrCat("Shutdown is complete: ownership ",
                                   released ? "released" : "not released",
                                   ", requests ", ended ? "ended." : "cut."));
@@ -332,7 +332,7 @@
     Control->onObjects(ticket->Objects, "platform");
     return;
   }
-  TelemetrySink->recordError(Part::Reader, status);
+  TelemetrySink->recordError(Component::Reader, status);
   Decision decision;
   decision.At = Time.now();
   decision.Kind = DecisionKind::TicketRejected;
@@ -358,7 +358,7 @@
       if (status.ok())
         FailedPorts.erase(port);
       else if (FailedPorts.insert(port).second)
-        TelemetrySink->recordError(Part::Http, status);
+        TelemetrySink->recordError(Component::Http, status);
     }
 }
 
--- a/Balsamrack/Daemon/DaemonTelemetry.cpp
+++ b/Balsamrack/Daemon/DaemonTelemetry.cpp
@@ -104,15 +104,16 @@
     Impl->Registry->observe(AnswerTimes, {{"server", server.str()}}, took);
 }
 
-void DaemonTelemetry::log(Part part, Severity severity,
+void DaemonTelemetry::log(Component component, Severity severity,
                           const std::string &sentence) {
-  Impl->Logger->write(part, severity, sentence);
+  Impl->Logger->write(component, severity, sentence);
 }
 
-void DaemonTelemetry::recordError(Part part, const absl::Status &status) {
-  Impl->Registry->count(Errors,
-                        {{"part", partName(part)}, {"step", stepOf(status)}});
-  Impl->Logger->error(part, status);
+void DaemonTelemetry::recordError(Component component,
+                                  const absl::Status &status) {
+  Impl->Registry->count(
+      Errors, {{"part", componentName(component)}, {"step", stepOf(status)}});
+  Impl->Logger->error(component, status);
 }
 
 void DaemonTelemetry::setGauge(const char *name, double value) {
@@ -130,7 +131,7 @@
 absl::StatusOr<std::vector<Decision>>
 DaemonTelemetry::findDecisions(const std::string &kind,
                                const std::string &id) const {
-  return Impl->Decisions.about(kind, id);
+  return Impl->Decisions.query(kind, id);
 }
 
 nlohmann::json DaemonTelemetry::findSpans(const std::string &trace) const {
--- a/Balsamrack/Daemon/DaemonTelemetry.h
+++ b/Balsamrack/Daemon/DaemonTelemetry.h
@@ -32,8 +32,9 @@
                        Duration took) override;
   void recordDispatchEnd(const ServerId &server, DispatchOutcome how,
                          Duration took) override;
-  void log(Part part, Severity severity, const std::string &sentence) override;
-  void recordError(Part part, const absl::Status &status) override;
+  void log(Component component, Severity severity,
+           const std::string &sentence) override;
+  void recordError(Component component, const absl::Status &status) override;
 
   /// Sets a gauge metric. Precondition: \p name is a string literal.
   /// Thread-safe.
--- a/Balsamrack/Daemon/EntryHandler.cpp
+++ b/Balsamrack/Daemon/EntryHandler.cpp
@@ -21,7 +21,7 @@
 /// Maps an outcome to an HTTP status, for callers that don't read the
 /// Balsamrack headers.
 uint32_t httpStatusOf(const Outcome &outcome) {
-  switch (outcome.How) {
+  switch (outcome.Kind) {
   case OutcomeKind::Answered:
     return outcome.Content.Status;
   case OutcomeKind::NotRun:
@@ -31,9 +31,9 @@
   case OutcomeKind::OutcomeUnknown:
     break;
   }
-  const bool byKey = outcome.Why == Reason::KeyInProgress ||
-                     outcome.Why == Reason::KeyAnswered ||
-                     outcome.Why == Reason::KeyUnknown;
+  const bool byKey = outcome.Cause == Reason::KeyInProgress ||
+                     outcome.Cause == Reason::KeyAnswered ||
+                     outcome.Cause == Reason::KeyOutcomeUnknown;
   return byKey ? 409 : 504;
 }
 
@@ -45,16 +45,16 @@
   auto add = [&](const char *name, std::string value) {
     answer.Headers.emplace_back(name, std::move(value));
   };
-  add("Balsamrack-Ending", outcomeKindName(outcome.How));
+  add("Balsamrack-Ending", outcomeKindName(outcome.Kind));
   add("Balsamrack-Request", absl::StrFormat("%016x", outcome.Request.Value));
   if (!token.empty())
     add("Balsamrack-Token", token);
-  if (outcome.How == OutcomeKind::Answered)
+  if (outcome.Kind == OutcomeKind::Answered)
     return answer;
-  add("Balsamrack-Reason", reasonName(outcome.Why));
+  add("Balsamrack-Reason", reasonName(outcome.Cause));
   add("Content-Type", "text/plain");
   add("Proxy-Status",
-      absl::StrCat("balsamrack; error=", reasonName(outcome.Why),
+      absl::StrCat("balsamrack; error=", reasonName(outcome.Cause),
                    "; details=\"step=", outcome.AtStep,
                    " peer=", outcome.AtPeer, "\""));
   if (outcome.RetryAfter > Duration::zero()) {
@@ -64,8 +64,8 @@
         absl::StrCat((outcome.RetryAfter + OneSecond - Duration(1)) /
                      OneSecond));
   }
-  answer.Body = absl::StrCat(outcomeKindName(outcome.How), ": ",
-                             reasonName(outcome.Why), "\n");
+  answer.Body = absl::StrCat(outcomeKindName(outcome.Kind), ": ",
+                             reasonName(outcome.Cause), "\n");
   return answer;
 }
 
@@ -147,7 +147,7 @@
                   "no service has this port");
   auto envelope = readEnvelope(*service, peerIp, message);
   if (!envelope.ok()) {
-    TelemetrySink.recordError(Part::Entry, envelope.status());
+    TelemetrySink.recordError(Component::Entry, envelope.status());
     return refuse(peerIp, 400, Reason::BadRequest,
                   std::string(envelope.status().message()));
   }
@@ -179,25 +179,25 @@
   // Record the outcome and respond to the caller.
   const Duration took = Time.now() - start;
   const Outcome &result = ended.Result;
-  TelemetrySink.recordPacketEnd(service->Id, result.How, result.Why, took);
-  TelemetrySink.endSpan(
-      {"entry", parent, packet->Head.Trace, start, took, service->Id,
-       result.Server, result.Request,
-       absl::StrCat(outcomeKindName(result.How), " ", reasonName(result.Why)),
-       result.How != OutcomeKind::Answered});
+  TelemetrySink.recordPacketEnd(service->Id, result.Kind, result.Cause, took);
+  TelemetrySink.endSpan({"entry", parent, packet->Head.Trace, start, took,
+                         service->Id, result.Server, result.Request,
+                         absl::StrCat(outcomeKindName(result.Kind), " ",
+                                      reasonName(result.Cause)),
+                         result.Kind != OutcomeKind::Answered});
   return toAnswer(result, ended.Token);
 }
 
 Answer EntryHandler::refuse(const std::string &peer, uint32_t status,
                             Reason why, const std::string &detail) {
   Outcome outcome;
-  outcome.How = OutcomeKind::NotRun;
-  outcome.Why = why;
+  outcome.Kind = OutcomeKind::NotRun;
+  outcome.Cause = why;
   outcome.AtStep = stepName(Step::DecodeEnvelope);
   outcome.AtPeer = peer;
   if (status == 503)
     outcome.RetryAfter = Settings.Router.RetryAfter;
-  TelemetrySink.recordPacketEnd(ServiceId(), outcome.How, why,
+  TelemetrySink.recordPacketEnd(ServiceId(), outcome.Kind, why,
                                 Duration::zero());
   Answer answer = toAnswer(outcome, "");
   answer.Status = status;
@@ -306,7 +306,7 @@
   const absl::Status status = Sender.send(to, std::move(message));
   if (status.ok())
     return;
-  TelemetrySink.recordError(Part::Entry, status);
+  TelemetrySink.recordError(Component::Entry, status);
   onSendFailed(to.Id, request);
 }
 
--- a/Balsamrack/Daemon/OwnerDispatcher.cpp
+++ b/Balsamrack/Daemon/OwnerDispatcher.cpp
@@ -123,9 +123,9 @@
     if (shard.Requests.contains(forward.Head.Request))
       return; // A duplicate delivery; the first copy is being processed.
     if (shard.Servers.count(forward.Server) == 0)
-      refusal.Why = Reason::NotOwner;
+      refusal.Cause = Reason::NotOwner;
   }
-  if (refusal.Why == Reason::NotOwner) {
+  if (refusal.Cause == Reason::NotOwner) {
     refusal.RetryAfter = OwnershipRetryAfter;
     report(from, std::move(refusal));
     return;
@@ -134,7 +134,7 @@
       now, forward.Head, forward.Server, forward.Accept, forward.ByToken);
   if (verdict.How == FlowVerdict::Elsewhere ||
       verdict.How == FlowVerdict::Unknown) {
-    refusal.Why = Reason::FlowElsewhere;
+    refusal.Cause = Reason::FlowNotOnServer;
     refusal.Server = verdict.Server;
     report(from, std::move(refusal));
     return;
@@ -367,18 +367,19 @@
     work = std::move(it->second);
     shard.Requests.erase(it);
   }
-  if (outcome.How == OutcomeKind::Answered && work->Reply)
+  if (outcome.Kind == OutcomeKind::Answered && work->Reply)
     outcome.Content = std::move(*work->Reply);
   // Remove the binding of a new flow whose request was not run.
-  if (work->NewFlow && outcome.How == OutcomeKind::NotRun)
+  if (work->NewFlow && outcome.Kind == OutcomeKind::NotRun)
     Flows.removeFlow(work->Head.Flow);
   if (outcome.Server.empty())
     outcome.Server = work->Server;
-  TelemetrySink.endSpan(
-      {"owner", work->Parent, work->Head.Trace, work->Start,
-       Time.now() - work->Start, shard.Id, work->Server, outcome.Request,
-       absl::StrCat(outcomeKindName(outcome.How), " ", reasonName(outcome.Why)),
-       outcome.How != OutcomeKind::Answered});
+  TelemetrySink.endSpan({"owner", work->Parent, work->Head.Trace, work->Start,
+                         Time.now() - work->Start, shard.Id, work->Server,
+                         outcome.Request,
+                         absl::StrCat(outcomeKindName(outcome.Kind), " ",
+                                      reasonName(outcome.Cause)),
+                         outcome.Kind != OutcomeKind::Answered});
   report(work->From, std::move(outcome));
 }
 
@@ -386,7 +387,7 @@
   const absl::Status status =
       Sender.send(to, OutcomeReport{std::move(outcome)});
   if (!status.ok())
-    TelemetrySink.recordError(Part::Owner, status);
+    TelemetrySink.recordError(Component::Owner, status);
 }
 
 void OwnerDispatcher::probeHealth(Shard &shard, TimePoint now) {
--- a/Balsamrack/Daemon/PacketControlPlane.cpp
+++ b/Balsamrack/Daemon/PacketControlPlane.cpp
@@ -212,13 +212,14 @@
     return;
   }
   ++LoggedMemberChanges;
-  TelemetrySink.log(LogLine(Part::Membership, Severity::Info, "member-changed")
-                        .text("vm", record.Vm.Id.str())
-                        .text("domain", record.Vm.Domain.str())
-                        .text("state", MemberStateNames[state])
-                        .flag("unreachable", changed.Unreachable)
-                        .flag("leaving", record.Vm.Leaving)
-                        .number("run", record.Run.Value));
+  TelemetrySink.log(
+      LogLine(Component::Membership, Severity::Info, "member-changed")
+          .text("vm", record.Vm.Id.str())
+          .text("domain", record.Vm.Domain.str())
+          .text("state", MemberStateNames[state])
+          .flag("unreachable", changed.Unreachable)
+          .flag("leaving", record.Vm.Leaving)
+          .number("run", record.Run.Value));
 }
 
 void PacketControlPlane::logSuppressedMembers() {
@@ -227,7 +228,7 @@
                   SuppressedMemberChanges.end(),
                   [](uint64_t n) { return n == 0; }))
     return;
-  LogLine line(Part::Membership, Severity::Info, "more-members-changed");
+  LogLine line(Component::Membership, Severity::Info, "more-members-changed");
   for (size_t i = 0; i < MemberStateNames.size(); ++i)
     line.number(MemberStateNames[i], SuppressedMemberChanges[i]);
   TelemetrySink.log(line);
@@ -240,7 +241,7 @@
   Run = run;
   absl::Status status = startMembership();
   if (!status.ok()) {
-    TelemetrySink.logError(Part::Membership, "membership-not-restarted",
+    TelemetrySink.logError(Component::Membership, "membership-not-restarted",
                            status);
     return;
   }
@@ -278,7 +279,7 @@
 void PacketControlPlane::send(const EntryVm &to, const PeerMessage &message) {
   absl::Status status = Peers->send(to.PeerAt, message);
   if (!status.ok())
-    TelemetrySink.logError(Part::Peers, "send-failed", status);
+    TelemetrySink.logError(Component::Peers, "send-failed", status);
 }
 
 void PacketControlPlane::sendAll(const std::vector<EntryVm> &to,
@@ -289,7 +290,7 @@
     addresses.push_back(it.PeerAt);
   absl::Status status = Peers->sendAll(addresses, message);
   if (!status.ok())
-    TelemetrySink.logError(Part::Peers, "send-failed", status);
+    TelemetrySink.logError(Component::Peers, "send-failed", status);
 }
 
 void PacketControlPlane::runExchange(
@@ -303,7 +304,7 @@
       handleStateChange(now, *changed);
     } else if (const auto *source = std::get_if<SourceChanged>(&action)) {
       TelemetrySink.log(
-          LogLine(Part::Platform,
+          LogLine(Component::Platform,
                   source->Readable ? Severity::Info : Severity::Warning,
                   source->Readable ? "source-regained" : "source-lost")
               .text("section", sectionName(source->Section))
@@ -338,7 +339,7 @@
 
 void PacketControlPlane::logChange(const PublishedObject &object,
                                    const VmId &from) {
-  LogLine line(Part::Reader, Severity::Info, "published-changed");
+  LogLine line(Component::Reader, Severity::Info, "published-changed");
   line.text("section", sectionName(object.Section))
       .text("object", object.Name)
       .number("revision", object.At.Value)
@@ -365,7 +366,7 @@
   auto gone = std::count_if(changed.Changed.begin(), changed.Changed.end(),
                             [](const auto &it) { return it.isDeleted(); });
   TelemetrySink.log(
-      LogLine(Part::Reader, Severity::Info, "many-published-changed")
+      LogLine(Component::Reader, Severity::Info, "many-published-changed")
           .text("section", sectionName(changed.Section))
           .number("objects", changed.Changed.size())
           .number("gone", static_cast<uint64_t>(gone))
--- a/Balsamrack/Daemon/PacketDaemon.cpp
+++ b/Balsamrack/Daemon/PacketDaemon.cpp
@@ -134,7 +134,7 @@
 void PacketDaemon::onRoutesChanged(std::shared_ptr<const PacketRoutes> routes) {
   Forwarder->setRoutes(std::move(routes));
   if (!HasRoutes.exchange(true))
-    TelemetrySink.log(LogLine(Part::Daemon, Severity::Info, "ready"));
+    TelemetrySink.log(LogLine(Component::Daemon, Severity::Info, "ready"));
 }
 
 void PacketDaemon::onFleetChanged(size_t daemons, size_t self) {
@@ -149,7 +149,7 @@
                settings.PeerAddress == Settings.PeerAddress &&
                settings.PublishedAddress == Settings.PublishedAddress &&
                settings.Domain == Settings.Domain;
-  TelemetrySink.log(LogLine(Part::Daemon,
+  TelemetrySink.log(LogLine(Component::Daemon,
                             fixed ? Severity::Info : Severity::Warning,
                             "reloaded")
                         .number("seeds", settings.Seeds.size())
@@ -159,7 +159,7 @@
 
 void PacketDaemon::shutDown() {
   Leaving = true;
-  TelemetrySink.log(LogLine(Part::Daemon, Severity::Info, "leaving"));
+  TelemetrySink.log(LogLine(Component::Daemon, Severity::Info, "leaving"));
   Control->announceLeaving();
   TimePoint began = Deps.Time.now();
   TimePoint last =
@@ -174,7 +174,7 @@
       break;
     std::this_thread::sleep_for(LingerPollPeriod);
   }
-  TelemetrySink.log(LogLine(Part::Daemon, Severity::Info, "stopped")
+  TelemetrySink.log(LogLine(Component::Daemon, Severity::Info, "stopped")
                         .millis("lingered_ms", Deps.Time.now() - began)
                         .number("packets", seen));
 }
--- a/Balsamrack/Daemon/PacketForwarder.cpp
+++ b/Balsamrack/Daemon/PacketForwarder.cpp
@@ -194,7 +194,7 @@
   if (ProvenReachability.exchange(proved) == proved)
     return;
   TelemetrySink.log(
-      LogLine(Part::Entry, proved ? Severity::Info : Severity::Warning,
+      LogLine(Component::Entry, proved ? Severity::Info : Severity::Warning,
               proved ? "servers-in-reach" : "servers-out-of-reach")
           .text("reach", reachStateName(Router.reachState()))
           .number("silent", Router.silentServers()));
--- a/Balsamrack/Daemon/PacketTelemetry.cpp
+++ b/Balsamrack/Daemon/PacketTelemetry.cpp
@@ -87,7 +87,7 @@
                       event.Took);
   if (!isLogged(event))
     return;
-  LogLine line(Part::Entry,
+  LogLine line(Component::Entry,
                isOrdinary(event.Kind) ? Severity::Info : Severity::Warning,
                kind);
   if (event.Flow.Service.Port != 0)
@@ -109,9 +109,9 @@
   Log.write(line);
 }
 
-void PacketTelemetry::logError(Part part, const char *event,
+void PacketTelemetry::logError(Component component, const char *event,
                                const absl::Status &status) {
-  Log.write(LogLine(part, Severity::Warning, event)
+  Log.write(LogLine(component, Severity::Warning, event)
                 .text("error", std::string(status.message()))
                 .text("step", stepOf(status))
                 .text("peer", peerOf(status)));
--- a/Balsamrack/Daemon/PacketTelemetry.h
+++ b/Balsamrack/Daemon/PacketTelemetry.h
@@ -31,7 +31,8 @@
   /// Writes a log line.
   void log(const LogLine &line) { Log.write(line); }
   /// Logs an error, with its step and peer.
-  void logError(Part part, const char *event, const absl::Status &status);
+  void logError(Component component, const char *event,
+                const absl::Status &status);
 
   /// Updates the metrics of the packet socket and the router.
   void setPacketMetrics(const PacketSocketCounters &socket,
--- a/Balsamrack/Daemon/PlatformReader.cpp
+++ b/Balsamrack/Daemon/PlatformReader.cpp
@@ -37,7 +37,7 @@
     wait *= 2;
   wait = std::min(wait, settings.MaxBackoff);
   return Duration(static_cast<int64_t>(static_cast<double>(wait.count()) *
-                                       (0.5 + random.unit() / 2)));
+                                       (0.5 + random.nextDouble() / 2)));
 }
 
 PlatformReader::PlatformReader(const PlatformSettings &settings,
@@ -91,14 +91,15 @@
     return;
   State = state;
   if (state == PlatformState::Down)
-    TelemetrySink.recordError(Part::Platform, page.status());
+    TelemetrySink.recordError(Component::Platform, page.status());
   else if (state == PlatformState::Stale)
-    TelemetrySink.log(Part::Platform, Severity::Warning,
+    TelemetrySink.log(Component::Platform, Severity::Warning,
                       absl::StrCat("The platform responds with ticket ",
                                    page->Highest.Value, " after it reported ",
                                    Highest.Value, ". Older data is ignored."));
   else
-    TelemetrySink.log(Part::Platform, Severity::Info, "The platform responds.");
+    TelemetrySink.log(Component::Platform, Severity::Info,
+                      "The platform responds.");
 }
 
 void PlatformReader::readTickets() {
--- a/Balsamrack/Daemon/Telemetry.h
+++ b/Balsamrack/Daemon/Telemetry.h
@@ -13,7 +13,7 @@
 
 /// Component of a daemon that reports an event; determines the prefix of log
 /// lines.
-enum class Part {
+enum class Component {
   Entry,
   Owner,
   Reader,
@@ -60,10 +60,10 @@
   virtual void recordDispatchEnd(const ServerId &server, DispatchOutcome how,
                                  Duration took) = 0;
   /// Writes a log line of one short sentence.
-  virtual void log(Part part, Severity severity,
+  virtual void log(Component component, Severity severity,
                    const std::string &sentence) = 0;
   /// Logs and counts an error, with its step and peer.
-  virtual void recordError(Part part, const absl::Status &status) = 0;
+  virtual void recordError(Component component, const absl::Status &status) = 0;
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/AdmissionQueue.cpp
+++ b/Balsamrack/Decisions/AdmissionQueue.cpp
@@ -28,7 +28,8 @@
     }
     if (held + 1 >= longest->second.Waiting.size()) {
       bool overShare = held * waitingCallers() > Size;
-      verdict.Refused = overShare ? Reason::CallerShare : Reason::QueueFull;
+      verdict.Refused =
+          overShare ? Reason::CallerOverFairShare : Reason::QueueFull;
       return verdict;
     }
     verdict.Evicted = removeAt(longest, longest->second.Waiting.size() - 1);
--- a/Balsamrack/Decisions/DrainTracker.cpp
+++ b/Balsamrack/Decisions/DrainTracker.cpp
@@ -20,7 +20,7 @@
 DrainTracker::checkRefusal(TimePoint now, bool newFlow) const {
   OutcomeKind how = newFlow ? OutcomeKind::NotRun : OutcomeKind::GivenUp;
   if (DomainOut)
-    return Refusal{how, Reason::DomainOut};
+    return Refusal{how, Reason::DomainOutOfService};
   if (Since && (newFlow || now >= *limit()))
     return Refusal{how, Reason::ServerDraining};
   return std::nullopt;
--- a/Balsamrack/Decisions/OwnerEvents.h
+++ b/Balsamrack/Decisions/OwnerEvents.h
@@ -17,15 +17,15 @@
 struct OwnedServer {
   /// Previous ownership of the server.
   enum class Origin {
-    Founded,    ///< No previous owner, or none known: assumes the worst case.
+    FirstOwner, ///< No previous owner, or none known: assumes the worst case.
     HandedOver, ///< The previous owner handed it over by message.
     TakenOver,  ///< The previous owner's authority has expired.
   };
   BackendServer Server; ///< Configuration from the ticket in force.
   /// False while operators have its domain out of service.
   bool DomainInService = true;
-  Origin How = Origin::Founded; ///< How this daemon became the owner.
-  ServerCondition LastKnown;    ///< Condition reported by an earlier owner.
+  Origin How = Origin::FirstOwner; ///< How this daemon became the owner.
+  ServerCondition LastKnown;       ///< Condition reported by an earlier owner.
   /// Requests that the previous owner left in progress.
   uint32_t InProgress = 0;
   TimePoint DispatchAllowedFrom; ///< No dispatch before this time, when an
--- a/Balsamrack/Decisions/OwnerOutput.cpp
+++ b/Balsamrack/Decisions/OwnerOutput.cpp
@@ -76,8 +76,8 @@
   Actions.emplace_back(Explain{std::move(what)});
   Outcome result;
   result.Request = request.Head.Request;
-  result.How = end.How;
-  result.Why = end.Why;
+  result.Kind = end.How;
+  result.Cause = end.Why;
   result.RetryAfter = end.RetryAfter;
   result.Server = server;
   result.AtStep = stepName(end.At);
@@ -98,7 +98,7 @@
 
 void OwnerOutput::explainRetry(const QueuedRequest &request,
                                const ServerId &server, DecisionInputs inputs) {
-  Decision what = makeDecision(request.Head, server, Step::AwaitAnswer);
+  Decision what = makeDecision(request.Head, server, Step::AwaitResponse);
   what.Kind = DecisionKind::Retried;
   what.Rule = "retry-budget";
   what.Result = absl::StrCat("queued again for ", server.str());
--- a/Balsamrack/Decisions/ServerAdmission.cpp
+++ b/Balsamrack/Decisions/ServerAdmission.cpp
@@ -118,7 +118,7 @@
     return makeNotRun(now, Reason::ServerUnreachable, Pause.until() - now);
   auto unsure = Context.authorityWaitEnd();
   if (unsure && now >= *unsure)
-    return makeNotRun(now, Reason::OwnerUnsure, Duration(0));
+    return makeNotRun(now, Reason::OwnerWithoutAuthority, Duration(0));
   if (!event.NewFlow)
     return std::nullopt;
   if (event.FlowsOnServer >= Server.Connections)
@@ -148,7 +148,7 @@
     return std::nullopt;
   Reason why = Reason::DeadlineTooShort;
   if (what.Deadline - waits.fast() < DispatchAllowedFrom)
-    why = Reason::OwnerUnsure;
+    why = Reason::OwnerWithoutAuthority;
   else if (!Ramp.isWarm() && waits.waitFor(ahead, Server.Slots) <= most)
     why = Reason::ServerCold;
   return makeNotRun(now, why, wait + blocked);
@@ -173,7 +173,7 @@
   if (verdict.Evicted) {
     Context.Retries.recordRefusal();
     endRequest(*verdict.Evicted,
-               makeNotRun(now, Reason::CallerShare, Duration(0)));
+               makeNotRun(now, Reason::CallerOverFairShare, Duration(0)));
   }
   if (verdict.Refused != Reason::None) {
     Context.Retries.recordRefusal();
@@ -220,7 +220,8 @@
 
 bool ServerAdmission::cancel(TimePoint now, RequestId request) {
   if (auto what = Queue.remove(request)) {
-    endRequest(*what, RequestEnd{OutcomeKind::NotRun, Reason::CallerGone});
+    endRequest(*what,
+               RequestEnd{OutcomeKind::NotRun, Reason::CallerDisconnected});
     processQueue(now);
     return true;
   }
@@ -267,7 +268,7 @@
     endQueued(now, out->How, out->Why);
   auto unsure = Context.authorityWaitEnd();
   if (unsure && now >= *unsure)
-    endQueued(now, OutcomeKind::NotRun, Reason::OwnerUnsure);
+    endQueued(now, OutcomeKind::NotRun, Reason::OwnerWithoutAuthority);
   // Ends requests that can no longer be answered in time, including when work
   // that was not known to be long occupies all slots.
   Duration block = longWorkBlockedFor(now);
--- a/Balsamrack/Decisions/ServerDispatchEnds.cpp
+++ b/Balsamrack/Decisions/ServerDispatchEnds.cpp
@@ -120,16 +120,16 @@
                                            const DispatchEnded &event) {
   if (event.How == DispatchOutcome::Answered)
     return {OutcomeKind::Answered, Reason::None, Duration(0),
-            Step::AwaitAnswer};
+            Step::AwaitResponse};
   RequestEnd how = makeNotRun(now, Reason::ServerShed, dispatchBlockedFor(now));
   how.At = Step::Dispatch;
   if (event.How == DispatchOutcome::Unreachable)
-    how.Why =
-        Context.MayDispatch ? Reason::ServerUnreachable : Reason::OwnerUnsure;
+    how.Why = Context.MayDispatch ? Reason::ServerUnreachable
+                                  : Reason::OwnerWithoutAuthority;
   if (event.How == DispatchOutcome::Failed)
     how = {OutcomeKind::OutcomeUnknown,
-           run.Cancelled ? Reason::CallerGone : Reason::ServerFailed,
-           Duration(0), Step::AwaitAnswer};
+           run.Cancelled ? Reason::CallerDisconnected : Reason::ServerFailed,
+           Duration(0), Step::AwaitResponse};
   return how;
 }
 
--- a/Balsamrack/Decisions/ServersOfService.cpp
+++ b/Balsamrack/Decisions/ServersOfService.cpp
@@ -5,11 +5,11 @@
 
 namespace balsamrack {
 
-ServersOfService::ServersOfService(const OwnerSettings &settings,
+ServiceOwnerImpl::ServiceOwnerImpl(const OwnerSettings &settings,
                                    ServiceId service, uint64_t seed)
     : Context(settings, std::move(service), seed) {}
 
-std::vector<OwnerAction> ServersOfService::step(TimePoint now,
+std::vector<OwnerAction> ServiceOwnerImpl::step(TimePoint now,
                                                 const OwnerEvent &event) {
   // An owner has no authority until it is granted.
   if (Now == TimePoint())
@@ -20,7 +20,7 @@
   return Context.Out.finish();
 }
 
-void ServersOfService::on(const ServersChanged &event) {
+void ServiceOwnerImpl::on(const ServersChanged &event) {
   Context.Ticket = event.Ticket;
   Context.Config = event.Settings;
   Context.Out.begin(Now, Context.Ticket);
@@ -41,7 +41,7 @@
   eraseRelinquished();
 }
 
-void ServersOfService::on(const RequestArrived &event) {
+void ServiceOwnerImpl::on(const RequestArrived &event) {
   auto it = Servers.find(event.Server);
   if (it != Servers.end()) {
     it->second.handleArrival(Now, event);
@@ -55,48 +55,48 @@
                          {});
 }
 
-void ServersOfService::on(const RequestCancelled &event) {
+void ServiceOwnerImpl::on(const RequestCancelled &event) {
   for (auto &[id, server] : Servers)
     if (server.cancel(Now, event.Request))
       return;
 }
 
-void ServersOfService::on(const DispatchEnded &event) {
+void ServiceOwnerImpl::on(const DispatchEnded &event) {
   for (auto &[id, server] : Servers)
     if (server.handleDispatchEnd(Now, event))
       break;
   eraseRelinquished();
 }
 
-void ServersOfService::on(const HealthReported &event) {
+void ServiceOwnerImpl::on(const HealthReported &event) {
   auto it = Servers.find(event.Server);
   if (it != Servers.end())
     it->second.handleHealth(Now, event);
 }
 
-void ServersOfService::on(const AuthorityChanged &event) {
+void ServiceOwnerImpl::on(const AuthorityChanged &event) {
   if (Context.MayDispatch && !event.MayDispatch)
     Context.ExpiredAt = Now;
   Context.MayDispatch = event.MayDispatch;
   on(Ticked());
 }
 
-void ServersOfService::on(const Ticked &) {
+void ServiceOwnerImpl::on(const Ticked &) {
   for (auto &[id, server] : Servers)
     server.processQueue(Now);
 }
 
-void ServersOfService::on(const ShutdownBegan &) {
+void ServiceOwnerImpl::on(const ShutdownBegan &) {
   Context.ShuttingDown = true;
 }
 
-void ServersOfService::eraseRelinquished() {
+void ServiceOwnerImpl::eraseRelinquished() {
   for (auto it = Servers.begin(); it != Servers.end();)
     it = !it->second.isOwned() && it->second.isIdle() ? Servers.erase(it)
                                                       : std::next(it);
 }
 
-std::vector<ServerReport> ServersOfService::report(TimePoint now) const {
+std::vector<ServerReport> ServiceOwnerImpl::report(TimePoint now) const {
   std::vector<ServerReport> out;
   for (const auto &[id, server] : Servers)
     if (server.isOwned())
@@ -104,7 +104,7 @@
   return out;
 }
 
-std::optional<TimePoint> ServersOfService::nextWakeup() const {
+std::optional<TimePoint> ServiceOwnerImpl::nextWakeup() const {
   std::optional<TimePoint> next;
   for (const auto &[id, server] : Servers)
     if (auto when = server.nextWakeup(Now))
@@ -112,7 +112,7 @@
   return next;
 }
 
-bool ServersOfService::idle() const {
+bool ServiceOwnerImpl::idle() const {
   return std::all_of(Servers.begin(), Servers.end(),
                      [](const auto &entry) { return entry.second.isIdle(); });
 }
--- a/Balsamrack/Decisions/ServersOfService.h
+++ b/Balsamrack/Decisions/ServersOfService.h
@@ -11,10 +11,10 @@
 
 /// Implementation of ServiceOwner: passes each event to the ServerAdmission of
 /// the server concerned. Not thread-safe.
-class ServersOfService final : public ServiceOwner {
+class ServiceOwnerImpl final : public ServiceOwner {
 public:
   /// Precondition: \p settings were checked, \p service is not empty.
-  ServersOfService(const OwnerSettings &settings, ServiceId service,
+  ServiceOwnerImpl(const OwnerSettings &settings, ServiceId service,
                    uint64_t seed);
 
   std::vector<OwnerAction> step(TimePoint now,
--- a/Balsamrack/Decisions/ServiceOwner.cpp
+++ b/Balsamrack/Decisions/ServiceOwner.cpp
@@ -13,7 +13,7 @@
   if (service.empty())
     return makeError(absl::StatusCode::kInvalidArgument, Step::ReadSettings, "",
                      "the service id is empty");
-  return std::make_unique<ServersOfService>(settings, std::move(service), seed);
+  return std::make_unique<ServiceOwnerImpl>(settings, std::move(service), seed);
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Decisions/WaitEstimate.cpp
+++ b/Balsamrack/Decisions/WaitEstimate.cpp
@@ -55,7 +55,7 @@
                          std::max(first, now + Settings.MaxRetryAfter));
   Duration base = NextRetry - now;
   double jitter = static_cast<double>(base.count()) * JitterShare;
-  base += Duration(static_cast<int64_t>(jitter * random.unit()));
+  base += Duration(static_cast<int64_t>(jitter * random.nextDouble()));
   return std::clamp(base, Settings.MinRetryAfter, Settings.MaxRetryAfter);
 }
 
--- a/Balsamrack/Flows/EntryPlacement.cpp
+++ b/Balsamrack/Flows/EntryPlacement.cpp
@@ -15,16 +15,16 @@
   switch (why) {
   case Reason::QueueFull:
   case Reason::DeadlineTooShort:
-  case Reason::CallerShare:
+  case Reason::CallerOverFairShare:
   case Reason::ServerCold:
   case Reason::ServerFull:
   case Reason::ServerDraining:
   case Reason::ServerEjected:
   case Reason::ServerShed:
   case Reason::ServerUnreachable:
-  case Reason::DomainOut:
+  case Reason::DomainOutOfService:
   case Reason::NotOwner:
-  case Reason::OwnerUnsure:
+  case Reason::OwnerWithoutAuthority:
   case Reason::OwnerUnreachable:
   case Reason::ShuttingDown:
     return true;
@@ -124,8 +124,8 @@
   // yet, another server would break the flow, and the ticket arrives within
   // seconds. Otherwise the server was deleted and the flow has ended.
   if (token->Ticket > View->Ticket)
-    end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, {}, jitteredRetryAfter(),
-        "token-of-later-ticket");
+    end(p, OutcomeKind::NotRun, Reason::OwnerWithoutAuthority, {},
+        jitteredRetryAfter(), "token-of-later-ticket");
   else
     end(p, OutcomeKind::GivenUp, Reason::NoServer, {}, {},
         "token-server-deleted");
@@ -161,7 +161,7 @@
                                              bool byToken, const char *rule) {
   const ServerId &id = server.Server.Id;
   if (!server.DomainInService)
-    return end(p, OutcomeKind::GivenUp, Reason::DomainOut, id, {},
+    return end(p, OutcomeKind::GivenUp, Reason::DomainOutOfService, id, {},
                "domain-out");
   // The server may still be alive. Moving the flow would break it permanently,
   // while the domain or owner may become reachable again.
@@ -181,7 +181,7 @@
   const RoutedServer *flowServer = route ? route->find(server) : nullptr;
   // The peer has a later ticket, with a server that is not in force here yet.
   if (!flowServer)
-    return end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, server,
+    return end(p, OutcomeKind::NotRun, Reason::OwnerWithoutAuthority, server,
                jitteredRetryAfter(), "server-of-later-ticket");
   forwardToFlowServer(p, *flowServer, false, rule);
 }
@@ -189,7 +189,7 @@
 void EntryRouter::State::startSearch(EntryPacket &p) {
   const ServiceRoute *route = View->findService(p.Head.Service);
   if (!route || route->Servers.empty())
-    return end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, {},
+    return end(p, OutcomeKind::NotRun, Reason::OwnerWithoutAuthority, {},
                jitteredRetryAfter(), "service-gone");
   if (!Settings.UseQuestion) {
     const RoutedServer &best =
@@ -226,10 +226,10 @@
                p.Search.server(), jitteredRetryAfter(),
                "likely-home-unreachable");
   case FlowSearch::Conclusion::DomainOut:
-    return end(p, OutcomeKind::GivenUp, Reason::DomainOut, p.Search.server(),
-               {}, "likely-home-out");
+    return end(p, OutcomeKind::GivenUp, Reason::DomainOutOfService,
+               p.Search.server(), {}, "likely-home-out");
   case FlowSearch::Conclusion::LaterTicket:
-    return end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, {},
+    return end(p, OutcomeKind::NotRun, Reason::OwnerWithoutAuthority, {},
                jitteredRetryAfter(), "owner-has-later-ticket");
   case FlowSearch::Conclusion::NotFound:
     break;
@@ -249,19 +249,19 @@
                                               const Outcome &refusal) {
   const ServiceRoute *route = View->findService(p.Head.Service);
   const RoutedServer *next = nullptr;
-  if (route && isRetryableElsewhere(refusal.Why) &&
+  if (route && isRetryableElsewhere(refusal.Cause) &&
       p.TriedServers.size() < Settings.MaxTries)
     next = chooseForNewFlow(*route, rankKey(p), p.TriedServers);
   Outcome last = refusal;
-  if (last.RetryAfter <= Duration::zero() && isRetryableElsewhere(last.Why))
+  if (last.RetryAfter <= Duration::zero() && isRetryableElsewhere(last.Cause))
     last.RetryAfter = jitteredRetryAfter();
   if (!next)
     return end(p, std::move(last), "owner-refused");
   if (!consumeRetry(p)) {
-    last.Why = Reason::RetryBudget;
+    last.Cause = Reason::RetryBudgetExhausted;
     return end(p, std::move(last), "retry-budget");
   }
-  explain(p, DecisionKind::Retried, reasonName(refusal.Why),
+  explain(p, DecisionKind::Retried, reasonName(refusal.Cause),
           absl::StrCat("offered to ", next->Server.Id.str()), refusal.Server,
           next->Owner.Id);
   forward(p, *next, false, false, "next-candidate");
@@ -308,7 +308,7 @@
   }
   p.Outstanding.reset();
   Outcome refusal;
-  refusal.Why = Reason::OwnerUnreachable;
+  refusal.Cause = Reason::OwnerUnreachable;
   refusal.Server = gone.Server;
   refusal.AtStep = stepName(Step::ForwardToOwner);
   refusal.AtPeer = gone.To.Id.str();
--- a/Balsamrack/Flows/EntryRouter.cpp
+++ b/Balsamrack/Flows/EntryRouter.cpp
@@ -19,10 +19,10 @@
 /// Formats an ending and its reason, such as "answered" or "not-run,
 /// queue-full".
 std::string formatEnding(const Outcome &outcome) {
-  if (outcome.Why == Reason::None)
-    return outcomeKindName(outcome.How);
-  return absl::StrCat(outcomeKindName(outcome.How), ", ",
-                      reasonName(outcome.Why));
+  if (outcome.Cause == Reason::None)
+    return outcomeKindName(outcome.Kind);
+  return absl::StrCat(outcomeKindName(outcome.Kind), ", ",
+                      reasonName(outcome.Cause));
 }
 
 } // namespace
@@ -74,7 +74,7 @@
     return end(p, OutcomeKind::NotRun, Reason::DeadlinePassed, {}, {},
                "deadline");
   if (!View)
-    return end(p, OutcomeKind::NotRun, Reason::OwnerUnsure, {},
+    return end(p, OutcomeKind::NotRun, Reason::OwnerWithoutAuthority, {},
                jitteredRetryAfter(), "no-view");
   Budgets.try_emplace(p.Head.Service, Settings.RetryRatio, Settings.RetryBurst)
       .first->second.addPacket();
@@ -93,8 +93,8 @@
   // owner's would start a second run while the first is still in progress.
   if (!p || !p->Outstanding || p->Outstanding->To.Id != event.From)
     return;
-  bool elsewhere = event.Result.How == OutcomeKind::NotRun &&
-                   event.Result.Why == Reason::FlowElsewhere;
+  bool elsewhere = event.Result.Kind == OutcomeKind::NotRun &&
+                   event.Result.Cause == Reason::FlowNotOnServer;
   // An owner that was told to accept the flow never replies FlowElsewhere, so
   // such a reply is a duplicate of an earlier one.
   if (elsewhere && p->Outstanding->AcceptFlow)
@@ -103,7 +103,7 @@
       event.Result.Server != p->Outstanding->Server)
     return;
   if (p->CurrentPhase == EntryPacket::Phase::Lingering) {
-    settleKey(*p, event.Result.How);
+    settleKey(*p, event.Result.Kind);
     return erase(*p);
   }
   ServerId server = p->Outstanding->Server;
@@ -112,7 +112,7 @@
     return startSearch(*p);
   if (elsewhere)
     return forwardToFlowServerById(*p, event.Result.Server, "exception");
-  if (event.Result.How == OutcomeKind::NotRun && p->OpensFlow)
+  if (event.Result.Kind == OutcomeKind::NotRun && p->OpensFlow)
     return retryOnNextCandidate(*p, event.Result);
   Outcome outcome = event.Result;
   if (outcome.Server.empty())
@@ -171,7 +171,7 @@
 void EntryRouter::State::on(const CallerLeft &event) {
   EntryPacket *p = find(event.Request);
   if (p && p->CurrentPhase != EntryPacket::Phase::Lingering)
-    abandon(*p, Reason::CallerGone);
+    abandon(*p, Reason::CallerDisconnected);
 }
 
 void EntryRouter::State::on(const EntryTicked & /*event*/) {
@@ -225,8 +225,8 @@
                              const ServerId &server, Duration retryAfter,
                              const char *rule) {
   Outcome o;
-  o.How = how;
-  o.Why = why;
+  o.Kind = how;
+  o.Cause = why;
   o.Server = server;
   o.RetryAfter = retryAfter;
   o.AtStep = stepName(Step::Place);
@@ -238,19 +238,19 @@
                              const char *rule) {
   // The connection to an owner that had the request was lost, so the request
   // may have run whatever later owners reported.
-  if (p.MayHaveRun && provablyNotRun(outcome.How)) {
-    outcome.How = OutcomeKind::OutcomeUnknown;
-    outcome.Why = Reason::OwnerLost;
+  if (p.MayHaveRun && provablyNotRun(outcome.Kind)) {
+    outcome.Kind = OutcomeKind::OutcomeUnknown;
+    outcome.Cause = Reason::OwnerLost;
     outcome.Server = p.LostServer;
   }
   outcome.Request = p.Head.Request;
   EndPacket done;
-  if (outcome.How == OutcomeKind::Answered && !Settings.TokenKey.empty())
+  if (outcome.Kind == OutcomeKind::Answered && !Settings.TokenKey.empty())
     done.Token = Codec.encode({p.Head.Service.hash(), outcome.Server.hash(),
                                p.Head.Flow, View->Ticket});
   // A request that was never forwarded frees its key, whatever the replicas
   // reported about other attempts.
-  settleKey(p, p.TriedServers.empty() ? OutcomeKind::NotRun : outcome.How);
+  settleKey(p, p.TriedServers.empty() ? OutcomeKind::NotRun : outcome.Kind);
   explain(p, DecisionKind::Ended, rule, formatEnding(outcome), outcome.Server,
           VmId(outcome.AtPeer));
   done.Result = std::move(outcome);
--- a/Balsamrack/Flows/KeyClaims.cpp
+++ b/Balsamrack/Flows/KeyClaims.cpp
@@ -151,7 +151,7 @@
 Reason KeyClaims::refusalReason() const {
   const Replica *g = findReplicaKnowingKey();
   if (!g || g->Verdict == KeyVerdict::Unknown)
-    return Reason::KeyUnknown;
+    return Reason::KeyOutcomeUnknown;
   return g->Verdict == KeyVerdict::Answered ? Reason::KeyAnswered
                                             : Reason::KeyInProgress;
 }
--- a/Balsamrack/Http/HttpListener.cpp
+++ b/Balsamrack/Http/HttpListener.cpp
@@ -97,7 +97,7 @@
   UlfiusListener(HttpListenerSettings settings, Serve serve,
                  ListenSocket socket)
       : Settings(std::move(settings)), Handler(std::move(serve)),
-        Socket(std::move(socket)), Where(Socket->at()) {}
+        Socket(std::move(socket)), Where(Socket->address()) {}
   ~UlfiusListener() override { stop(); }
 
   absl::Status start();
--- a/Balsamrack/Http/OperatorPort.cpp
+++ b/Balsamrack/Http/OperatorPort.cpp
@@ -18,7 +18,7 @@
 
 Answer errorAnswer(uint32_t status, const std::string &message) {
   nlohmann::json body = {{"error", message},
-                         {"step", stepName(Step::AnswerOperator)}};
+                         {"step", stepName(Step::HandleOperatorRequest)}};
   using ErrorHandler = nlohmann::json::error_handler_t;
   return {status,
           {{"Content-Type", "application/json"}},
@@ -92,7 +92,7 @@
                      OperatorHandler &handler) {
   auto set = AddressSet::parse(allowed);
   if (!set.ok())
-    return atStep(set.status(), Step::Listen, at.str());
+    return addErrorContext(set.status(), Step::Listen, at.str());
   auto made = std::make_unique<UlfiusOperatorPort>(*std::move(set), handler);
   absl::Status status = made->start(at);
   if (!status.ok())
--- a/Balsamrack/Http/ServerLink.cpp
+++ b/Balsamrack/Http/ServerLink.cpp
@@ -120,7 +120,7 @@
   for (uint32_t i = 0; i < std::max(Settings.Loops, 1U); ++i) {
     auto loop = HttpClient::create();
     if (!loop.ok())
-      return atStep(loop.status(), Step::Dispatch, "");
+      return addErrorContext(loop.status(), Step::Dispatch, "");
     Loops.push_back(*std::move(loop));
   }
   return absl::OkStatus();
--- a/Balsamrack/Observability/EventLog.cpp
+++ b/Balsamrack/Observability/EventLog.cpp
@@ -37,141 +37,142 @@
   }
 }
 
-class ThreadedLog final : public EventLog {
+class AsyncEventLog final : public EventLog {
 public:
-  ThreadedLog(const EventLogSettings &settings, int fd, const Clock &clock)
-      : Settings(settings), Fd(fd), Time(clock), Writer([this] { run(); }) {}
-  ThreadedLog(const ThreadedLog &) = delete;
-  ThreadedLog &operator=(const ThreadedLog &) = delete;
-  ~ThreadedLog() override {
+  AsyncEventLog(const EventLogSettings &settings, int fd, const Clock &clock)
+      : Settings(settings), Fd(fd), Time(clock),
+        Writer([this] { runWriter(); }) {}
+  AsyncEventLog(const AsyncEventLog &) = delete;
+  AsyncEventLog &operator=(const AsyncEventLog &) = delete;
+  ~AsyncEventLog() override {
     {
-      std::lock_guard<std::mutex> hold(Lock);
+      std::lock_guard<std::mutex> guard(Lock);
       Stopping = true;
     }
-    Wake.notify_all();
+    WakeWriter.notify_all();
     Writer.join();
   }
 
   void write(const LogLine &line) override;
   uint64_t dropped() const override {
-    std::lock_guard<std::mutex> hold(Lock);
+    std::lock_guard<std::mutex> guard(Lock);
     return Dropped;
   }
 
 private:
   /// Lines of one event within the current second.
-  struct Rate {
+  struct EventRate {
     uint32_t Lines = 0;
-    uint64_t LeftOut = 0;
+    uint64_t Dropped = 0;
   };
 
-  void run();
-  void newSecond(TimePoint now);
-  void put(const LogLine &line);
+  void runWriter();
+  void startNewSecond(TimePoint now);
+  void enqueue(const LogLine &line);
   void writeAll(const std::string &text) const;
 
   const EventLogSettings Settings;
   const int Fd;
   const Clock &Time;
   mutable std::mutex Lock; ///< Guards what follows.
-  std::condition_variable Wake;
-  std::vector<std::string> Lines;
-  std::map<std::string, Rate> Rates; ///< By event.
-  TimePoint SecondBegan;
+  std::condition_variable WakeWriter;
+  std::vector<std::string> QueuedLines;
+  std::map<std::string, EventRate> Rates; ///< By event.
+  TimePoint SecondStart;
   uint64_t Dropped = 0;
   bool Stopping = false;
   std::thread Writer; ///< Last, so that all above is there when it starts.
 };
 
-void ThreadedLog::put(const LogLine &line) {
-  if (Lines.size() >= Settings.Waiting) {
+void AsyncEventLog::enqueue(const LogLine &line) {
+  if (QueuedLines.size() >= Settings.MaxQueuedLines) {
     ++Dropped;
-    ++Rates[line.event()].LeftOut;
+    ++Rates[line.event()].Dropped;
     return;
   }
   using std::chrono::duration_cast;
   using std::chrono::milliseconds;
   auto wall = std::chrono::system_clock::now().time_since_epoch();
-  Lines.push_back(
+  QueuedLines.push_back(
       absl::StrCat("{\"at_ms\":", duration_cast<milliseconds>(wall).count(),
                    ",\"up_ms\":", Time.now().time_since_epoch().count() / 1000,
                    ",", line.str(), "}\n"));
 }
 
-void ThreadedLog::newSecond(TimePoint now) {
-  if (now - SecondBegan < OneSecond)
+void AsyncEventLog::startNewSecond(TimePoint now) {
+  if (now - SecondStart < OneSecond)
     return;
-  SecondBegan = now;
-  auto before = std::exchange(Rates, {});
-  for (const auto &[event, rate] : before)
-    if (rate.LeftOut > 0)
-      put(LogLine(Part::Daemon, Severity::Warning, "lines-left-out")
-              .text("of", event)
-              .number("count", rate.LeftOut));
+  SecondStart = now;
+  auto previous = std::exchange(Rates, {});
+  for (const auto &[event, rate] : previous)
+    if (rate.Dropped > 0)
+      enqueue(LogLine(Component::Daemon, Severity::Warning, "lines-left-out")
+                  .text("of", event)
+                  .number("count", rate.Dropped));
 }
 
-void ThreadedLog::write(const LogLine &line) {
-  std::lock_guard<std::mutex> hold(Lock);
-  newSecond(Time.now());
-  Rate &rate = Rates[line.event()];
-  if (rate.Lines >= Settings.LinesPerSecond) {
-    ++rate.LeftOut;
+void AsyncEventLog::write(const LogLine &line) {
+  std::lock_guard<std::mutex> guard(Lock);
+  startNewSecond(Time.now());
+  EventRate &rate = Rates[line.event()];
+  if (rate.Lines >= Settings.MaxLinesPerSecond) {
+    ++rate.Dropped;
     ++Dropped;
     return;
   }
   ++rate.Lines;
-  put(line);
-  if (Lines.size() == Settings.Waiting / 2)
-    Wake.notify_one();
+  enqueue(line);
+  if (QueuedLines.size() == Settings.MaxQueuedLines / 2)
+    WakeWriter.notify_one();
 }
 
-void ThreadedLog::writeAll(const std::string &text) const {
-  size_t done = 0;
-  while (done < text.size()) {
-    ssize_t n = ::write(Fd, text.data() + done, text.size() - done);
+void AsyncEventLog::writeAll(const std::string &text) const {
+  size_t written = 0;
+  while (written < text.size()) {
+    ssize_t n = ::write(Fd, text.data() + written, text.size() - written);
     // Nobody reads any more: there is no place left to say so.
     if (n <= 0)
       return;
-    done += static_cast<size_t>(n);
+    written += static_cast<size_t>(n);
   }
 }
 
-void ThreadedLog::run() {
-  std::unique_lock<std::mutex> hold(Lock);
+void AsyncEventLog::runWriter() {
+  std::unique_lock<std::mutex> lock(Lock);
   for (;;) {
     bool stopping = Stopping;
-    std::vector<std::string> lines = std::exchange(Lines, {});
+    std::vector<std::string> lines = std::exchange(QueuedLines, {});
     if (!lines.empty()) {
-      hold.unlock();
+      lock.unlock();
       std::string text;
       for (const std::string &line : lines)
         text += line;
       writeAll(text);
-      hold.lock();
+      lock.lock();
     }
-    if (stopping && Lines.empty())
+    if (stopping && QueuedLines.empty())
       return;
-    Wake.wait_for(hold, Settings.Period);
+    WakeWriter.wait_for(lock, Settings.FlushInterval);
   }
 }
 
 } // namespace
 
-LogLine::LogLine(Part part, Severity severity, const char *event)
-    : Event(event), Weight(severity) {
+LogLine::LogLine(Component component, Severity severity, const char *event)
+    : EventName(event), EventSeverity(severity) {
   Text =
       absl::StrCat("\"severity\":\"", severityName(severity), "\",\"part\":\"",
-                   partName(part), "\",\"event\":\"", event, "\"");
+                   componentName(component), "\",\"event\":\"", event, "\"");
 }
 
-void LogLine::name(const char *name) {
+void LogLine::appendFieldName(const char *name) {
   Text += ",\"";
   Text += name;
   Text += "\":";
 }
 
 LogLine &LogLine::text(const char *name, const std::string &value) {
-  this->name(name);
+  this->appendFieldName(name);
   Text += '"';
   appendEscaped(Text, value);
   Text += '"';
@@ -179,13 +180,13 @@
 }
 
 LogLine &LogLine::number(const char *name, uint64_t value) {
-  this->name(name);
+  this->appendFieldName(name);
   absl::StrAppend(&Text, value);
   return *this;
 }
 
 LogLine &LogLine::decimal(const char *name, double value) {
-  this->name(name);
+  this->appendFieldName(name);
   char text[32];
   std::snprintf(text, sizeof text, "%.3f", value);
   Text += text;
@@ -197,14 +198,14 @@
 }
 
 LogLine &LogLine::flag(const char *name, bool value) {
-  this->name(name);
+  this->appendFieldName(name);
   Text += value ? "true" : "false";
   return *this;
 }
 
 std::unique_ptr<EventLog> EventLog::create(const EventLogSettings &settings,
                                            int fd, const Clock &clock) {
-  return std::make_unique<ThreadedLog>(settings, fd, clock);
+  return std::make_unique<AsyncEventLog>(settings, fd, clock);
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Observability/EventLog.h
+++ b/Balsamrack/Observability/EventLog.h
@@ -15,7 +15,7 @@
 class LogLine {
 public:
   /// Begins a line of \p part about \p event, a name with hyphens.
-  LogLine(Part part, Severity severity, const char *event);
+  LogLine(Component component, Severity severity, const char *event);
 
   /// Adds a text. Control characters and quotes are escaped.
   LogLine &text(const char *name, const std::string &value);
@@ -29,27 +29,28 @@
   LogLine &flag(const char *name, bool value);
 
   /// The event's name.
-  const char *event() const { return Event; }
+  const char *event() const { return EventName; }
   /// How much it matters.
-  Severity severity() const { return Weight; }
+  Severity severity() const { return EventSeverity; }
   /// What was built so far, without the closing brace.
   const std::string &str() const { return Text; }
 
 private:
-  void name(const char *name);
+  void appendFieldName(const char *name);
 
-  const char *Event;
-  Severity Weight;
+  const char *EventName;
+  Severity EventSeverity;
   std::string Text;
 };
 
 /// Limits of the event log.
 struct EventLogSettings {
-  uint32_t LinesPerSecond = 100; ///< Of one event; 33 KB a second for the usual
-                                 ///< line of 330 bytes. A small site's daemon
-                                 ///< places some fifty flows a second.
-  uint32_t Waiting = 2'000;      ///< Lines that wait to be written, 700 KB.
-  Duration Period{250'000};      ///< Lines are written so often, in one call.
+  uint32_t MaxLinesPerSecond =
+      100; ///< Of one event; 33 KB a second for the usual
+           ///< line of 330 bytes. A small site's daemon
+           ///< places some fifty flows a second.
+  uint32_t MaxQueuedLines = 2'000; ///< Lines that wait to be written, 700 KB.
+  Duration FlushInterval{250'000}; ///< Lines are written so often, in one call.
 };
 
 /// Structured log, a JSON object a line. Never blocks: lines wait in a bounded
--- a/Balsamrack/Observability/Journal.cpp
+++ b/Balsamrack/Observability/Journal.cpp
@@ -13,25 +13,25 @@
 
 namespace {
 
-std::string hexOf(uint64_t value) { return absl::StrFormat("%016x", value); }
+std::string toHex(uint64_t value) { return absl::StrFormat("%016x", value); }
 
-bool judgesTicket(const Decision &d) {
+bool isTicketDecision(const Decision &d) {
   return d.Kind == DecisionKind::TicketApplied ||
          d.Kind == DecisionKind::TicketRejected;
 }
 
 /// What a decision was about, such as " for request ... of flow ...".
-std::string subjectOf(const Decision &d) {
+std::string formatSubject(const Decision &d) {
   std::string text;
   if (d.Request.Value != 0)
-    absl::StrAppend(&text, " request ", hexOf(d.Request.Value));
+    absl::StrAppend(&text, " request ", toHex(d.Request.Value));
   if (d.Flow.Value != 0)
     absl::StrAppend(&text, text.empty() ? "" : " of", " flow ",
-                    hexOf(d.Flow.Value));
+                    toHex(d.Flow.Value));
   return text.empty() ? text : " for" + text;
 }
 
-std::string inputsOf(const Decision &d) {
+std::string formatInputs(const Decision &d) {
   std::string text;
   for (const auto &[name, value] : d.Inputs)
     absl::StrAppend(&text, text.empty() ? " on " : ", ", name, " = ", value);
@@ -41,77 +41,79 @@
 } // namespace
 
 Journal::Journal(size_t capacity)
-    : CapacityPerShard(std::max<size_t>(capacity / Shards, 1)) {}
+    : CapacityPerShard(std::max<size_t>(capacity / ShardCount, 1)) {}
 
 void Journal::add(Decision decision) {
   uint64_t key = decision.Flow.Value;
   if (key == 0)
     key = decision.Server.empty() ? decision.Request.Value
                                   : decision.Server.hash();
-  Shard &shard = All[combineHash(key, 0) % Shards];
-  std::lock_guard<std::mutex> hold(shard.Lock);
-  shard.Ring.push_back({Next++, std::move(decision)});
+  Shard &shard = AllShards[combineHash(key, 0) % ShardCount];
+  std::lock_guard<std::mutex> guard(shard.Lock);
+  shard.Ring.push_back({NextSequence++, std::move(decision)});
   if (shard.Ring.size() > CapacityPerShard)
     shard.Ring.pop_front();
 }
 
 std::vector<Decision>
-Journal::find(const std::function<bool(const Decision &)> &wanted) const {
+Journal::find(const std::function<bool(const Decision &)> &matches) const {
   std::vector<Entry> found;
-  for (const Shard &shard : All) {
-    std::lock_guard<std::mutex> hold(shard.Lock);
+  for (const Shard &shard : AllShards) {
+    std::lock_guard<std::mutex> guard(shard.Lock);
     for (const Entry &entry : shard.Ring)
-      if (wanted(entry.What))
+      if (matches(entry.Value))
         found.push_back(entry);
   }
-  std::sort(found.begin(), found.end(),
-            [](const Entry &a, const Entry &b) { return a.Number < b.Number; });
+  std::sort(found.begin(), found.end(), [](const Entry &a, const Entry &b) {
+    return a.Sequence < b.Sequence;
+  });
   std::vector<Decision> decisions;
   decisions.reserve(found.size());
   for (Entry &entry : found)
-    decisions.push_back(std::move(entry.What));
+    decisions.push_back(std::move(entry.Value));
   return decisions;
 }
 
-std::vector<Decision> Journal::ofRequest(RequestId request) const {
+std::vector<Decision> Journal::findByRequest(RequestId request) const {
   return find([&](const Decision &d) { return d.Request == request; });
 }
 
-std::vector<Decision> Journal::ofFlow(FlowId flow) const {
+std::vector<Decision> Journal::findByFlow(FlowId flow) const {
   return find([&](const Decision &d) { return d.Flow == flow; });
 }
 
-std::vector<Decision> Journal::ofServer(const ServerId &server) const {
+std::vector<Decision> Journal::findByServer(const ServerId &server) const {
   return find([&](const Decision &d) { return d.Server == server; });
 }
 
-std::vector<Decision> Journal::ofTicket(TicketNumber ticket) const {
-  return find(
-      [&](const Decision &d) { return d.Ticket == ticket && judgesTicket(d); });
+std::vector<Decision> Journal::findByTicket(TicketNumber ticket) const {
+  return find([&](const Decision &d) {
+    return d.Ticket == ticket && isTicketDecision(d);
+  });
 }
 
 absl::StatusOr<std::vector<Decision>>
-Journal::about(const std::string &kind, const std::string &id) const {
+Journal::query(const std::string &kind, const std::string &id) const {
   uint64_t number = 0;
   if (kind == "server")
-    return ofServer(ServerId(id));
+    return findByServer(ServerId(id));
   if (kind == "request" || kind == "flow") {
     if (!absl::SimpleHexAtoi(id, &number))
       return absl::InvalidArgumentError("the id has to be hex digits");
-    return kind == "flow" ? ofFlow({number}) : ofRequest({number});
+    return kind == "flow" ? findByFlow({number}) : findByRequest({number});
   }
   if (kind != "ticket")
     return absl::InvalidArgumentError(
         "kind has to be request, flow, server or ticket");
   if (!absl::SimpleAtoi(id, &number))
     return absl::InvalidArgumentError("the id has to be a number");
-  return ofTicket({number});
+  return findByTicket({number});
 }
 
-std::string sentenceOf(const Decision &decision) {
+std::string decisionSentence(const Decision &decision) {
   std::string text = absl::StrCat(
-      decisionKindName(decision.Kind), subjectOf(decision), ": ",
-      decision.Result, ", by rule ", decision.Rule, inputsOf(decision),
+      decisionKindName(decision.Kind), formatSubject(decision), ": ",
+      decision.Result, ", by rule ", decision.Rule, formatInputs(decision),
       ", under ticket ", decision.Ticket.Value);
   if (!decision.AtStep.empty())
     absl::StrAppend(&text, ", at step ", decision.AtStep);
@@ -128,14 +130,14 @@
           {"kind", decisionKindName(decision.Kind)},
           {"rule", decision.Rule},
           {"result", decision.Result},
-          {"request", hexOf(decision.Request.Value)},
-          {"flow", hexOf(decision.Flow.Value)},
+          {"request", toHex(decision.Request.Value)},
+          {"flow", toHex(decision.Flow.Value)},
           {"server", decision.Server.str()},
           {"ticket", decision.Ticket.Value},
           {"step", decision.AtStep},
           {"peer", decision.AtPeer},
           {"inputs", std::move(inputs)},
-          {"sentence", sentenceOf(decision)}};
+          {"sentence", decisionSentence(decision)}};
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Observability/Journal.h
+++ b/Balsamrack/Observability/Journal.h
@@ -28,25 +28,25 @@
   /// Keeps a decision, in place of its shard's oldest when that is full.
   void add(Decision decision);
   /// Decisions about one request, oldest first.
-  std::vector<Decision> ofRequest(RequestId request) const;
+  std::vector<Decision> findByRequest(RequestId request) const;
   /// Decisions about one flow, oldest first.
-  std::vector<Decision> ofFlow(FlowId flow) const;
+  std::vector<Decision> findByFlow(FlowId flow) const;
   /// Decisions about one backend server, oldest first.
-  std::vector<Decision> ofServer(const ServerId &server) const;
+  std::vector<Decision> findByServer(const ServerId &server) const;
   /// How one ticket was judged, oldest first.
-  std::vector<Decision> ofTicket(TicketNumber ticket) const;
+  std::vector<Decision> findByTicket(TicketNumber ticket) const;
   /// One of the above by the operators' words: \p kind is "request" or "flow"
   /// (\p id in hex), "server" or "ticket" (\p id decimal). Error
   /// kInvalidArgument, without step, when they can't be read.
-  absl::StatusOr<std::vector<Decision>> about(const std::string &kind,
+  absl::StatusOr<std::vector<Decision>> query(const std::string &kind,
                                               const std::string &id) const;
 
 private:
-  static constexpr size_t Shards = 16;
+  static constexpr size_t ShardCount = 16;
 
   struct Entry {
-    uint64_t Number; ///< Place in the order of all decisions.
-    Decision What;
+    uint64_t Sequence; ///< Place in the order of all decisions.
+    Decision Value;
   };
   struct Shard {
     mutable std::mutex Lock; ///< Guards what follows.
@@ -54,16 +54,16 @@
   };
 
   std::vector<Decision>
-  find(const std::function<bool(const Decision &)> &wanted) const;
+  find(const std::function<bool(const Decision &)> &matches) const;
 
   const size_t CapacityPerShard;
-  std::atomic<uint64_t> Next{0};
-  std::array<Shard, Shards> All;
+  std::atomic<uint64_t> NextSequence{0};
+  std::array<Shard, ShardCount> AllShards;
 };
 
 /// One plain sentence that tells what was decided, by which rule, on which
 /// inputs, under which ticket, at which step and peer. Thread-safe.
-std::string sentenceOf(const Decision &decision);
+std::string decisionSentence(const Decision &decision);
 
 /// A decision's fields and its sentence. Thread-safe.
 nlohmann::json decisionToJson(const Decision &decision);
--- a/Balsamrack/Observability/Log.cpp
+++ b/Balsamrack/Observability/Log.cpp
@@ -36,10 +36,10 @@
 /// tells its own records.
 std::atomic<uint64_t> NextLogId{1};
 
-void ignoreStream(std::ostream * /*stream*/) {}
+void keepStream(std::ostream * /*stream*/) {}
 
 /// A line break in a field would look like a second line of ours.
-std::string oneLine(std::string text) {
+std::string replaceControlCharacters(std::string text) {
   for (char &c : text)
     if (static_cast<unsigned char>(c) < ' ')
       c = ' ';
@@ -48,7 +48,8 @@
 
 class BoostLog final : public Log {
 public:
-  BoostLog(Severity least, bool json) : Least(least), Json(json) {}
+  BoostLog(Severity minSeverity, bool json)
+      : MinSeverity(minSeverity), Json(json) {}
   BoostLog(const BoostLog &) = delete;
   BoostLog &operator=(const BoostLog &) = delete;
   ~BoostLog() override {
@@ -57,21 +58,22 @@
   }
 
   absl::Status open(const std::string &file);
-  void write(Part part, Severity severity, const std::string &sentence,
+  void write(Component component, Severity severity, const std::string &message,
              const std::string &step, const std::string &peer) override;
 
 private:
-  std::string lineOf(Part part, Severity severity, const std::string &sentence,
-                     const std::string &step, const std::string &peer) const;
+  std::string formatLine(Component component, Severity severity,
+                         const std::string &message, const std::string &step,
+                         const std::string &peer) const;
 
-  const Severity Least;
+  const Severity MinSeverity;
   const bool Json;
   const uint64_t Id = NextLogId++;
   boost::shared_ptr<Sink> Output;
 };
 
 absl::Status BoostLog::open(const std::string &file) {
-  boost::shared_ptr<std::ostream> stream(&std::cerr, &ignoreStream);
+  boost::shared_ptr<std::ostream> stream(&std::cerr, &keepStream);
   if (!file.empty()) {
     auto opened = boost::make_shared<std::ofstream>(file, std::ios::app);
     if (!*opened)
@@ -93,17 +95,17 @@
   return absl::OkStatus();
 }
 
-std::string BoostLog::lineOf(Part part, Severity severity,
-                             const std::string &sentence,
-                             const std::string &step,
-                             const std::string &peer) const {
+std::string BoostLog::formatLine(Component component, Severity severity,
+                                 const std::string &message,
+                                 const std::string &step,
+                                 const std::string &peer) const {
   std::string time = absl::FormatTime("%Y-%m-%dT%H:%M:%E3SZ", absl::Now(),
                                       absl::UTCTimeZone());
   if (Json) {
     nlohmann::json line = {{"time", time},
-                           {"part", partName(part)},
+                           {"part", componentName(component)},
                            {"severity", severityName(severity)},
-                           {"message", sentence}};
+                           {"message", message}};
     if (!step.empty())
       line["step"] = step;
     if (!peer.empty())
@@ -111,35 +113,37 @@
     using ErrorHandler = nlohmann::json::error_handler_t;
     return line.dump(-1, ' ', false, ErrorHandler::replace);
   }
-  std::string line = absl::StrCat(time, " [", partName(part), "] ",
-                                  severityName(severity), ": ", sentence);
+  std::string line = absl::StrCat(time, " [", componentName(component), "] ",
+                                  severityName(severity), ": ", message);
   if (!step.empty())
     absl::StrAppend(&line, " step=", step);
   if (!peer.empty())
     absl::StrAppend(&line, " peer=", peer);
-  return oneLine(std::move(line));
+  return replaceControlCharacters(std::move(line));
 }
 
-void BoostLog::write(Part part, Severity severity, const std::string &sentence,
-                     const std::string &step, const std::string &peer) {
-  if (severity < Least)
+void BoostLog::write(Component component, Severity severity,
+                     const std::string &message, const std::string &step,
+                     const std::string &peer) {
+  if (severity < MinSeverity)
     return;
   // A source of its own for each record: sources are not thread-safe.
   logging::sources::logger source;
   source.add_attribute(LogIdAttribute,
                        logging::attributes::constant<uint64_t>(Id));
-  BOOST_LOG(source) << lineOf(part, severity, sentence, step, peer);
+  BOOST_LOG(source) << formatLine(component, severity, message, step, peer);
 }
 
-absl::Status badSetting(const char *what, const std::string &value) {
+absl::Status unknownSettingError(const char *setting,
+                                 const std::string &value) {
   return makeError(absl::StatusCode::kInvalidArgument, Step::ReadSettings, "",
-                   absl::StrCat("unknown ", what, ": ", value));
+                   absl::StrCat("unknown ", setting, ": ", value));
 }
 
 } // namespace
 
-void Log::error(Part part, const absl::Status &status) {
-  write(part, Severity::Error,
+void Log::error(Component component, const absl::Status &status) {
+  write(component, Severity::Error,
         absl::StrCat(absl::StatusCodeToString(status.code()), ": ",
                      status.message()),
         stepOf(status), peerOf(status));
@@ -147,18 +151,18 @@
 
 absl::StatusOr<std::unique_ptr<Log>> Log::create(const LogSettings &settings) {
   if (settings.Format != "text" && settings.Format != "json")
-    return badSetting("log format", settings.Format);
+    return unknownSettingError("log format", settings.Format);
   for (Severity s :
        {Severity::Debug, Severity::Info, Severity::Warning, Severity::Error}) {
     if (settings.Level != severityName(s))
       continue;
-    auto made = std::make_unique<BoostLog>(s, settings.Format == "json");
-    absl::Status status = made->open(settings.File);
+    auto log = std::make_unique<BoostLog>(s, settings.Format == "json");
+    absl::Status status = log->open(settings.File);
     if (!status.ok())
       return status;
-    return made;
+    return log;
   }
-  return badSetting("log level", settings.Level);
+  return unknownSettingError("log level", settings.Level);
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Observability/Log.h
+++ b/Balsamrack/Observability/Log.h
@@ -26,11 +26,11 @@
   create(const LogSettings &settings);
   virtual ~Log() = default;
   /// Writes one short sentence; \p step and \p peer may be empty.
-  virtual void write(Part part, Severity severity, const std::string &sentence,
-                     const std::string &step = "",
+  virtual void write(Component component, Severity severity,
+                     const std::string &message, const std::string &step = "",
                      const std::string &peer = "") = 0;
   /// Writes an error, with the step and peer that it carries.
-  void error(Part part, const absl::Status &status);
+  void error(Component component, const absl::Status &status);
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Observability/LogNames.cpp
+++ b/Balsamrack/Observability/LogNames.cpp
@@ -2,25 +2,25 @@
 
 namespace balsamrack {
 
-const char *partName(Part part) {
-  switch (part) {
-  case Part::Entry:
+const char *componentName(Component component) {
+  switch (component) {
+  case Component::Entry:
     return "entry";
-  case Part::Owner:
+  case Component::Owner:
     return "owner";
-  case Part::Reader:
+  case Component::Reader:
     return "reader";
-  case Part::Membership:
+  case Component::Membership:
     return "membership";
-  case Part::Peers:
+  case Component::Peers:
     return "peers";
-  case Part::Http:
+  case Component::Http:
     return "http";
-  case Part::Platform:
+  case Component::Platform:
     return "platform";
-  case Part::Operators:
+  case Component::Operators:
     return "operators";
-  case Part::Daemon:
+  case Component::Daemon:
     return "daemon";
   }
   return "unknown";
--- a/Balsamrack/Observability/LogNames.h
+++ b/Balsamrack/Observability/LogNames.h
@@ -6,7 +6,7 @@
 namespace balsamrack {
 
 /// Name of a part, which every log line of it begins with. Thread-safe.
-const char *partName(Part part);
+const char *componentName(Component component);
 
 /// Name of a severity in lower case. Thread-safe.
 const char *severityName(Severity severity);
--- a/Balsamrack/Observability/Metrics.cpp
+++ b/Balsamrack/Observability/Metrics.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-constexpr size_t Shards = 16;
-constexpr const char *Other = "other";
+constexpr size_t ShardCount = 16;
+constexpr const char *OverflowLabelValue = "other";
 
 /// Name, then labels; orders a family's series behind each other.
 using SeriesKey = std::pair<std::string, MetricLabels>;
@@ -31,7 +31,7 @@
 
 struct Shard {
   mutable std::mutex Lock; ///< Guards what follows.
-  std::map<SeriesKey, Series> All;
+  std::map<SeriesKey, Series> SeriesByKey;
 };
 
 /// What is shown of one series.
@@ -43,7 +43,7 @@
   QuantileWindow::Quantiles Quantiles;
 };
 
-std::string escaped(const std::string &text) {
+std::string escapeLabelValue(const std::string &text) {
   std::string out;
   for (char c : text) {
     if (c == '\n') {
@@ -58,18 +58,20 @@
 }
 
 /// Enough digits that a counter of many millions still shows each step.
-std::string numberText(double value) { return absl::StrFormat("%.15g", value); }
+std::string formatNumber(double value) {
+  return absl::StrFormat("%.15g", value);
+}
 
-std::string labelText(const MetricLabels &labels) {
+std::string formatLabels(const MetricLabels &labels) {
   std::string text;
   for (const auto &[name, value] : labels)
     absl::StrAppend(&text, text.empty() ? "{" : ",", name, "=\"",
-                    escaped(value), "\"");
+                    escapeLabelValue(value), "\"");
   return text.empty() ? text : text + "}";
 }
 
-MetricLabels with(MetricLabels labels, const char *name, double value) {
-  labels.emplace_back(name, numberText(value));
+MetricLabels withLabel(MetricLabels labels, const char *name, double value) {
+  labels.emplace_back(name, formatNumber(value));
   return labels;
 }
 
@@ -88,18 +90,18 @@
 void appendSample(std::string &text, const Sample &s) {
   const char *name = s.Family->Name;
   if (s.Family->Kind != MetricKind::Summary) {
-    absl::StrAppend(&text, name, labelText(s.Labels), " ", numberText(s.Value),
-                    "\n");
+    absl::StrAppend(&text, name, formatLabels(s.Labels), " ",
+                    formatNumber(s.Value), "\n");
     return;
   }
   for (size_t i = 0; i < s.Quantiles.size(); ++i)
-    absl::StrAppend(
-        &text, name,
-        labelText(with(s.Labels, "quantile", QuantileWindow::Probabilities[i])),
-        " ", numberText(s.Quantiles[i]), "\n");
-  absl::StrAppend(&text, name, "_sum", labelText(s.Labels), " ",
-                  numberText(s.Value), "\n");
-  absl::StrAppend(&text, name, "_count", labelText(s.Labels), " ", s.Count,
+    absl::StrAppend(&text, name,
+                    formatLabels(withLabel(s.Labels, "quantile",
+                                           QuantileWindow::Probabilities[i])),
+                    " ", formatNumber(s.Quantiles[i]), "\n");
+  absl::StrAppend(&text, name, "_sum", formatLabels(s.Labels), " ",
+                  formatNumber(s.Value), "\n");
+  absl::StrAppend(&text, name, "_count", formatLabels(s.Labels), " ", s.Count,
                   "\n");
 }
 
@@ -110,18 +112,18 @@
 
   void count(const MetricFamily &family, const MetricLabels &labels,
              uint64_t n) override {
-    change(family, labels,
-           [n](Series &s) { s.Value += static_cast<double>(n); });
+    updateSeries(family, labels,
+                 [n](Series &s) { s.Value += static_cast<double>(n); });
   }
   void set(const MetricFamily &family, const MetricLabels &labels,
            double value) override {
-    change(family, labels, [value](Series &s) { s.Value = value; });
+    updateSeries(family, labels, [value](Series &s) { s.Value = value; });
   }
   void observe(const MetricFamily &family, const MetricLabels &labels,
                Duration value) override {
     const double seconds = std::chrono::duration<double>(value).count();
     const TimePoint now = Time.now();
-    change(family, labels, [&](Series &s) {
+    updateSeries(family, labels, [&](Series &s) {
       if (!s.Quantiles)
         s.Quantiles.emplace(Window);
       s.Quantiles->add(now, seconds);
@@ -134,58 +136,60 @@
 
 private:
   template <class Change>
-  void change(const MetricFamily &family, const MetricLabels &labels,
-              Change apply);
+  void updateSeries(const MetricFamily &family, const MetricLabels &labels,
+                    Change update);
   template <class Change>
-  bool changeIn(Shard &shard, const MetricFamily &family, const SeriesKey &key,
-                bool mayExceed, Change apply);
-  std::map<SeriesKey, Sample> samples() const;
+  bool updateSeriesInShard(Shard &shard, const MetricFamily &family,
+                           const SeriesKey &key, bool ignoreLimit,
+                           Change update);
+  std::map<SeriesKey, Sample> collectSamples() const;
 
   const Clock &Time;
   const Duration Window;
-  std::array<Shard, Shards> All;
+  std::array<Shard, ShardCount> AllShards;
 };
 
 template <class Change>
-bool ShardedMetrics::changeIn(Shard &shard, const MetricFamily &family,
-                              const SeriesKey &key, bool mayExceed,
-                              Change apply) {
-  std::lock_guard<std::mutex> hold(shard.Lock);
-  auto it = shard.All.find(key);
-  if (it == shard.All.end()) {
-    if (shard.All.size() >= MaxSeriesPerShard && !mayExceed)
+bool ShardedMetrics::updateSeriesInShard(Shard &shard,
+                                         const MetricFamily &family,
+                                         const SeriesKey &key, bool ignoreLimit,
+                                         Change update) {
+  std::lock_guard<std::mutex> guard(shard.Lock);
+  auto it = shard.SeriesByKey.find(key);
+  if (it == shard.SeriesByKey.end()) {
+    if (shard.SeriesByKey.size() >= MaxSeriesPerShard && !ignoreLimit)
       return false;
-    it = shard.All.emplace(key, Series()).first;
+    it = shard.SeriesByKey.emplace(key, Series()).first;
     it->second.Family = &family;
   }
-  apply(it->second);
+  update(it->second);
   return true;
 }
 
 template <class Change>
-void ShardedMetrics::change(const MetricFamily &family,
-                            const MetricLabels &labels, Change apply) {
+void ShardedMetrics::updateSeries(const MetricFamily &family,
+                                  const MetricLabels &labels, Change update) {
   SeriesKey key(family.Name, labels);
   uint64_t hash = stableHash(key.first);
   for (const auto &[name, value] : labels)
     hash = combineHash(hash, stableHash(value));
-  Shard &shard = All[hash % Shards];
-  if (changeIn(shard, family, key, false, apply))
+  Shard &shard = AllShards[hash % ShardCount];
+  if (updateSeriesInShard(shard, family, key, false, update))
     return;
   for (auto &[name, value] : key.second)
-    value = Other;
-  changeIn(shard, family, key, true, apply);
+    value = OverflowLabelValue;
+  updateSeriesInShard(shard, family, key, true, update);
 }
 
-std::map<SeriesKey, Sample> ShardedMetrics::samples() const {
+std::map<SeriesKey, Sample> ShardedMetrics::collectSamples() const {
   const TimePoint now = Time.now();
   std::map<SeriesKey, Sample> all;
-  for (const Shard &shard : All) {
-    std::lock_guard<std::mutex> hold(shard.Lock);
-    for (const auto &[key, s] : shard.All) {
+  for (const Shard &shard : AllShards) {
+    std::lock_guard<std::mutex> guard(shard.Lock);
+    for (const auto &[key, s] : shard.SeriesByKey) {
       Sample sample{s.Family, key.second, s.Value, s.Count, {}};
       if (s.Quantiles)
-        sample.Quantiles = s.Quantiles->at(now);
+        sample.Quantiles = s.Quantiles->quantilesAt(now);
       auto [it, isNew] = all.emplace(key, sample);
       if (!isNew) { // "other" of several shards
         it->second.Value += s.Value;
@@ -198,14 +202,14 @@
 
 std::string ShardedMetrics::prometheus() const {
   std::string text;
-  std::string last;
-  for (const auto &[key, sample] : samples()) {
+  std::string previousName;
+  for (const auto &[key, sample] : collectSamples()) {
     const MetricFamily &family = *sample.Family;
-    if (key.first != last)
+    if (key.first != previousName)
       absl::StrAppend(&text, "# HELP ", family.Name, " ", family.Help,
                       "\n# TYPE ", family.Name, " ", kindName(family.Kind),
                       "\n");
-    last = key.first;
+    previousName = key.first;
     appendSample(text, sample);
   }
   return text;
@@ -213,7 +217,7 @@
 
 nlohmann::json ShardedMetrics::json() const {
   nlohmann::json families = nlohmann::json::array();
-  for (const auto &[key, sample] : samples()) {
+  for (const auto &[key, sample] : collectSamples()) {
     const MetricFamily &family = *sample.Family;
     if (families.empty() || families.back()["name"] != family.Name)
       families.push_back({{"name", family.Name},
@@ -223,16 +227,16 @@
     nlohmann::json labels = nlohmann::json::object();
     for (const auto &[name, value] : sample.Labels)
       labels[name] = value;
-    nlohmann::json one = {{"labels", std::move(labels)}};
+    nlohmann::json sampleJson = {{"labels", std::move(labels)}};
     if (family.Kind == MetricKind::Summary) {
-      one["count"] = sample.Count;
-      one["sum_s"] = sample.Value;
-      one["p50_s"] = sample.Quantiles[0];
-      one["p99_s"] = sample.Quantiles[1];
+      sampleJson["count"] = sample.Count;
+      sampleJson["sum_s"] = sample.Value;
+      sampleJson["p50_s"] = sample.Quantiles[0];
+      sampleJson["p99_s"] = sample.Quantiles[1];
     } else {
-      one["value"] = sample.Value;
+      sampleJson["value"] = sample.Value;
     }
-    families.back()["series"].push_back(std::move(one));
+    families.back()["series"].push_back(std::move(sampleJson));
   }
   return families;
 }
--- a/Balsamrack/Observability/QuantileWindow.cpp
+++ b/Balsamrack/Observability/QuantileWindow.cpp
@@ -18,28 +18,28 @@
 
 /// Until there are so many values, the estimate is worth nothing, and the
 /// quantile is taken from the values themselves.
-constexpr size_t ExactValues = 32;
+constexpr size_t MaxExactValues = 32;
 
 } // namespace
 
-struct QuantileWindow::Estimate {
-  Estimate() : Square(acc::extended_p_square_probabilities = Probabilities) {}
+struct QuantileWindow::Estimator {
+  Estimator() : PSquare(acc::extended_p_square_probabilities = Probabilities) {}
 
   void add(double value) {
-    if (First.size() < ExactValues)
-      First.push_back(value);
+    if (ExactSamples.size() < MaxExactValues)
+      ExactSamples.push_back(value);
     else
-      ++More;
-    Square(value);
+      ++EstimatedCount;
+    PSquare(value);
   }
-  Quantiles read() const {
+  Quantiles quantiles() const {
     Quantiles q{};
-    if (More > 0) {
+    if (EstimatedCount > 0) {
       for (size_t i = 0; i < q.size(); ++i)
-        q[i] = acc::extended_p_square(Square)[static_cast<ptrdiff_t>(i)];
+        q[i] = acc::extended_p_square(PSquare)[static_cast<ptrdiff_t>(i)];
       return q;
     }
-    std::vector<double> sorted = First;
+    std::vector<double> sorted = ExactSamples;
     std::sort(sorted.begin(), sorted.end());
     for (size_t i = 0; i < q.size(); ++i) {
       auto rank = static_cast<size_t>(
@@ -49,36 +49,36 @@
     return q;
   }
 
-  Accumulator Square;
-  std::vector<double> First; ///< The first values, as they came.
-  uint64_t More = 0;         ///< Values beyond those.
+  Accumulator PSquare;
+  std::vector<double> ExactSamples; ///< The first values, as they came.
+  uint64_t EstimatedCount = 0;      ///< Values beyond those.
 };
 
 QuantileWindow::QuantileWindow(Duration window) : Length(window) {}
 QuantileWindow::QuantileWindow(QuantileWindow &&other) noexcept = default;
 QuantileWindow::~QuantileWindow() = default;
 
-void QuantileWindow::turn(TimePoint now) {
-  if (now < Began + Length)
+void QuantileWindow::rotate(TimePoint now) {
+  if (now < WindowStart + Length)
     return;
-  Before = now < Began + 2 * Length ? std::move(Running) : nullptr;
-  Running.reset();
-  Began = now;
+  Previous = now < WindowStart + 2 * Length ? std::move(Current) : nullptr;
+  Current.reset();
+  WindowStart = now;
 }
 
 void QuantileWindow::add(TimePoint now, double value) {
-  turn(now);
-  if (!Running)
-    Running = std::make_unique<Estimate>();
-  Running->add(value);
+  rotate(now);
+  if (!Current)
+    Current = std::make_unique<Estimator>();
+  Current->add(value);
 }
 
-QuantileWindow::Quantiles QuantileWindow::at(TimePoint now) const {
-  if (now >= Began + 2 * Length)
+QuantileWindow::Quantiles QuantileWindow::quantilesAt(TimePoint now) const {
+  if (now >= WindowStart + 2 * Length)
     return {};
-  const Estimate *last =
-      now < Began + Length && Before ? Before.get() : Running.get();
-  return last ? last->read() : Quantiles{};
+  const Estimator *source =
+      now < WindowStart + Length && Previous ? Previous.get() : Current.get();
+  return source ? source->quantiles() : Quantiles{};
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Observability/QuantileWindow.h
+++ b/Balsamrack/Observability/QuantileWindow.h
@@ -25,17 +25,17 @@
   void add(TimePoint now, double value);
   /// The quantiles of the window before the running one, or of the running one
   /// while there is none before; zeros without values.
-  Quantiles at(TimePoint now) const;
+  Quantiles quantilesAt(TimePoint now) const;
 
 private:
-  struct Estimate;
+  struct Estimator;
 
-  void turn(TimePoint now);
+  void rotate(TimePoint now);
 
-  Duration Length;                   ///< Of a window.
-  TimePoint Began;                   ///< Of the running window.
-  std::unique_ptr<Estimate> Running; ///< Null without values.
-  std::unique_ptr<Estimate> Before;  ///< Null without values.
+  Duration Length;                     ///< Of a window.
+  TimePoint WindowStart;               ///< Of the running window.
+  std::unique_ptr<Estimator> Current;  ///< Null without values.
+  std::unique_ptr<Estimator> Previous; ///< Null without values.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Observability/SpanSink.cpp
+++ b/Balsamrack/Observability/SpanSink.cpp
@@ -22,12 +22,12 @@
 
 using nlohmann::json;
 
-constexpr size_t Shards = 16;
-constexpr int KindServer = 2; ///< SPAN_KIND_SERVER of OTLP.
-constexpr int KindClient = 3; ///< SPAN_KIND_CLIENT of OTLP.
-constexpr int StatusError = 2;
+constexpr size_t ShardCount = 16;
+constexpr int SpanKindServer = 2; ///< SPAN_KIND_SERVER of OTLP.
+constexpr int SpanKindClient = 3; ///< SPAN_KIND_CLIENT of OTLP.
+constexpr int StatusCodeError = 2;
 
-json attribute(const char *key, const std::string &value) {
+json makeAttribute(const char *key, const std::string &value) {
   return {{"key", key}, {"value", {{"stringValue", value}}}};
 }
 
@@ -37,12 +37,12 @@
   std::deque<HopSpan> Ring; ///< Oldest first.
 };
 
-class RingAndFile final : public SpanSink {
+class RingAndFileSpanSink final : public SpanSink {
 public:
-  RingAndFile(SpanSinkSettings settings, const Clock &clock)
-      : Settings(std::move(settings)), EpochOffset(offsetOf(clock)) {
-    for (size_t i = 0; i < Shards; ++i)
-      All[i].Random = SeededRandom(Settings.Seed * Shards + i);
+  RingAndFileSpanSink(SpanSinkSettings settings, const Clock &clock)
+      : Settings(std::move(settings)), EpochOffset(computeEpochOffset(clock)) {
+    for (size_t i = 0; i < ShardCount; ++i)
+      AllShards[i].Random = SeededRandom(Settings.Seed * ShardCount + i);
   }
 
   absl::Status open();
@@ -52,29 +52,31 @@
 
 private:
   /// From our monotonic clock to the wall clock, as it was at the start.
-  static Duration offsetOf(const Clock &clock) {
+  static Duration computeEpochOffset(const Clock &clock) {
     auto wall = std::chrono::system_clock::now().time_since_epoch();
     return std::chrono::duration_cast<Duration>(wall) -
            clock.now().time_since_epoch();
   }
-  std::string nanos(TimePoint at) const {
+  std::string toUnixNanos(TimePoint at) const {
     Duration wall = at.time_since_epoch() + EpochOffset;
     return std::to_string(std::chrono::nanoseconds(wall).count());
   }
-  json otlpOf(const HopSpan &span) const;
-  static json summaryOf(const HopSpan &span);
+  json toOtlp(const HopSpan &span) const;
+  static json toSummary(const HopSpan &span);
   void write(const HopSpan &span);
-  static size_t shardOf(const TraceContext &c) { return c.TraceLow % Shards; }
+  static size_t shardIndex(const TraceContext &c) {
+    return c.TraceLow % ShardCount;
+  }
 
   const SpanSinkSettings Settings;
   const Duration EpochOffset;
-  std::array<Shard, Shards> All;
+  std::array<Shard, ShardCount> AllShards;
   std::mutex FileLock; ///< Guards what follows.
   std::ofstream File;
-  uint64_t Written = 0;
+  uint64_t BytesWritten = 0;
 };
 
-absl::Status RingAndFile::open() {
+absl::Status RingAndFileSpanSink::open() {
   if (Settings.File.empty())
     return absl::OkStatus();
   File.open(Settings.File, std::ios::app);
@@ -84,61 +86,63 @@
                    "cannot open the trace file " + Settings.File);
 }
 
-std::string RingAndFile::start(const std::string &parent) {
-  auto above = TraceContext::parse(parent);
-  size_t index =
-      above.ok() ? shardOf(*above) : std::hash<std::string>()(parent) % Shards;
-  Shard &shard = All[index];
-  std::lock_guard<std::mutex> hold(shard.Lock);
-  return above.ok() ? above->child(shard.Random).str()
-                    : TraceContext::start(shard.Random).str();
+std::string RingAndFileSpanSink::start(const std::string &parent) {
+  auto parentContext = TraceContext::parse(parent);
+  size_t index = parentContext.ok()
+                     ? shardIndex(*parentContext)
+                     : std::hash<std::string>()(parent) % ShardCount;
+  Shard &shard = AllShards[index];
+  std::lock_guard<std::mutex> guard(shard.Lock);
+  return parentContext.ok() ? parentContext->child(shard.Random).str()
+                            : TraceContext::start(shard.Random).str();
 }
 
-void RingAndFile::end(const HopSpan &span) {
-  auto own = TraceContext::parse(span.Traceparent);
-  if (!own.ok())
+void RingAndFileSpanSink::end(const HopSpan &span) {
+  auto context = TraceContext::parse(span.Traceparent);
+  if (!context.ok())
     return;
   {
-    Shard &shard = All[shardOf(*own)];
-    std::lock_guard<std::mutex> hold(shard.Lock);
+    Shard &shard = AllShards[shardIndex(*context)];
+    std::lock_guard<std::mutex> guard(shard.Lock);
     shard.Ring.push_back(span);
-    if (shard.Ring.size() > std::max<size_t>(Settings.Held / Shards, 1))
+    if (shard.Ring.size() > std::max<size_t>(Settings.MaxSpans / ShardCount, 1))
       shard.Ring.pop_front();
   }
   if (!Settings.File.empty())
     write(span);
 }
 
-json RingAndFile::otlpOf(const HopSpan &span) const {
-  TraceContext own =
+json RingAndFileSpanSink::toOtlp(const HopSpan &span) const {
+  TraceContext context =
       TraceContext::parse(span.Traceparent).value_or(TraceContext());
   auto parent = TraceContext::parse(span.Parent);
-  json attributes = {attribute("balsamrack.vm", Settings.Vm),
-                     attribute("balsamrack.service", span.Service.str()),
-                     attribute("balsamrack.request",
-                               absl::StrFormat("%016x", span.Request.Value)),
-                     attribute("balsamrack.result", span.Result)};
+  json attributes = {
+      makeAttribute("balsamrack.vm", Settings.Vm),
+      makeAttribute("balsamrack.service", span.Service.str()),
+      makeAttribute("balsamrack.request",
+                    absl::StrFormat("%016x", span.Request.Value)),
+      makeAttribute("balsamrack.result", span.Result)};
   if (!span.Server.empty())
-    attributes.push_back(attribute("balsamrack.server", span.Server.str()));
-  bool toServer = std::string(span.Hop) == "server";
-  json out = {{"traceId", own.traceId()},
-              {"spanId", own.spanId()},
+    attributes.push_back(makeAttribute("balsamrack.server", span.Server.str()));
+  bool isServerHop = std::string(span.Hop) == "server";
+  json out = {{"traceId", context.traceId()},
+              {"spanId", context.spanId()},
               {"name", span.Hop},
-              {"kind", toServer ? KindClient : KindServer},
-              {"startTimeUnixNano", nanos(span.Start)},
-              {"endTimeUnixNano", nanos(span.Start + span.Took)},
+              {"kind", isServerHop ? SpanKindClient : SpanKindServer},
+              {"startTimeUnixNano", toUnixNanos(span.Start)},
+              {"endTimeUnixNano", toUnixNanos(span.Start + span.Took)},
               {"attributes", std::move(attributes)}};
   if (parent.ok())
     out["parentSpanId"] = parent->spanId();
   if (span.Failed)
-    out["status"] = {{"code", StatusError}, {"message", span.Result}};
+    out["status"] = {{"code", StatusCodeError}, {"message", span.Result}};
   return out;
 }
 
-json RingAndFile::summaryOf(const HopSpan &span) {
-  auto own = TraceContext::parse(span.Traceparent);
+json RingAndFileSpanSink::toSummary(const HopSpan &span) {
+  auto context = TraceContext::parse(span.Traceparent);
   auto parent = TraceContext::parse(span.Parent);
-  return {{"span", own.ok() ? own->spanId() : ""},
+  return {{"span", context.ok() ? context->spanId() : ""},
           {"parent", parent.ok() ? parent->spanId() : ""},
           {"name", span.Hop},
           {"start_us", span.Start.time_since_epoch().count()},
@@ -150,36 +154,37 @@
           {"failed", span.Failed}};
 }
 
-void RingAndFile::write(const HopSpan &span) {
+void RingAndFileSpanSink::write(const HopSpan &span) {
   json resource = {{"attributes",
-                    {attribute("service.name", "balsamrackd"),
-                     attribute("host.name", Settings.Vm)}}};
+                    {makeAttribute("service.name", "balsamrackd"),
+                     makeAttribute("host.name", Settings.Vm)}}};
   json scope = {{"scope", {{"name", "balsamrack"}}},
-                {"spans", json::array({otlpOf(span)})}};
+                {"spans", json::array({toOtlp(span)})}};
   json line = {
       {"resourceSpans", json::array({{{"resource", std::move(resource)},
                                       {"scopeSpans", json::array({scope})}}})}};
   std::string text =
       line.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
-  std::lock_guard<std::mutex> hold(FileLock);
-  if (Written + text.size() > Settings.MaxFileBytes)
+  std::lock_guard<std::mutex> guard(FileLock);
+  if (BytesWritten + text.size() > Settings.MaxFileBytes)
     return;
-  Written += text.size();
+  BytesWritten += text.size();
   File << text << std::flush;
 }
 
-json RingAndFile::spansOf(const std::string &traceId) const {
-  auto wanted = TraceContext::parse("00-" + traceId + "-0000000000000001-01");
+json RingAndFileSpanSink::spansOf(const std::string &traceId) const {
+  auto traceContext =
+      TraceContext::parse("00-" + traceId + "-0000000000000001-01");
   json out = json::array();
-  if (!wanted.ok())
+  if (!traceContext.ok())
     return out;
-  const Shard &shard = All[shardOf(*wanted)];
+  const Shard &shard = AllShards[shardIndex(*traceContext)];
   std::vector<HopSpan> found;
   {
-    std::lock_guard<std::mutex> hold(shard.Lock);
+    std::lock_guard<std::mutex> guard(shard.Lock);
     for (const HopSpan &span : shard.Ring) {
-      auto own = TraceContext::parse(span.Traceparent);
-      if (own.ok() && own->traceId() == traceId)
+      auto context = TraceContext::parse(span.Traceparent);
+      if (context.ok() && context->traceId() == traceId)
         found.push_back(span);
     }
   }
@@ -187,7 +192,7 @@
       found.begin(), found.end(),
       [](const HopSpan &a, const HopSpan &b) { return a.Start < b.Start; });
   for (const HopSpan &span : found)
-    out.push_back(summaryOf(span));
+    out.push_back(toSummary(span));
   return out;
 }
 
@@ -195,11 +200,11 @@
 
 absl::StatusOr<std::unique_ptr<SpanSink>>
 SpanSink::create(const SpanSinkSettings &settings, const Clock &clock) {
-  auto made = std::make_unique<RingAndFile>(settings, clock);
-  absl::Status status = made->open();
+  auto sink = std::make_unique<RingAndFileSpanSink>(settings, clock);
+  absl::Status status = sink->open();
   if (!status.ok())
     return status;
-  return made;
+  return sink;
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Observability/SpanSink.h
+++ b/Balsamrack/Observability/SpanSink.h
@@ -18,7 +18,7 @@
   std::string Vm;   ///< Name of this VM, in each span's resource.
   std::string File; ///< OTLP/JSON lines; empty: none.
   uint64_t MaxFileBytes = uint64_t(256) << 20; ///< Nothing is written beyond.
-  size_t Held = 4096;                          ///< Spans kept in memory.
+  size_t MaxSpans = 4096;                      ///< Spans kept in memory.
   uint64_t Seed = 1;                           ///< Of the span ids.
 };
 
--- a/Balsamrack/Observability/TraceContext.cpp
+++ b/Balsamrack/Observability/TraceContext.cpp
@@ -9,22 +9,23 @@
 namespace {
 
 // 00-<32 trace id>-<16 span id>-<2 flags>
-constexpr size_t Length = 55;
-constexpr size_t TraceAt = 3;
-constexpr size_t SpanAt = 36;
-constexpr size_t FlagsAt = 53;
+constexpr size_t TraceparentLength = 55;
+constexpr size_t TraceIdOffset = 3;
+constexpr size_t SpanIdOffset = 36;
+constexpr size_t FlagsOffset = 53;
 
 /// Reads \p n lower-case hex digits, the only ones that the standard allows.
-bool hexAt(const std::string &text, size_t at, size_t n, uint64_t &out) {
-  for (size_t i = at; i < at + n; ++i)
+bool parseHex(const std::string &text, size_t offset, size_t digits,
+              uint64_t &out) {
+  for (size_t i = offset; i < offset + digits; ++i)
     if (!((text[i] >= '0' && text[i] <= '9') ||
           (text[i] >= 'a' && text[i] <= 'f')))
       return false;
-  const char *from = text.data() + at;
-  return std::from_chars(from, from + n, out, 16).ptr == from + n;
+  const char *begin = text.data() + offset;
+  return std::from_chars(begin, begin + digits, out, 16).ptr == begin + digits;
 }
 
-uint64_t nonZero(RandomSource &random) {
+uint64_t nextNonZero(RandomSource &random) {
   uint64_t id = 0;
   while (id == 0)
     id = random.next();
@@ -35,30 +36,32 @@
 
 absl::StatusOr<TraceContext> TraceContext::parse(const std::string &text) {
   constexpr uint64_t ForbiddenVersion = 0xff;
-  TraceContext c;
+  TraceContext context;
   uint64_t version = 0;
   uint64_t flags = 0;
-  bool ok = text.size() >= Length && text[2] == '-' &&
-            text[SpanAt - 1] == '-' && text[FlagsAt - 1] == '-' &&
-            hexAt(text, 0, 2, version) &&
-            hexAt(text, TraceAt, 16, c.TraceHigh) &&
-            hexAt(text, TraceAt + 16, 16, c.TraceLow) &&
-            hexAt(text, SpanAt, 16, c.Span) && hexAt(text, FlagsAt, 2, flags);
+  bool ok = text.size() >= TraceparentLength && text[2] == '-' &&
+            text[SpanIdOffset - 1] == '-' && text[FlagsOffset - 1] == '-' &&
+            parseHex(text, 0, 2, version) &&
+            parseHex(text, TraceIdOffset, 16, context.TraceHigh) &&
+            parseHex(text, TraceIdOffset + 16, 16, context.TraceLow) &&
+            parseHex(text, SpanIdOffset, 16, context.Span) &&
+            parseHex(text, FlagsOffset, 2, flags);
   // Only a later version may go on behind the flags.
-  ok = ok && (text.size() == Length || (version != 0 && text[Length] == '-'));
-  if (!ok || version == ForbiddenVersion || c.Span == 0 ||
-      (c.TraceHigh == 0 && c.TraceLow == 0))
+  ok = ok && (text.size() == TraceparentLength ||
+              (version != 0 && text[TraceparentLength] == '-'));
+  if (!ok || version == ForbiddenVersion || context.Span == 0 ||
+      (context.TraceHigh == 0 && context.TraceLow == 0))
     return absl::InvalidArgumentError("not a traceparent");
-  c.Flags = static_cast<uint8_t>(flags);
-  return c;
+  context.Flags = static_cast<uint8_t>(flags);
+  return context;
 }
 
 TraceContext TraceContext::start(RandomSource &random) {
-  return {random.next(), nonZero(random), nonZero(random), 1};
+  return {random.next(), nextNonZero(random), nextNonZero(random), 1};
 }
 
 TraceContext TraceContext::child(RandomSource &random) const {
-  return {TraceHigh, TraceLow, nonZero(random), Flags};
+  return {TraceHigh, TraceLow, nextNonZero(random), Flags};
 }
 
 std::string TraceContext::str() const {
--- a/Balsamrack/Peers/PeerAcceptor.cpp
+++ b/Balsamrack/Peers/PeerAcceptor.cpp
@@ -192,7 +192,7 @@
     it->second.ClosedByError = true;
   ErrorCode ec;
   Endpoint.close(h, code, std::string(why.message()).substr(0, 100), ec);
-  report(atStep(std::move(why), Step::DecodePeerMessage, peer));
+  report(addErrorContext(std::move(why), Step::DecodePeerMessage, peer));
 }
 
 void WebsocketAcceptor::onMessage(const Handle &h,
@@ -302,7 +302,8 @@
                      boost::asio::io_context &context, HelloCallback onHello) {
   auto allowed = AddressSet::parse(settings.Allowed);
   if (!allowed.ok())
-    return atStep(allowed.status(), Step::Listen, settings.Listen.str());
+    return addErrorContext(allowed.status(), Step::Listen,
+                           settings.Listen.str());
   auto acceptor = std::make_unique<WebsocketAcceptor>(
       settings, listener, stats, context, *std::move(allowed),
       std::move(onHello));
--- a/Balsamrack/Peers/PeerCodec.cpp
+++ b/Balsamrack/Peers/PeerCodec.cpp
@@ -106,7 +106,7 @@
 absl::StatusOr<PeerMessage> decodePeerMessage(const std::string &frame) {
   absl::Status shape = validateCbor(frame, CborLimits{MaxPeerFrameBytes});
   if (!shape.ok())
-    return atStep(std::move(shape), Step::DecodePeerMessage, "");
+    return addErrorContext(std::move(shape), Step::DecodePeerMessage, "");
   nlohmann::json root = nlohmann::json::from_cbor(frame, true, false);
   if (!root.is_object())
     return fault("not a CBOR map");
--- a/Balsamrack/Replay/Recorder.cpp
+++ b/Balsamrack/Replay/Recorder.cpp
@@ -19,20 +19,20 @@
 
 Recorder::Recorder(std::ofstream file, uint64_t maxBytes,
                    const std::string &fleetKey)
-    : Own(fleetKey), Traced(TraceTokenKey), File(std::move(file)),
+    : FleetTokens(fleetKey), TraceTokens(TraceTokenKey), File(std::move(file)),
       BytesLeft(maxBytes) {}
 
-std::string Recorder::translate(const std::string &token) const {
+std::string Recorder::reencodeToken(const std::string &token) const {
   if (token.empty())
     return token;
-  const auto read = Own.decode(token);
-  return read ? Traced.encode(*read) : "unreadable";
+  const auto decoded = FleetTokens.decode(token);
+  return decoded ? TraceTokens.encode(*decoded) : "unreadable";
 }
 
 void Recorder::record(TraceLine line) {
-  if (auto *event = std::get_if<EntryEvent>(&line.What))
+  if (auto *event = std::get_if<EntryEvent>(&line.Payload))
     if (auto *packet = std::get_if<PacketArrived>(event))
-      packet->Token = translate(packet->Token);
+      packet->Token = reencodeToken(packet->Token);
   const std::string text = encodeTraceLine(line);
   std::lock_guard<std::mutex> guard(Lock);
   if (BytesLeft == 0)
--- a/Balsamrack/Replay/Recorder.h
+++ b/Balsamrack/Replay/Recorder.h
@@ -30,11 +30,11 @@
 
 private:
   Recorder(std::ofstream file, uint64_t maxBytes, const std::string &fleetKey);
-  std::string translate(const std::string &token) const;
+  std::string reencodeToken(const std::string &token) const;
 
-  const FlowTokenCodec Own;    ///< Reads the fleet's tokens.
-  const FlowTokenCodec Traced; ///< Writes the trace's.
-  std::mutex Lock;             ///< Guards all below.
+  const FlowTokenCodec FleetTokens; ///< Reads the fleet's tokens.
+  const FlowTokenCodec TraceTokens; ///< Writes the trace's.
+  std::mutex Lock;                  ///< Guards all below.
   std::ofstream File;
   uint64_t BytesLeft;
 };
--- a/Balsamrack/Replay/Replayer.cpp
+++ b/Balsamrack/Replay/Replayer.cpp
@@ -8,12 +8,15 @@
 
 namespace {
 
-absl::Status badTrace(const TraceLine &line, const std::string &what) {
+absl::Status invalidTraceError(const TraceLine &line,
+                               const std::string &message) {
   return makeError(absl::StatusCode::kInvalidArgument, Step::Replay,
-                   line.Machine, what);
+                   line.Machine, message);
 }
 
-bool isBlank(const std::string &line) { return line.empty() || line[0] == '#'; }
+bool isBlankOrComment(const std::string &line) {
+  return line.empty() || line[0] == '#';
+}
 
 template <class Actions>
 std::vector<std::string> encodeAll(const TraceLine &line, Actions actions) {
@@ -27,14 +30,14 @@
 } // namespace
 
 absl::StatusOr<std::vector<std::string>>
-Replayer::run(const std::string &text) {
-  if (isBlank(text))
+Replayer::processLine(const std::string &text) {
+  if (isBlankOrComment(text))
     return std::vector<std::string>();
   auto line = decodeTraceLine(text);
   if (!line.ok())
     return line.status();
-  if (std::holds_alternative<RouterOpened>(line->What) ||
-      std::holds_alternative<OwnerOpened>(line->What)) {
+  if (std::holds_alternative<RouterOpened>(line->Payload) ||
+      std::holds_alternative<OwnerOpened>(line->Payload)) {
     const absl::Status status = open(*line);
     if (!status.ok())
       return status;
@@ -42,27 +45,27 @@
   }
   const auto machine = Machines.find(line->Machine);
   if (machine == Machines.end())
-    return badTrace(*line, "the machine was not opened");
-  if (line->At < machine->second.Last)
-    return badTrace(*line, "time goes back");
-  machine->second.Last = line->At;
+    return invalidTraceError(*line, "the machine was not opened");
+  if (line->At < machine->second.LastStepTime)
+    return invalidTraceError(*line, "time goes back");
+  machine->second.LastStepTime = line->At;
   return step(machine->second, *line);
 }
 
 absl::Status Replayer::open(const TraceLine &line) {
   Machine machine;
-  machine.Last = line.At;
-  if (const auto *router = std::get_if<RouterOpened>(&line.What)) {
-    auto made = EntryRouter::create(router->Settings, router->Seed);
-    if (!made.ok())
-      return made.status();
-    machine.Core = std::move(*made);
-  } else if (const auto *owner = std::get_if<OwnerOpened>(&line.What)) {
-    auto made =
+  machine.LastStepTime = line.At;
+  if (const auto *router = std::get_if<RouterOpened>(&line.Payload)) {
+    auto created = EntryRouter::create(router->Settings, router->Seed);
+    if (!created.ok())
+      return created.status();
+    machine.Impl = std::move(*created);
+  } else if (const auto *owner = std::get_if<OwnerOpened>(&line.Payload)) {
+    auto created =
         ServiceOwner::create(OwnerSettings(), owner->Service, owner->Seed);
-    if (!made.ok())
-      return made.status();
-    machine.Core = std::move(*made);
+    if (!created.ok())
+      return created.status();
+    machine.Impl = std::move(*created);
   }
   Machines[line.Machine] = std::move(machine);
   return absl::OkStatus();
@@ -70,33 +73,33 @@
 
 absl::StatusOr<std::vector<std::string>> Replayer::step(Machine &machine,
                                                         const TraceLine &line) {
-  if (const auto *event = std::get_if<EntryEvent>(&line.What)) {
-    auto *core = std::get_if<std::unique_ptr<EntryRouter>>(&machine.Core);
-    if (!core)
-      return badTrace(line, "an entry's event for another machine");
-    return encodeAll(line, (*core)->step(line.At, *event));
+  if (const auto *event = std::get_if<EntryEvent>(&line.Payload)) {
+    auto *router = std::get_if<std::unique_ptr<EntryRouter>>(&machine.Impl);
+    if (!router)
+      return invalidTraceError(line, "an entry's event for another machine");
+    return encodeAll(line, (*router)->step(line.At, *event));
   }
-  auto *core = std::get_if<std::unique_ptr<ServiceOwner>>(&machine.Core);
-  if (!core)
-    return badTrace(line, "an owner's event for another machine");
+  auto *owner = std::get_if<std::unique_ptr<ServiceOwner>>(&machine.Impl);
+  if (!owner)
+    return invalidTraceError(line, "an owner's event for another machine");
   return encodeAll(line,
-                   (*core)->step(line.At, std::get<OwnerEvent>(line.What)));
+                   (*owner)->step(line.At, std::get<OwnerEvent>(line.Payload)));
 }
 
 std::optional<ReplayDifference>
-compareOutcomes(const std::vector<std::string> &actions,
-                const std::vector<std::string> &stated) {
+compareOutcomes(const std::vector<std::string> &actual,
+                const std::vector<std::string> &expected) {
   size_t next = 0;
-  for (size_t i = 0; i < stated.size(); ++i) {
-    if (isBlank(stated[i]))
+  for (size_t i = 0; i < expected.size(); ++i) {
+    if (isBlankOrComment(expected[i]))
       continue;
-    const std::string found = next < actions.size() ? actions[next] : "";
-    if (found != stated[i])
-      return ReplayDifference{i + 1, stated[i], found};
+    const std::string actualLine = next < actual.size() ? actual[next] : "";
+    if (actualLine != expected[i])
+      return ReplayDifference{i + 1, expected[i], actualLine};
     ++next;
   }
-  if (next < actions.size())
-    return ReplayDifference{stated.size() + 1, "", actions[next]};
+  if (next < actual.size())
+    return ReplayDifference{expected.size() + 1, "", actual[next]};
   return std::nullopt;
 }
 
--- a/Balsamrack/Replay/Replayer.h
+++ b/Balsamrack/Replay/Replayer.h
@@ -21,13 +21,13 @@
   /// for an empty line or a comment (#). Error kInvalidArgument (step replay)
   /// for a line that can't be read, a machine that was not opened, or a time
   /// that goes back.
-  absl::StatusOr<std::vector<std::string>> run(const std::string &line);
+  absl::StatusOr<std::vector<std::string>> processLine(const std::string &line);
 
 private:
   struct Machine {
-    TimePoint Last; ///< Time of the last step.
+    TimePoint LastStepTime; ///< Time of the last step.
     std::variant<std::unique_ptr<EntryRouter>, std::unique_ptr<ServiceOwner>>
-        Core;
+        Impl;
   };
 
   absl::Status open(const TraceLine &line);
@@ -39,17 +39,17 @@
 
 /// First difference between what a replay did and what was stated.
 struct ReplayDifference {
-  size_t Line = 0;      ///< In the stated outcomes, from 1.
-  std::string Expected; ///< Empty: the replay did more than was stated.
-  std::string Found;    ///< Empty: it did less.
+  size_t Line = 0;          ///< In the stated outcomes, from 1.
+  std::string ExpectedLine; ///< Empty: the replay did more than was stated.
+  std::string ActualLine;   ///< Empty: it did less.
 };
 
 /// Compares actions with the lines of an outcomes file; nothing when they are
 /// the same, byte for byte. Empty lines and comments (#) are passed over.
 /// Thread-safe.
 std::optional<ReplayDifference>
-compareOutcomes(const std::vector<std::string> &actions,
-                const std::vector<std::string> &stated);
+compareOutcomes(const std::vector<std::string> &actual,
+                const std::vector<std::string> &expected);
 
 } // namespace balsamrack
 
--- a/Balsamrack/Replay/TraceArchive.h
+++ b/Balsamrack/Replay/TraceArchive.h
@@ -95,14 +95,14 @@
   template <class T> using Ref = T &;
 
   /// Precondition: \p in and \p fault outlive the reader.
-  TraceReader(const nlohmann::json &in, std::string &fault)
-      : In(in), Fault(fault) {
+  TraceReader(const nlohmann::json &in, std::string &error)
+      : In(in), FirstError(error) {
     if (!In.is_object())
-      fail("an object is expected");
+      setError("an object is expected");
   }
   ~TraceReader() {
-    if (In.is_object() && Known < In.size())
-      fail("an unknown field");
+    if (In.is_object() && FieldsRead < In.size())
+      setError("an unknown field");
   }
   TraceReader(const TraceReader &) = delete;
   TraceReader &operator=(const TraceReader &) = delete;
@@ -113,22 +113,22 @@
     const auto it = In.is_object() ? In.find(name) : In.end();
     if (it == In.end())
       return;
-    ++Known;
+    ++FieldsRead;
     if (!fromJson(*it, field))
-      fail(name);
+      setError(name);
   }
   /// Reads an enum; a value above \p last is a fault.
   template <class E> void oneOf(const char *name, E &field, E last) {
     uint64_t raw = 0;
     (*this)(name, raw);
     if (raw > static_cast<uint64_t>(last))
-      return fail(name);
+      return setError(name);
     field = static_cast<E>(raw);
   }
   /// Notes the first fault.
-  void fail(const std::string &what) {
-    if (Fault.empty())
-      Fault = what;
+  void setError(const std::string &error) {
+    if (FirstError.empty())
+      FirstError = error;
   }
 
 private:
@@ -168,24 +168,24 @@
   }
   template <class T>
   bool structured(const nlohmann::json &v, std::vector<T> &field) {
-    for (const nlohmann::json &it : v) {
+    for (const nlohmann::json &element : v) {
       field.emplace_back();
-      if (!fromJson(it, field.back()))
+      if (!fromJson(element, field.back()))
         return false;
     }
     return v.is_array();
   }
   template <class T> bool structured(const nlohmann::json &v, T &field) {
     {
-      TraceReader inner(v, Fault);
+      TraceReader inner(v, FirstError);
       traceFields(inner, field);
     }
-    return Fault.empty();
+    return FirstError.empty();
   }
 
   const nlohmann::json &In; ///< The object that is read.
-  std::string &Fault;       ///< First fault of the whole event.
-  size_t Known = 0;         ///< Fields of In that were read.
+  std::string &FirstError;  ///< First fault of the whole event.
+  size_t FieldsRead = 0;    ///< Fields of In that were read.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Replay/TraceCodec.cpp
+++ b/Balsamrack/Replay/TraceCodec.cpp
@@ -56,7 +56,7 @@
   ar("service", m.Service);
 }
 
-template <class T> json objectOf(const T &value) {
+template <class T> json encodeObject(const T &value) {
   json object = json::object();
   TraceWriter writer(object);
   traceFields(writer, value);
@@ -64,19 +64,20 @@
 }
 
 template <class Variant, size_t N>
-json eventOf(const Variant &event, const std::array<const char *, N> &names,
-             json &line) {
+json encodeVariant(const Variant &event,
+                   const std::array<const char *, N> &names, json &line) {
   line["what"] = names[event.index()];
-  return std::visit([](const auto &it) { return objectOf(it); }, event);
+  return std::visit([](const auto &it) { return encodeObject(it); }, event);
 }
 
-absl::Status badLine(const std::string &fault) {
-  return makeError(absl::StatusCode::kInvalidArgument, Step::Replay, "", fault);
+absl::Status invalidLineError(const std::string &message) {
+  return makeError(absl::StatusCode::kInvalidArgument, Step::Replay, "",
+                   message);
 }
 
 template <class T>
-bool readInto(const json &with, T &value, std::string &fault) {
-  TraceReader reader(with, fault);
+bool decodeObject(const json &fields, T &value, std::string &error) {
+  TraceReader reader(fields, error);
   traceFields(reader, value);
   return true;
 }
@@ -84,45 +85,46 @@
 /// Reads the alternative of \p Variant that \p name stands for; false when
 /// there is none of that name.
 template <class Variant, size_t N, size_t I = 0>
-bool readAlternative(const std::string &name,
-                     const std::array<const char *, N> &names, const json &with,
-                     Variant &out, std::string &fault) {
+bool decodeAlternative(const std::string &name,
+                       const std::array<const char *, N> &names,
+                       const json &fields, Variant &out, std::string &error) {
   if constexpr (I == N) {
     return false;
   } else {
     if (name != names[I])
-      return readAlternative<Variant, N, I + 1>(name, names, with, out, fault);
+      return decodeAlternative<Variant, N, I + 1>(name, names, fields, out,
+                                                  error);
     std::variant_alternative_t<I, Variant> value;
-    readInto(with, value, fault);
+    decodeObject(fields, value, error);
     out = std::move(value);
     return true;
   }
 }
 
-bool readWhat(const std::string &name, const json &with, TraceLine &line,
-              std::string &fault) {
+bool decodePayload(const std::string &name, const json &fields, TraceLine &line,
+                   std::string &error) {
   if (name == RouterOpenedName) {
     RouterOpened opened;
-    readInto(with, opened, fault);
+    decodeObject(fields, opened, error);
     opened.Settings.TokenKey = TraceTokenKey;
-    line.What = std::move(opened);
+    line.Payload = std::move(opened);
     return true;
   }
   if (name == OwnerOpenedName) {
     OwnerOpened opened;
-    readInto(with, opened, fault);
-    line.What = std::move(opened);
+    decodeObject(fields, opened, error);
+    line.Payload = std::move(opened);
     return true;
   }
   EntryEvent entry;
-  if (readAlternative(name, EntryEventNames, with, entry, fault)) {
-    line.What = std::move(entry);
+  if (decodeAlternative(name, EntryEventNames, fields, entry, error)) {
+    line.Payload = std::move(entry);
     return true;
   }
   OwnerEvent owner;
-  if (!readAlternative(name, OwnerEventNames, with, owner, fault))
+  if (!decodeAlternative(name, OwnerEventNames, fields, owner, error))
     return false;
-  line.What = std::move(owner);
+  line.Payload = std::move(owner);
   return true;
 }
 
@@ -131,16 +133,16 @@
 std::string encodeTraceLine(const TraceLine &line) {
   json text = {{"machine", line.Machine},
                {"at_us", line.At.time_since_epoch().count()}};
-  if (const auto *router = std::get_if<RouterOpened>(&line.What)) {
+  if (const auto *router = std::get_if<RouterOpened>(&line.Payload)) {
     text["what"] = RouterOpenedName;
-    text["with"] = objectOf(*router);
-  } else if (const auto *owner = std::get_if<OwnerOpened>(&line.What)) {
+    text["with"] = encodeObject(*router);
+  } else if (const auto *owner = std::get_if<OwnerOpened>(&line.Payload)) {
     text["what"] = OwnerOpenedName;
-    text["with"] = objectOf(*owner);
-  } else if (const auto *entry = std::get_if<EntryEvent>(&line.What)) {
-    text["with"] = eventOf(*entry, EntryEventNames, text);
-  } else if (const auto *event = std::get_if<OwnerEvent>(&line.What)) {
-    text["with"] = eventOf(*event, OwnerEventNames, text);
+    text["with"] = encodeObject(*owner);
+  } else if (const auto *entry = std::get_if<EntryEvent>(&line.Payload)) {
+    text["with"] = encodeVariant(*entry, EntryEventNames, text);
+  } else if (const auto *event = std::get_if<OwnerEvent>(&line.Payload)) {
+    text["with"] = encodeVariant(*event, OwnerEventNames, text);
   }
   return text.dump(-1, ' ', false, json::error_handler_t::replace);
 }
@@ -151,27 +153,27 @@
       !root["machine"].is_string() || !root.contains("at_us") ||
       !root["at_us"].is_number_integer() || !root.contains("what") ||
       !root["what"].is_string())
-    return badLine("no object with machine, at_us and what");
+    return invalidLineError("no object with machine, at_us and what");
   TraceLine line;
   line.Machine = root["machine"].get<std::string>();
   line.At = TimePoint(Duration(root["at_us"].get<int64_t>()));
   const std::string name = root["what"].get<std::string>();
-  const json with = root.value("with", json::object());
-  std::string fault;
-  if (!readWhat(name, with, line, fault))
-    return badLine("unknown event " + name);
-  if (!fault.empty())
-    return badLine(name + ": " + fault);
+  const json fields = root.value("with", json::object());
+  std::string error;
+  if (!decodePayload(name, fields, line, error))
+    return invalidLineError("unknown event " + name);
+  if (!error.empty())
+    return invalidLineError(name + ": " + error);
   return line;
 }
 
 std::string encodeActionLine(const ActionLine &line) {
   json text = {{"machine", line.Machine},
                {"at_us", line.At.time_since_epoch().count()}};
-  if (const auto *entry = std::get_if<EntryAction>(&line.What))
-    text["with"] = eventOf(*entry, EntryActionNames, text);
-  else if (const auto *owner = std::get_if<OwnerAction>(&line.What))
-    text["with"] = eventOf(*owner, OwnerActionNames, text);
+  if (const auto *entry = std::get_if<EntryAction>(&line.Action))
+    text["with"] = encodeVariant(*entry, EntryActionNames, text);
+  else if (const auto *owner = std::get_if<OwnerAction>(&line.Action))
+    text["with"] = encodeVariant(*owner, OwnerActionNames, text);
   return text.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
--- a/Balsamrack/Replay/TraceCodec.h
+++ b/Balsamrack/Replay/TraceCodec.h
@@ -34,14 +34,14 @@
   std::string Machine; ///< Name of the machine, such as "entry-3".
   TimePoint At;        ///< Time of the step.
   std::variant<RouterOpened, OwnerOpened, EntryEvent, OwnerEvent>
-      What; ///< What happened.
+      Payload; ///< What happened.
 };
 
 /// One action of a machine in a replay.
 struct ActionLine {
-  std::string Machine;                         ///< Which machine.
-  TimePoint At;                                ///< Time of the step.
-  std::variant<EntryAction, OwnerAction> What; ///< What it asked for.
+  std::string Machine;                           ///< Which machine.
+  TimePoint At;                                  ///< Time of the step.
+  std::variant<EntryAction, OwnerAction> Action; ///< What it asked for.
 };
 
 /// The line as JSON, without a line break. Thread-safe.
--- a/Balsamrack/Replay/TraceFields.h
+++ b/Balsamrack/Replay/TraceFields.h
@@ -173,15 +173,15 @@
 }
 
 /// A ViewChanged as it stands in a trace: without what is computed from it.
-struct TracedView {
+struct RecordedView {
   TicketNumber Ticket;                ///< As in RoutingView.
   EntryVm Self;                       ///< As in RoutingView.
   std::vector<ServiceRoute> Services; ///< Values of the map.
-  KeyReplicaView Guardians;           ///< As in RoutingView.
+  KeyReplicaView KeyReplicas;         ///< As in RoutingView.
 };
 
 template <class Ar>
-void traceFields(Ar &ar, typename Ar::template Ref<TracedView> m) {
+void traceFields(Ar &ar, typename Ar::template Ref<RecordedView> m) {
   ar("ticket", m.Ticket);
   ar("self", m.Self);
   ar("services", m.Services);
@@ -189,28 +189,28 @@
 }
 
 inline void traceFields(TraceWriter &ar, const ViewChanged &m) {
-  TracedView view{m.View->Ticket, m.View->Self, {}, m.View->KeyReplicas};
+  RecordedView view{m.View->Ticket, m.View->Self, {}, m.View->KeyReplicas};
   for (const auto &[id, route] : m.View->Services)
     view.Services.push_back(route);
   traceFields(ar, view);
 }
 
 inline void traceFields(TraceReader &ar, ViewChanged &m) {
-  TracedView traced;
-  traceFields(ar, traced);
-  RoutingView parts;
-  parts.Ticket = traced.Ticket;
-  parts.Self = traced.Self;
-  parts.KeyReplicas = std::move(traced.Guardians);
-  for (ServiceRoute &it : traced.Services) {
+  RecordedView recorded;
+  traceFields(ar, recorded);
+  RoutingView contents;
+  contents.Ticket = recorded.Ticket;
+  contents.Self = recorded.Self;
+  contents.KeyReplicas = std::move(recorded.KeyReplicas);
+  for (ServiceRoute &it : recorded.Services) {
     const ServiceId id = it.Settings.Id;
-    parts.Services[id] = std::move(it);
+    contents.Services[id] = std::move(it);
   }
-  auto view = RoutingView::create(std::move(parts));
+  auto view = RoutingView::create(std::move(contents));
   if (view.ok())
     m.View = std::move(*view);
   else
-    ar.fail(std::string(view.status().message()));
+    ar.setError(std::string(view.status().message()));
 }
 
 // Events of the owner.
--- a/Balsamrack/World/Request.cpp
+++ b/Balsamrack/World/Request.cpp
@@ -26,7 +26,7 @@
     return "deadline-too-short";
   case Reason::DeadlinePassed:
     return "deadline-passed";
-  case Reason::CallerShare:
+  case Reason::CallerOverFairShare:
     return "caller-share";
   case Reason::ServerCold:
     return "server-cold";
@@ -42,33 +42,33 @@
     return "server-unreachable";
   case Reason::ServerFailed:
     return "server-failed";
-  case Reason::DomainOut:
+  case Reason::DomainOutOfService:
     return "domain-out";
   case Reason::DomainUnreachable:
     return "domain-unreachable";
   case Reason::NotOwner:
     return "not-owner";
-  case Reason::OwnerUnsure:
+  case Reason::OwnerWithoutAuthority:
     return "owner-unsure";
   case Reason::OwnerUnreachable:
     return "owner-unreachable";
   case Reason::OwnerLost:
     return "owner-lost";
-  case Reason::FlowElsewhere:
+  case Reason::FlowNotOnServer:
     return "flow-elsewhere";
   case Reason::KeyInProgress:
     return "key-in-progress";
   case Reason::KeyAnswered:
     return "key-answered";
-  case Reason::KeyUnknown:
+  case Reason::KeyOutcomeUnknown:
     return "key-unknown";
   case Reason::NoServer:
     return "no-server";
-  case Reason::RetryBudget:
+  case Reason::RetryBudgetExhausted:
     return "retry-budget";
   case Reason::ShuttingDown:
     return "shutting-down";
-  case Reason::CallerGone:
+  case Reason::CallerDisconnected:
     return "caller-gone";
   case Reason::BadRequest:
     return "bad-request";
--- a/Balsamrack/World/Request.h
+++ b/Balsamrack/World/Request.h
@@ -36,31 +36,34 @@
   QueueFull,        ///< The server's queue is full.
   DeadlineTooShort, ///< The expected queueing time exceeds the remaining time.
   DeadlinePassed,   ///< The remaining time expired in the queue.
-  CallerShare,      ///< The caller already uses its fair share of the queue.
-  ServerCold,       ///< The ramp-up limit of a cold server is reached.
-  ServerFull,       ///< The server has reached its flow limit.
-  ServerDraining,   ///< A new flow for a draining server.
+  CallerOverFairShare, ///< The caller already uses its fair share of the queue.
+  ServerCold,          ///< The ramp-up limit of a cold server is reached.
+  ServerFull,          ///< The server has reached its flow limit.
+  ServerDraining,      ///< A new flow for a draining server.
   ServerEjected, ///< A new flow for a server ejected for failures or slowness.
   ServerShed,    ///< The server reported that it did not execute the request.
   ServerUnreachable, ///< No connection to the server could be opened.
   ServerFailed, ///< The connection broke or timed out after the request left.
-  DomainOut,    ///< The failure domain was taken out of service by operators.
-  DomainUnreachable, ///< The owner's failure domain is unreachable.
-  NotOwner,    ///< The daemon that received it does not consider itself the
-               ///< server's owner.
-  OwnerUnsure, ///< The owner's lease has expired, or it is waiting for the
-               ///< previous owner's lease to expire.
+  DomainOutOfService, ///< The failure domain was taken out of service by
+                      ///< operators.
+  DomainUnreachable,  ///< The owner's failure domain is unreachable.
+  NotOwner, ///< The daemon that received it does not consider itself the
+            ///< server's owner.
+  OwnerWithoutAuthority, ///< The owner's lease has expired, or it is waiting
+                         ///< for the previous owner's lease to expire.
   OwnerUnreachable, ///< The owner was unreachable; the request was not sent.
   OwnerLost, ///< The owner became unreachable after the request was sent to it.
-  FlowElsewhere, ///< The flow is established but not known to this daemon.
-  KeyInProgress, ///< An attempt with the same key is in progress.
-  KeyAnswered,   ///< An attempt with the same key was already answered.
-  KeyUnknown,    ///< Unknown whether an attempt with the same key was executed.
-  NoServer,      ///< The service has no eligible backend server.
-  RetryBudget,   ///< Another retry would exceed the service's retry budget.
-  ShuttingDown,  ///< The daemon is shutting down.
-  CallerGone,    ///< The caller closed its connection.
-  BadRequest,    ///< The request envelope is malformed.
+  FlowNotOnServer,   ///< The flow is established but not known to this daemon.
+  KeyInProgress,     ///< An attempt with the same key is in progress.
+  KeyAnswered,       ///< An attempt with the same key was already answered.
+  KeyOutcomeUnknown, ///< Unknown whether an attempt with the same key was
+                     ///< executed.
+  NoServer,          ///< The service has no eligible backend server.
+  RetryBudgetExhausted, ///< Another retry would exceed the service's retry
+                        ///< budget.
+  ShuttingDown,         ///< The daemon is shutting down.
+  CallerDisconnected,   ///< The caller closed its connection.
+  BadRequest,           ///< The request envelope is malformed.
   UnknownService, ///< The ticket in force assigns this port to no service.
 };
 
@@ -121,9 +124,9 @@
 /// Outcome of an attempt, with everything that the next hop needs to report
 /// and explain it.
 struct Outcome {
-  RequestId Request;                     ///< Id of the attempt.
-  OutcomeKind How = OutcomeKind::NotRun; ///< Outcome reported to the caller.
-  Reason Why = Reason::None;             ///< Reason for the outcome.
+  RequestId Request;                      ///< Id of the attempt.
+  OutcomeKind Kind = OutcomeKind::NotRun; ///< Outcome reported to the caller.
+  Reason Cause = Reason::None;            ///< Reason for the outcome.
   Duration RetryAfter{
       0};             ///< Delay before a retry; zero when a retry is pointless.
   ServerId Server;    ///< Backend server concerned; may be empty.
--- a/PerformanceTest/FlowFleet.cpp
+++ b/PerformanceTest/FlowFleet.cpp
@@ -220,13 +220,13 @@
   o.Server = f.Server;
   const RoutedServer *server = owner.View->findServer(f.Server);
   if (!server || server->Owner.Id != owner.Vm.Id) {
-    o.Why = Reason::NotOwner;
+    o.Cause = Reason::NotOwner;
     return o;
   }
   FlowVerdict v =
       owner.Owner->resolveFlow(Now, head, f.Server, f.Accept, f.ByToken);
   if (v.How == FlowVerdict::Elsewhere || v.How == FlowVerdict::Unknown) {
-    o.Why = Reason::FlowElsewhere;
+    o.Cause = Reason::FlowNotOnServer;
     o.Server = v.Server;
     return o;
   }
@@ -235,10 +235,10 @@
   bool full = owner.Owner->countFlows(f.Server) > Settings.FlowsPerServer;
   if (v.How == FlowVerdict::New && (draining || full)) {
     owner.Owner->removeFlow(head.Flow);
-    o.Why = draining ? Reason::ServerDraining : Reason::ServerFull;
+    o.Cause = draining ? Reason::ServerDraining : Reason::ServerFull;
     return o;
   }
-  o.How = OutcomeKind::Answered;
+  o.Kind = OutcomeKind::Answered;
   return o;
 }
 
--- a/PerformanceTest/FlowsMeasure.cpp
+++ b/PerformanceTest/FlowsMeasure.cpp
@@ -78,7 +78,7 @@
   std::vector<Flow> flows(count);
   for (size_t i = 0; i < count; ++i) {
     FleetResult r = fleet.send(FlowId{from + i + 1}, true, "");
-    if (r.Result.How == OutcomeKind::Answered)
+    if (r.Result.Kind == OutcomeKind::Answered)
       flows[i] = {r.Result.Server, r.Token, false};
   }
   return flows;
@@ -99,11 +99,11 @@
     FleetResult r = fleet.send(FlowId{from + i + 1}, false, it.Token);
     ++sums.Packets;
     sums.Hops += r.Forwards + r.Rounds;
-    if (r.Result.How == OutcomeKind::NotRun)
+    if (r.Result.Kind == OutcomeKind::NotRun)
       ++sums.Refused;
     else
       it.Broken = it.Broken || r.Result.Server != it.Home ||
-                  r.Result.How == OutcomeKind::GivenUp;
+                  r.Result.Kind == OutcomeKind::GivenUp;
   }
 }
 
--- a/PerformanceTest/LoadModel.cpp
+++ b/PerformanceTest/LoadModel.cpp
@@ -53,7 +53,7 @@
   double at = 0;
   auto length = static_cast<double>((traffic.To - traffic.From).count());
   while (true) {
-    at += -std::log(1.0 - Random.unit()) * 1e6 / traffic.PerSecond;
+    at += -std::log(1.0 - Random.nextDouble()) * 1e6 / traffic.PerSecond;
     if (at >= length)
       return;
     uint64_t id = NextRequest++;
@@ -65,7 +65,7 @@
     call.Head.Kind = traffic.Kind;
     double work = static_cast<double>(traffic.Work.count());
     if (traffic.Varies)
-      work *= -std::log(1.0 - Random.unit());
+      work *= -std::log(1.0 - Random.nextDouble());
     call.Result.Label = traffic.Label;
     call.Result.Caller = call.Head.Caller;
     call.Result.Opens = traffic.Opens;
@@ -251,13 +251,13 @@
 void LoadModel::ended(const Outcome &outcome) {
   uint64_t id = outcome.Request.Value;
   Call &call = Calls.at(id);
-  bool another = call.Traffic.Opens && outcome.How == OutcomeKind::NotRun &&
+  bool another = call.Traffic.Opens && outcome.Kind == OutcomeKind::NotRun &&
                  ++call.Tries < MostTries && Now + OneWay < call.Deadline;
   if (another) {
     later(Now + OneWay, [this, id] { sendTo(id); });
     return;
   }
-  if (call.Traffic.Returns && outcome.How == OutcomeKind::NotRun &&
+  if (call.Traffic.Returns && outcome.Kind == OutcomeKind::NotRun &&
       outcome.RetryAfter > Duration(0) &&
       Now + outcome.RetryAfter < TimePoint(Start) + call.Traffic.To) {
     call.Tries = 0;
@@ -268,8 +268,8 @@
   }
   ++call.Result.Endings;
   call.Result.Ended = Now;
-  call.Result.How = outcome.How;
-  call.Result.Why = outcome.Why;
+  call.Result.How = outcome.Kind;
+  call.Result.Why = outcome.Cause;
   call.Result.RetryAfter = outcome.RetryAfter;
 }
 
--- a/Programs/balsamrack-packetd.cpp
+++ b/Programs/balsamrack-packetd.cpp
@@ -62,7 +62,7 @@
     Text = *text;
     PacketSettingsResult read = parsePacketSettings(Text);
     for (const SettingsFault &fault : read.Faults)
-      Log.write(LogLine(Part::Daemon, Severity::Error, "bad-settings")
+      Log.write(LogLine(Component::Daemon, Severity::Error, "bad-settings")
                     .text("file", Path)
                     .text("fault", fault.str()));
     if (!read.Faults.empty())
@@ -80,7 +80,7 @@
       return;
     Text = text;
     Complaint = what;
-    Log.write(LogLine(Part::Daemon, Severity::Error, "settings-unreadable")
+    Log.write(LogLine(Component::Daemon, Severity::Error, "settings-unreadable")
                   .text("file", Path)
                   .text("error", what));
   }
@@ -97,7 +97,7 @@
 int serve(const std::string &path, SignalPipe &signals) {
   SystemClock clock;
   auto log = EventLog::create(EventLogSettings(), StandardOutput, clock);
-  log->write(LogLine(Part::Daemon, Severity::Info, "started")
+  log->write(LogLine(Component::Daemon, Severity::Info, "started")
                  .text("version", BALSAMRACK_VERSION));
   // A bad file at the start is waited out: an exit would only bring the same
   // file again.
@@ -116,7 +116,7 @@
   // An address may be held for a moment by the run before. An exit would only
   // bring the same start again, later.
   while (!daemon.ok()) {
-    log->write(LogLine(Part::Daemon, Severity::Error, "not-started")
+    log->write(LogLine(Component::Daemon, Severity::Error, "not-started")
                    .text("error", describe(daemon.status())));
     if (asksForEnd(signals.wait(StartRetry)))
       return Good;
--- a/Programs/balsamrack-replay.cpp
+++ b/Programs/balsamrack-replay.cpp
@@ -37,7 +37,7 @@
   Replayer replayer;
   std::vector<std::string> actions;
   for (size_t i = 0; i < lines->size(); ++i) {
-    auto done = replayer.run((*lines)[i]);
+    auto done = replayer.processLine((*lines)[i]);
     if (!done.ok())
       return makeError(done.status().code(), Step::Replay,
                        path + ":" + std::to_string(i + 1),
@@ -63,8 +63,8 @@
     return Same;
   }
   std::cout << trace << ": first difference at " << outcomes << ":"
-            << difference->Line << "\n  stated: " << difference->Expected
-            << "\n  found:  " << difference->Found << "\n";
+            << difference->Line << "\n  stated: " << difference->ExpectedLine
+            << "\n  found:  " << difference->ActualLine << "\n";
   return Different;
 }
 
--- a/StandIns/standin-callersMain.cpp
+++ b/StandIns/standin-callersMain.cpp
@@ -23,7 +23,7 @@
   size_t equals = text.find('=');
   auto at = Address::parse(
       equals == std::string::npos ? "" : text.substr(equals + 1));
-  exitUnlessOk(atStep(at.status(), Step::ReadSettings, text));
+  exitUnlessOk(addErrorContext(at.status(), Step::ReadSettings, text));
   return {text.substr(0, equals), *at};
 }
 
--- a/UnitTests/Daemon/PlatformReaderTest.cpp
+++ b/UnitTests/Daemon/PlatformReaderTest.cpp
@@ -73,8 +73,8 @@
                        Duration) override {}
   void recordDispatchEnd(const ServerId &, DispatchOutcome, Duration) override {
   }
-  void log(Part, Severity, const std::string &) override {}
-  void recordError(Part, const absl::Status &) override {}
+  void log(Component, Severity, const std::string &) override {}
+  void recordError(Component, const absl::Status &) override {}
 };
 
 PlatformSettings quick() {
--- a/UnitTests/Decisions/AdmissionQueueTest.cpp
+++ b/UnitTests/Decisions/AdmissionQueueTest.cpp
@@ -98,7 +98,7 @@
                               {{1, 10}, {1, 30}, {2, 90}, {1, 20}},
                               {1, 3, 2},
                               {4},
-                              Reason::CallerShare},
+                              Reason::CallerOverFairShare},
                     QueueCase{"OneCallerMayFillTheQueue",
                               true,
                               2,
--- a/UnitTests/Decisions/ServiceOwnerTest.cpp
+++ b/UnitTests/Decisions/ServiceOwnerTest.cpp
@@ -102,10 +102,10 @@
       {"DrainingNewFlow", reconfigured(ServerMode::Draining, true, true),
        OutcomeKind::NotRun, Reason::ServerDraining, 0},
       {"DomainOutNewFlow", reconfigured(ServerMode::Active, false, true),
-       OutcomeKind::NotRun, Reason::DomainOut, 0},
+       OutcomeKind::NotRun, Reason::DomainOutOfService, 0},
       {"DomainOutEstablishedFlow",
        reconfigured(ServerMode::Active, false, false), OutcomeKind::GivenUp,
-       Reason::DomainOut, 0},
+       Reason::DomainOutOfService, 0},
       {"DomainOutWhileQueued",
        [](F &f) {
          f.give(F::request(2));
@@ -113,7 +113,7 @@
          f.Config.Servers[0].DomainInService = false;
          f.give(f.Config);
        },
-       OutcomeKind::GivenUp, Reason::DomainOut, 0},
+       OutcomeKind::GivenUp, Reason::DomainOutOfService, 0},
       {"DomainOutWhileRunning",
        [](F &f) {
          f.give(F::request(1));
@@ -154,7 +154,7 @@
          f.give(F::request(1));
          f.pass(Duration(500'000));
        },
-       OutcomeKind::NotRun, Reason::OwnerUnsure, 0},
+       OutcomeKind::NotRun, Reason::OwnerWithoutAuthority, 0},
       {"AuthorityBackInTime",
        [](F &f) {
          f.give(AuthorityChanged{false});
@@ -170,21 +170,21 @@
          f.give(f.Config);
          f.give(F::request(1));
        },
-       OutcomeKind::NotRun, Reason::OwnerUnsure, 0},
+       OutcomeKind::NotRun, Reason::OwnerWithoutAuthority, 0},
       {"CancelledWhileQueued",
        [](F &f) {
          f.give(F::request(2));
          f.give(F::request(1));
          f.give(RequestCancelled{RequestId{1}});
        },
-       OutcomeKind::NotRun, Reason::CallerGone, 0},
+       OutcomeKind::NotRun, Reason::CallerDisconnected, 0},
       {"CancelledWhileRunning",
        [](F &f) {
          f.give(F::request(1));
          f.give(RequestCancelled{RequestId{1}});
          f.end(1, DispatchOutcome::Failed);
        },
-       OutcomeKind::OutcomeUnknown, Reason::CallerGone, 1},
+       OutcomeKind::OutcomeUnknown, Reason::CallerDisconnected, 1},
       {"ShuttingDown",
        [](F &f) {
          f.give(ShutdownBegan());
@@ -232,9 +232,9 @@
   OwnerFixture fixture;
   test.Scenario(fixture);
   EXPECT_EQ(fixture.Endings[1], 1U);
-  EXPECT_STREQ(outcomeKindName(fixture.ending(1).How),
+  EXPECT_STREQ(outcomeKindName(fixture.ending(1).Kind),
                outcomeKindName(test.How));
-  EXPECT_STREQ(reasonName(fixture.ending(1).Why), reasonName(test.Why));
+  EXPECT_STREQ(reasonName(fixture.ending(1).Cause), reasonName(test.Why));
   auto &all = fixture.Dispatched;
   EXPECT_EQ(std::count(all.begin(), all.end(), 1U),
             static_cast<ptrdiff_t>(test.Dispatches));
@@ -354,7 +354,7 @@
   TimePoint arrived = f.Now;
   while (f.Endings[3] == 0 && f.Now < arrived + Second)
     f.pass(*f.Owner->nextWakeup() - f.Now);
-  EXPECT_STREQ(reasonName(f.ending(3).Why), "deadline-too-short");
+  EXPECT_STREQ(reasonName(f.ending(3).Cause), "deadline-too-short");
   EXPECT_LE(f.Now - arrived, Second / 2);
 }
 
@@ -463,8 +463,8 @@
   RC_ASSERT(f.Owner->idle());
   for (uint64_t id = 1; id < next; ++id) {
     RC_ASSERT(f.Endings[id] == 1U);
-    bool notRun = f.ending(id).How == OutcomeKind::NotRun ||
-                  f.ending(id).How == OutcomeKind::GivenUp;
+    bool notRun = f.ending(id).Kind == OutcomeKind::NotRun ||
+                  f.ending(id).Kind == OutcomeKind::GivenUp;
     RC_ASSERT(!(notRun && left[id]));
   }
 }
--- a/UnitTests/Flows/EntryRouterPropertyTest.cpp
+++ b/UnitTests/Flows/EntryRouterPropertyTest.cpp
@@ -156,21 +156,21 @@
       return;
     Outcome o;
     o.Request = w->Head.Request;
-    o.How = static_cast<OutcomeKind>(*rc::gen::inRange(0, 3));
-    o.Why = o.How == OutcomeKind::NotRun && *rc::gen::arbitrary<bool>()
-                ? Reason::QueueFull
-                : Reason::ServerFailed;
+    o.Kind = static_cast<OutcomeKind>(*rc::gen::inRange(0, 3));
+    o.Cause = o.Kind == OutcomeKind::NotRun && *rc::gen::arbitrary<bool>()
+                  ? Reason::QueueFull
+                  : Reason::ServerFailed;
     o.Server = w->Outstanding->Server;
     VmId from = w->Outstanding->To.Id;
     if (wrong)
       return feed(OwnerReplied{VmId("stranger"), o});
-    bool elsewhere = o.How == OutcomeKind::NotRun && !w->Outstanding->Accept &&
+    bool elsewhere = o.Kind == OutcomeKind::NotRun && !w->Outstanding->Accept &&
                      !w->Head.FirstOfFlow && *rc::gen::arbitrary<bool>();
     if (elsewhere) {
-      o.Why = Reason::FlowElsewhere;
+      o.Cause = Reason::FlowNotOnServer;
       o.Server = *rc::gen::arbitrary<bool>() ? ServerId() : serverId(1);
     }
-    w->MayHaveRun = w->MayHaveRun || o.How != OutcomeKind::NotRun;
+    w->MayHaveRun = w->MayHaveRun || o.Kind != OutcomeKind::NotRun;
     w->Outstanding.reset();
     feed(OwnerReplied{from, o});
   }
@@ -193,7 +193,7 @@
       if (const auto *e = std::get_if<EndPacket>(&it))
         sum = combineHash(
             sum, static_cast<uint64_t>(e->Result.RetryAfter.count()) * 64 +
-                     static_cast<uint64_t>(e->Result.Why));
+                     static_cast<uint64_t>(e->Result.Cause));
       if (const auto *x = std::get_if<ExplainEntry>(&it))
         sum = combineHash(sum, stableHash(x->Made.Rule + x->Made.Result));
     }
@@ -212,8 +212,8 @@
     } else if (const auto *e = std::get_if<EndPacket>(&action)) {
       TrackedPacket &w = Packets[e->Result.Request.Value];
       RC_ASSERT(++w.NumEndings == 1);
-      bool notRun = e->Result.How == OutcomeKind::NotRun ||
-                    e->Result.How == OutcomeKind::GivenUp;
+      bool notRun = e->Result.Kind == OutcomeKind::NotRun ||
+                    e->Result.Kind == OutcomeKind::GivenUp;
       RC_ASSERT(!notRun || (!w.MayHaveRun && !w.Outstanding));
     } else if (const auto *q = std::get_if<SendQuestion>(&action)) {
       Packets[q->Question.Request.Value].Asked.push_back(q->To.Id);
--- a/UnitTests/Flows/EntryRouterTest.cpp
+++ b/UnitTests/Flows/EntryRouterTest.cpp
@@ -49,7 +49,7 @@
   if (std::string(GetParam().Established) != "sent") {
     EXPECT_EQ(harness.ending(), GetParam().Established);
     EXPECT_EQ(harness.End.Result.RetryAfter > Duration(0),
-              harness.End.Result.How == OutcomeKind::NotRun);
+              harness.End.Result.Kind == OutcomeKind::NotRun);
     return;
   }
   EXPECT_EQ(harness.forward().Server, first);
@@ -106,15 +106,15 @@
         RefusalCase{OutcomeKind::NotRun, Reason::ServerFull, true},
         RefusalCase{OutcomeKind::NotRun, Reason::ServerEjected, true},
         RefusalCase{OutcomeKind::NotRun, Reason::ServerDraining, true},
-        RefusalCase{OutcomeKind::NotRun, Reason::CallerShare, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::CallerOverFairShare, true},
         RefusalCase{OutcomeKind::NotRun, Reason::DeadlineTooShort, true},
-        RefusalCase{OutcomeKind::NotRun, Reason::OwnerUnsure, true},
+        RefusalCase{OutcomeKind::NotRun, Reason::OwnerWithoutAuthority, true},
         RefusalCase{OutcomeKind::NotRun, Reason::ServerShed, true},
         RefusalCase{OutcomeKind::NotRun, Reason::ServerUnreachable, true},
         RefusalCase{OutcomeKind::NotRun, Reason::DeadlinePassed, false},
-        RefusalCase{OutcomeKind::NotRun, Reason::CallerGone, false},
+        RefusalCase{OutcomeKind::NotRun, Reason::CallerDisconnected, false},
         RefusalCase{OutcomeKind::OutcomeUnknown, Reason::ServerFailed, false},
-        RefusalCase{OutcomeKind::GivenUp, Reason::DomainOut, false},
+        RefusalCase{OutcomeKind::GivenUp, Reason::DomainOutOfService, false},
         RefusalCase{OutcomeKind::Answered, Reason::None, false}));
 
 TEST(EntryRouterTest, TriesAreBounded) {
@@ -239,7 +239,7 @@
   harness.arrive(false);
   EXPECT_EQ(harness.forward().Server, order[0]);
   EXPECT_FALSE(harness.LastForward.Accept);
-  harness.reply(OutcomeKind::NotRun, Reason::FlowElsewhere, ServerId());
+  harness.reply(OutcomeKind::NotRun, Reason::FlowNotOnServer, ServerId());
   // Two owners are asked in the first round, the others if those do not know
   // the flow.
   EXPECT_EQ(harness.all<SendQuestion>().size(), 2U);
@@ -301,7 +301,7 @@
   std::vector<ServerId> order = harness.candidates();
   harness.arrive(false);
   harness.forward();
-  harness.reply(OutcomeKind::NotRun, Reason::FlowElsewhere, order[3]);
+  harness.reply(OutcomeKind::NotRun, Reason::FlowNotOnServer, order[3]);
   EXPECT_EQ(harness.forward().Server, order[3]);
   EXPECT_TRUE(harness.LastForward.Accept);
   harness.reply(OutcomeKind::NotRun, Reason::QueueFull, order[3]);
@@ -346,7 +346,7 @@
   harness.forward();
   Outcome again;
   again.Request = RequestId{1};
-  again.Why = Reason::QueueFull;
+  again.Cause = Reason::QueueFull;
   again.Server = first.Server;
   EXPECT_TRUE(harness.step(OwnerReplied{first.To.Id, again}).empty());
   EXPECT_EQ(harness.Router->inProgress(), 1U);
@@ -377,9 +377,9 @@
   ServerId home = harness.candidates()[3];
   harness.arrive(false);
   harness.forward();
-  harness.reply(OutcomeKind::NotRun, Reason::FlowElsewhere, home);
+  harness.reply(OutcomeKind::NotRun, Reason::FlowNotOnServer, home);
   EXPECT_EQ(harness.forward().Server, home);
-  harness.reply(OutcomeKind::NotRun, Reason::FlowElsewhere, home);
+  harness.reply(OutcomeKind::NotRun, Reason::FlowNotOnServer, home);
   EXPECT_TRUE(harness.Last.empty());
 }
 
--- a/UnitTests/Flows/KeyClaimScenariosTest.cpp
+++ b/UnitTests/Flows/KeyClaimScenariosTest.cpp
@@ -68,8 +68,8 @@
   std::string answer(size_t at, uint64_t request, OutcomeKind how, Reason why) {
     Outcome o;
     o.Request = RequestId{request};
-    o.How = how;
-    o.Why = why;
+    o.Kind = how;
+    o.Cause = why;
     o.Server = Running[request].Server;
     handle(at, OwnerReplied{Running[request].To.Id, o});
     return resultOf(request);
@@ -108,8 +108,9 @@
     } else if (const auto *forward = std::get_if<SendForward>(&action)) {
       Running[forward->Request.Value] = *forward;
     } else if (const auto *end = std::get_if<EndPacket>(&action)) {
-      Ended[end->Result.Request.Value] = absl::StrCat(
-          outcomeKindName(end->Result.How), "/", reasonName(end->Result.Why));
+      Ended[end->Result.Request.Value] =
+          absl::StrCat(outcomeKindName(end->Result.Kind), "/",
+                       reasonName(end->Result.Cause));
     }
   }
   static size_t indexOf(const VmId &vm) {
@@ -158,7 +159,7 @@
                     RepeatCase{"NotRun", OutcomeKind::NotRun,
                                Reason::DeadlinePassed, "running"},
                     RepeatCase{"GivenUp", OutcomeKind::GivenUp,
-                               Reason::DomainOut, "running"}),
+                               Reason::DomainOutOfService, "running"}),
     [](const auto &info) { return info.param.Name; });
 
 // The owner dies while it has the deposit. A repeat must not run, whichever
--- a/UnitTests/Flows/RouterHarness.h
+++ b/UnitTests/Flows/RouterHarness.h
@@ -79,8 +79,8 @@
   void reply(OutcomeKind how, Reason why, const ServerId &server) {
     Outcome o;
     o.Request = RequestId{1};
-    o.How = how;
-    o.Why = why;
+    o.Kind = how;
+    o.Cause = why;
     o.Server = server;
     step(OwnerReplied{LastForward.To.Id, o});
   }
@@ -112,8 +112,8 @@
       return "-";
     EXPECT_EQ(found.size(), 1U);
     End = found[0];
-    return absl::StrCat(outcomeKindName(End.Result.How), "/",
-                        reasonName(End.Result.Why));
+    return absl::StrCat(outcomeKindName(End.Result.Kind), "/",
+                        reasonName(End.Result.Cause));
   }
   /// The flow's candidates under the view, best first.
   std::vector<ServerId> candidates() const {
--- a/UnitTests/Http/CallerPortTest.cpp
+++ b/UnitTests/Http/CallerPortTest.cpp
@@ -184,10 +184,10 @@
   NotingHandler handler;
   auto taken = ListenSocket::open({"127.0.0.1", 0});
   ASSERT_TRUE(taken.ok());
-  auto clash = CallerPort::create({}, {0, taken->at().Port}, handler);
+  auto clash = CallerPort::create({}, {0, taken->address().Port}, handler);
   EXPECT_EQ(clash.status().code(), absl::StatusCode::kAlreadyExists);
   EXPECT_EQ(stepOf(clash.status()), "listen");
-  EXPECT_EQ(peerOf(clash.status()), taken->at().str());
+  EXPECT_EQ(peerOf(clash.status()), taken->address().str());
   CallerPortSettings notOurs;
   notOurs.Ip = "192.0.2.1"; // TEST-NET-1: no machine has it.
   auto foreign = CallerPort::create(notOurs, {0}, handler);
--- a/UnitTests/Http/ScriptedServer.h
+++ b/UnitTests/Http/ScriptedServer.h
@@ -22,7 +22,7 @@
   /// Accepts no more, breaks the connections and waits for the scripts.
   ~ScriptedServer();
 
-  const Address &at() const { return Socket.at(); }
+  const Address &at() const { return Socket.address(); }
   /// Connections accepted so far.
   int connections() const { return Accepted; }
 
--- a/UnitTests/IdsTest.cpp
+++ b/UnitTests/IdsTest.cpp
@@ -23,7 +23,7 @@
 TEST(ErrorsTest, FirstStepAndPeerStay) {
   absl::Status status = makeError(absl::StatusCode::kUnavailable,
                                   Step::Dispatch, "booking-01", "refused");
-  status = atStep(status, Step::ForwardToOwner, "vm-2");
+  status = addErrorContext(status, Step::ForwardToOwner, "vm-2");
   EXPECT_EQ(stepOf(status), "dispatch");
   EXPECT_EQ(peerOf(status), "booking-01");
 }
--- a/UnitTests/Membership/FleetSimulation.cpp
+++ b/UnitTests/Membership/FleetSimulation.cpp
@@ -136,7 +136,8 @@
   node.SentBytes += bytes;
   node.BytesOfSecond[Now.time_since_epoch().count() / 1'000'000] += bytes;
   auto it = ByVm.find(to.Id);
-  bool lost = it == ByVm.end() || Random.unit() < SimulationOptions.Loss ||
+  bool lost = it == ByVm.end() ||
+              Random.nextDouble() < SimulationOptions.Loss ||
               (Cut && Cut(node.Vm, to));
   if (lost)
     return;
--- a/UnitTests/Observability/EventLogTest.cpp
+++ b/UnitTests/Observability/EventLogTest.cpp
@@ -23,18 +23,18 @@
 }
 
 TEST(EventLogTest, WritesOneJsonObjectALine) {
-  int ends[2];
-  ASSERT_EQ(pipe(ends), 0);
+  int pipeEnds[2];
+  ASSERT_EQ(pipe(pipeEnds), 0);
   ManualClock clock;
-  EventLog::create(EventLogSettings(), ends[1], clock)
-      ->write(LogLine(Part::Entry, Severity::Warning, "refused")
+  EventLog::create(EventLogSettings(), pipeEnds[1], clock)
+      ->write(LogLine(Component::Entry, Severity::Warning, "refused")
                   .text("flow", "a\"b\\\n\xff")
                   .number("tries", 3)
                   .millis("took_ms", Duration(1500))
                   .flag("late", true));
-  close(ends[1]);
-  std::string text = readAll(ends[0]);
-  close(ends[0]);
+  close(pipeEnds[1]);
+  std::string text = readAll(pipeEnds[0]);
+  close(pipeEnds[0]);
   ASSERT_EQ(std::count(text.begin(), text.end(), '\n'), 1);
   auto line = nlohmann::json::parse(text);
   EXPECT_EQ(line["event"], "refused");
@@ -47,23 +47,23 @@
 
 // Story: a flood of refusals. The log stays bounded and says what it left out.
 TEST(EventLogTest, LeavesOutAndCountsWhatIsOverTheRate) {
-  int ends[2];
-  ASSERT_EQ(pipe(ends), 0);
+  int pipeEnds[2];
+  ASSERT_EQ(pipe(pipeEnds), 0);
   ManualClock clock;
   EventLogSettings settings;
-  settings.LinesPerSecond = 5;
+  settings.MaxLinesPerSecond = 5;
   {
-    auto log = EventLog::create(settings, ends[1], clock);
+    auto log = EventLog::create(settings, pipeEnds[1], clock);
     for (int i = 0; i < 100; ++i)
-      log->write(LogLine(Part::Entry, Severity::Warning, "refused"));
-    log->write(LogLine(Part::Entry, Severity::Info, "other"));
+      log->write(LogLine(Component::Entry, Severity::Warning, "refused"));
+    log->write(LogLine(Component::Entry, Severity::Info, "other"));
     EXPECT_EQ(log->dropped(), 95U);
     clock.advance(Duration(1'100'000));
-    log->write(LogLine(Part::Entry, Severity::Info, "other"));
+    log->write(LogLine(Component::Entry, Severity::Info, "other"));
   }
-  close(ends[1]);
-  std::string text = readAll(ends[0]);
-  close(ends[0]);
+  close(pipeEnds[1]);
+  std::string text = readAll(pipeEnds[0]);
+  close(pipeEnds[0]);
   EXPECT_EQ(std::count(text.begin(), text.end(), '\n'), 8);
   EXPECT_NE(text.find("\"of\":\"refused\",\"count\":95"), std::string::npos);
 }
@@ -72,23 +72,23 @@
 TEST(EventLogTest, NeverBlocksTheWriter) {
   // Closing the pipe's other end below ends the write that waits.
   signal(SIGPIPE, SIG_IGN);
-  int ends[2];
-  ASSERT_EQ(pipe(ends), 0);
+  int pipeEnds[2];
+  ASSERT_EQ(pipe(pipeEnds), 0);
   SystemClock clock;
   EventLogSettings settings;
-  settings.LinesPerSecond = 1'000'000;
-  settings.Waiting = 100;
-  settings.Period = Duration(1'000);
-  auto log = EventLog::create(settings, ends[1], clock);
-  TimePoint began = clock.now();
+  settings.MaxLinesPerSecond = 1'000'000;
+  settings.MaxQueuedLines = 100;
+  settings.FlushInterval = Duration(1'000);
+  auto log = EventLog::create(settings, pipeEnds[1], clock);
+  TimePoint start = clock.now();
   for (int i = 0; i < 20000; ++i)
-    log->write(LogLine(Part::Entry, Severity::Info, "placed")
+    log->write(LogLine(Component::Entry, Severity::Info, "placed")
                    .text("pad", std::string(200, 'x')));
-  EXPECT_LT(clock.now() - began, Duration(2'000'000));
+  EXPECT_LT(clock.now() - start, Duration(2'000'000));
   EXPECT_GT(log->dropped(), 0U);
-  close(ends[0]);
+  close(pipeEnds[0]);
   log.reset();
-  close(ends[1]);
+  close(pipeEnds[1]);
 }
 
 } // namespace
--- a/UnitTests/Observability/JournalTest.cpp
+++ b/UnitTests/Observability/JournalTest.cpp
@@ -9,7 +9,7 @@
 namespace balsamrack {
 namespace {
 
-Decision decision(uint64_t request, uint64_t flow, const char *server) {
+Decision makeDecision(uint64_t request, uint64_t flow, const char *server) {
   Decision d;
   d.Kind = DecisionKind::Placed;
   d.Rule = "bounded-load";
@@ -27,27 +27,27 @@
 TEST(JournalTest, FindsByEachKeyOldestFirst) {
   Journal journal(1000);
   for (uint64_t i = 1; i <= 20; ++i)
-    journal.add(decision(i, i % 4, i % 2 == 0 ? "a" : "b"));
-  Decision ticket = decision(0, 0, "");
+    journal.add(makeDecision(i, i % 4, i % 2 == 0 ? "a" : "b"));
+  Decision ticket = makeDecision(0, 0, "");
   ticket.Kind = DecisionKind::TicketRejected;
   journal.add(ticket);
-  EXPECT_EQ(journal.ofRequest({5}).size(), 1U);
-  EXPECT_EQ(journal.ofTicket({7}).size(), 1U);
-  EXPECT_EQ(journal.ofTicket({8}).size(), 0U);
-  std::vector<Decision> ofServer = journal.ofServer(ServerId("a"));
-  ASSERT_EQ(ofServer.size(), 10U);
-  for (size_t i = 1; i < ofServer.size(); ++i)
-    EXPECT_LT(ofServer[i - 1].Request, ofServer[i].Request);
-  EXPECT_EQ(journal.ofFlow({3}).size(), 5U);
+  EXPECT_EQ(journal.findByRequest({5}).size(), 1U);
+  EXPECT_EQ(journal.findByTicket({7}).size(), 1U);
+  EXPECT_EQ(journal.findByTicket({8}).size(), 0U);
+  std::vector<Decision> serverDecisions = journal.findByServer(ServerId("a"));
+  ASSERT_EQ(serverDecisions.size(), 10U);
+  for (size_t i = 1; i < serverDecisions.size(); ++i)
+    EXPECT_LT(serverDecisions[i - 1].Request, serverDecisions[i].Request);
+  EXPECT_EQ(journal.findByFlow({3}).size(), 5U);
 }
 
 TEST(JournalTest, HoldsTheLastOnly) {
   Journal journal(160);
   for (uint64_t i = 1; i <= 100; ++i)
-    journal.add(decision(i, 9, "a"));
-  std::vector<Decision> held = journal.ofFlow({9});
-  ASSERT_EQ(held.size(), 10U);
-  EXPECT_EQ(held.back().Request, RequestId{100});
+    journal.add(makeDecision(i, 9, "a"));
+  std::vector<Decision> decisions = journal.findByFlow({9});
+  ASSERT_EQ(decisions.size(), 10U);
+  EXPECT_EQ(decisions.back().Request, RequestId{100});
 }
 
 TEST(JournalTest, ManyThreadsAddAndAsk) {
@@ -57,48 +57,48 @@
   for (uint64_t t = 1; t <= 4; ++t)
     threads.emplace_back([&journal, t] {
       for (uint64_t i = 0; i < 200; ++i) {
-        journal.add(decision(t, i, "a"));
-        journal.ofRequest({t});
+        journal.add(makeDecision(t, i, "a"));
+        journal.findByRequest({t});
       }
     });
   for (std::thread &t : threads)
     t.join();
-  EXPECT_EQ(journal.ofServer(ServerId("a")).size(), 800U);
+  EXPECT_EQ(journal.findByServer(ServerId("a")).size(), 800U);
 }
 
-struct Question {
+struct JournalQuery {
   const char *Kind;
   const char *Id;
-  int Found; ///< -1: can't be read.
+  int ExpectedCount; ///< -1: can't be read.
 };
 
-class EachQuestion : public testing::TestWithParam<Question> {};
+class EachQuestion : public testing::TestWithParam<JournalQuery> {};
 
 TEST_P(EachQuestion, IsAnsweredOrRefused) {
   Journal journal(100);
-  journal.add(decision(0xab, 0xcd, "booking-03"));
-  auto found = journal.about(GetParam().Kind, GetParam().Id);
+  journal.add(makeDecision(0xab, 0xcd, "booking-03"));
+  auto found = journal.query(GetParam().Kind, GetParam().Id);
   EXPECT_EQ(found.ok() ? static_cast<int>(found->size()) : -1,
-            GetParam().Found);
+            GetParam().ExpectedCount);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Questions, EachQuestion,
-    testing::Values(Question{"request", "00000000000000ab", 1},
-                    Question{"request", "ab", 1}, Question{"flow", "cd", 1},
-                    Question{"flow", "xy", -1}, Question{"flow", "", -1},
-                    Question{"server", "booking-03", 1},
-                    Question{"server", "booking-04", 0},
-                    Question{"ticket", "7", 0}, Question{"ticket", "x", -1},
-                    Question{"seller", "1", -1}));
+    testing::Values(
+        JournalQuery{"request", "00000000000000ab", 1},
+        JournalQuery{"request", "ab", 1}, JournalQuery{"flow", "cd", 1},
+        JournalQuery{"flow", "xy", -1}, JournalQuery{"flow", "", -1},
+        JournalQuery{"server", "booking-03", 1},
+        JournalQuery{"server", "booking-04", 0}, JournalQuery{"ticket", "7", 0},
+        JournalQuery{"ticket", "x", -1}, JournalQuery{"seller", "1", -1}));
 
 TEST(JournalTest, TellsADecisionInOneSentence) {
-  EXPECT_EQ(sentenceOf(decision(0xab, 0xcd, "booking-03")),
+  EXPECT_EQ(decisionSentence(makeDecision(0xab, 0xcd, "booking-03")),
             "placed for request 00000000000000ab of flow 00000000000000cd: "
             "dispatched to booking-03, by rule bounded-load on in progress = "
             "2, limit = 2, under ticket 7, at step place, on the word of "
             "vm-2.");
-  nlohmann::json json = decisionToJson(decision(0xab, 0xcd, "booking-03"));
+  nlohmann::json json = decisionToJson(makeDecision(0xab, 0xcd, "booking-03"));
   EXPECT_EQ(json["rule"], "bounded-load");
   EXPECT_EQ(json["inputs"]["limit"], "2");
 }
--- a/UnitTests/Observability/LogAndSpanTest.cpp
+++ b/UnitTests/Observability/LogAndSpanTest.cpp
@@ -43,9 +43,9 @@
   TestFile file;
   auto log = Log::create({"info", "text", file.Path});
   ASSERT_TRUE(log.ok()) << log.status();
-  (*log)->write(Part::Entry, Severity::Debug, "Not shown.");
-  (*log)->write(Part::Owner, Severity::Info, "Drain\nbegins.");
-  (*log)->error(Part::Peers,
+  (*log)->write(Component::Entry, Severity::Debug, "Not shown.");
+  (*log)->write(Component::Owner, Severity::Info, "Drain\nbegins.");
+  (*log)->error(Component::Peers,
                 makeError(absl::StatusCode::kUnavailable, Step::SendToPeer,
                           "vm-2", "connect refused"));
   std::vector<std::string> lines = file.lines();
@@ -59,7 +59,8 @@
   TestFile file;
   auto log = Log::create({"debug", "json", file.Path});
   ASSERT_TRUE(log.ok());
-  (*log)->write(Part::Http, Severity::Debug, "Bad \xff \"bytes\"\n.", "listen");
+  (*log)->write(Component::Http, Severity::Debug, "Bad \xff \"bytes\"\n.",
+                "listen");
   auto line = nlohmann::json::parse(file.lines().at(0));
   EXPECT_EQ(line["part"], "http");
   EXPECT_EQ(line["severity"], "debug");
@@ -77,8 +78,8 @@
   for (int t = 0; t < 4; ++t)
     threads.emplace_back([&] {
       for (int i = 0; i < 50; ++i) {
-        (*log)->write(Part::Entry, Severity::Info, "One sentence.");
-        (*other)->write(Part::Entry, Severity::Info, "Another.");
+        (*log)->write(Component::Entry, Severity::Info, "One sentence.");
+        (*other)->write(Component::Entry, Severity::Info, "Another.");
       }
     });
   for (std::thread &t : threads)
@@ -89,31 +90,33 @@
     EXPECT_EQ(line.substr(25), "[entry] info: One sentence.");
 }
 
-struct BadLog {
+struct InvalidLogSettings {
   LogSettings Settings;
-  absl::StatusCode Code;
+  absl::StatusCode ExpectedCode;
 };
 
-class EachBadLog : public testing::TestWithParam<BadLog> {};
+class EachBadLog : public testing::TestWithParam<InvalidLogSettings> {};
 
 TEST_P(EachBadLog, IsAnError) {
   auto log = Log::create(GetParam().Settings);
-  EXPECT_EQ(log.status().code(), GetParam().Code);
+  EXPECT_EQ(log.status().code(), GetParam().ExpectedCode);
   EXPECT_EQ(stepOf(log.status()), "read-settings");
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Settings, EachBadLog,
-    testing::Values(
-        BadLog{{"loud", "text", ""}, absl::StatusCode::kInvalidArgument},
-        BadLog{{"info", "xml", ""}, absl::StatusCode::kInvalidArgument},
-        BadLog{{"info", "text", "/no/such/folder/log"},
-               absl::StatusCode::kUnavailable}));
-
-HopSpan span(const std::string &parent, const std::string &own, int start) {
+    testing::Values(InvalidLogSettings{{"loud", "text", ""},
+                                       absl::StatusCode::kInvalidArgument},
+                    InvalidLogSettings{{"info", "xml", ""},
+                                       absl::StatusCode::kInvalidArgument},
+                    InvalidLogSettings{{"info", "text", "/no/such/folder/log"},
+                                       absl::StatusCode::kUnavailable}));
+
+HopSpan makeSpan(const std::string &parent, const std::string &traceparent,
+                 int start) {
   HopSpan s;
   s.Parent = parent;
-  s.Traceparent = own;
+  s.Traceparent = traceparent;
   s.Start = TimePoint(Duration(start));
   s.Took = Duration(5);
   s.Service = ServiceId("booking");
@@ -130,9 +133,9 @@
   ASSERT_TRUE(sink.ok()) << sink.status();
   std::string root = (*sink)->start("");
   std::string child = (*sink)->start(root);
-  (*sink)->end(span(root, child, 20));
-  (*sink)->end(span("", root, 10));
-  (*sink)->end(span("", (*sink)->start("nonsense"), 1));
+  (*sink)->end(makeSpan(root, child, 20));
+  (*sink)->end(makeSpan("", root, 10));
+  (*sink)->end(makeSpan("", (*sink)->start("nonsense"), 1));
   std::string trace = TraceContext::parse(root)->traceId();
   nlohmann::json spans = (*sink)->spansOf(trace);
   ASSERT_EQ(spans.size(), 2U);
@@ -155,13 +158,13 @@
   TestFile file;
   ManualClock clock;
   SpanSinkSettings settings{"vm-1", file.Path};
-  settings.Held = 64;
+  settings.MaxSpans = 64;
   settings.MaxFileBytes = 2000;
   auto sink = SpanSink::create(settings, clock);
   ASSERT_TRUE(sink.ok());
   std::string root = (*sink)->start("");
   for (int i = 0; i < 100; ++i)
-    (*sink)->end(span(root, (*sink)->start(root), i));
+    (*sink)->end(makeSpan(root, (*sink)->start(root), i));
   EXPECT_EQ((*sink)->spansOf(TraceContext::parse(root)->traceId()).size(), 4U);
   size_t bytes = 0;
   for (const std::string &line : file.lines())
--- a/UnitTests/Observability/MetricsTest.cpp
+++ b/UnitTests/Observability/MetricsTest.cpp
@@ -15,10 +15,10 @@
 constexpr MetricFamily Packets{"packets_total", "Packets.",
                                MetricKind::Counter};
 constexpr MetricFamily Members{"members", "Members.", MetricKind::Gauge};
-constexpr MetricFamily Times{"answer_seconds", "Answer times.",
-                             MetricKind::Summary};
+constexpr MetricFamily AnswerTimes{"answer_seconds", "Answer times.",
+                                   MetricKind::Summary};
 
-bool holds(const std::string &text, const std::string &line) {
+bool containsLine(const std::string &text, const std::string &line) {
   return ("\n" + text).find("\n" + line + "\n") != std::string::npos;
 }
 
@@ -28,7 +28,7 @@
   metrics->count(Packets, {{"service", "a\"b\\c\nd"}}, 12'345'678'901);
   metrics->count(Packets, {{"service", "x"}});
   metrics->set(Members, {}, 2.5);
-  metrics->observe(Times, {{"service", "x"}}, Duration(250'000));
+  metrics->observe(AnswerTimes, {{"service", "x"}}, Duration(250'000));
   std::string text = metrics->prometheus();
   for (const char *line :
        {"# HELP packets_total Packets.", "# TYPE packets_total counter",
@@ -38,7 +38,7 @@
         "answer_seconds{service=\"x\",quantile=\"0.99\"} 0.25",
         "answer_seconds_sum{service=\"x\"} 0.25",
         "answer_seconds_count{service=\"x\"} 1"})
-    EXPECT_TRUE(holds(text, line)) << line << "\n" << text;
+    EXPECT_TRUE(containsLine(text, line)) << line << "\n" << text;
   EXPECT_EQ(text.find("# TYPE packets_total"),
             text.rfind("# TYPE packets_total"));
   nlohmann::json json = metrics->json();
@@ -71,15 +71,16 @@
     threads.emplace_back([&] {
       for (int i = 0; i < 1000; ++i) {
         metrics->count(Packets, {{"service", std::to_string(i % 8)}});
-        metrics->observe(Times, {{"service", "x"}}, Duration(i));
+        metrics->observe(AnswerTimes, {{"service", "x"}}, Duration(i));
       }
       metrics->prometheus();
     });
   for (std::thread &t : threads)
     t.join();
-  EXPECT_TRUE(holds(metrics->prometheus(), "packets_total{service=\"3\"} 500"));
   EXPECT_TRUE(
-      holds(metrics->prometheus(), "answer_seconds_count{service=\"x\"} 4000"));
+      containsLine(metrics->prometheus(), "packets_total{service=\"3\"} 500"));
+  EXPECT_TRUE(containsLine(metrics->prometheus(),
+                           "answer_seconds_count{service=\"x\"} 4000"));
 }
 
 constexpr Duration Minute{60'000'000};
@@ -87,11 +88,11 @@
 TEST(QuantileWindowTest, FewValuesAreExact) {
   ManualClock clock;
   QuantileWindow window(Minute);
-  EXPECT_EQ(window.at(clock.now())[0], 0);
+  EXPECT_EQ(window.quantilesAt(clock.now())[0], 0);
   for (double v : {5, 1, 4, 2, 3})
     window.add(clock.now(), v);
-  EXPECT_EQ(window.at(clock.now())[0], 3);
-  EXPECT_EQ(window.at(clock.now())[1], 5);
+  EXPECT_EQ(window.quantilesAt(clock.now())[0], 3);
+  EXPECT_EQ(window.quantilesAt(clock.now())[1], 5);
 }
 
 TEST(QuantileWindowTest, ManyValuesAreCloseToTheTruth) {
@@ -99,9 +100,9 @@
   QuantileWindow window(Minute);
   SeededRandom random(1);
   for (int i = 0; i < 100'000; ++i)
-    window.add(clock.now(), random.unit());
-  EXPECT_NEAR(window.at(clock.now())[0], 0.5, 0.01);
-  EXPECT_NEAR(window.at(clock.now())[1], 0.99, 0.01);
+    window.add(clock.now(), random.nextDouble());
+  EXPECT_NEAR(window.quantilesAt(clock.now())[0], 0.5, 0.01);
+  EXPECT_NEAR(window.quantilesAt(clock.now())[1], 0.99, 0.01);
 }
 
 // Story: a server was slow in the morning. In the evening its p99 must speak of
@@ -112,13 +113,13 @@
   window.add(clock.now(), 9);
   clock.advance(Minute);
   window.add(clock.now(), 1);
-  EXPECT_EQ(window.at(clock.now())[1], 9);
+  EXPECT_EQ(window.quantilesAt(clock.now())[1], 9);
   clock.advance(Minute);
-  EXPECT_EQ(window.at(clock.now())[1], 1);
+  EXPECT_EQ(window.quantilesAt(clock.now())[1], 1);
   clock.advance(2 * Minute);
-  EXPECT_EQ(window.at(clock.now())[1], 0);
+  EXPECT_EQ(window.quantilesAt(clock.now())[1], 0);
   window.add(clock.now(), 2);
-  EXPECT_EQ(window.at(clock.now())[1], 2);
+  EXPECT_EQ(window.quantilesAt(clock.now())[1], 2);
 }
 
 } // namespace
--- a/UnitTests/Observability/TraceContextTest.cpp
+++ b/UnitTests/Observability/TraceContextTest.cpp
@@ -5,13 +5,13 @@
 namespace balsamrack {
 namespace {
 
-constexpr const char *Good =
+constexpr const char *ValidTraceparent =
     "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
 TEST(TraceContextTest, ComesBackAsItWas) {
-  auto c = TraceContext::parse(Good);
+  auto c = TraceContext::parse(ValidTraceparent);
   ASSERT_TRUE(c.ok());
-  EXPECT_EQ(c->str(), Good);
+  EXPECT_EQ(c->str(), ValidTraceparent);
   EXPECT_EQ(c->traceId(), "0af7651916cd43dd8448eb211c80319c");
   EXPECT_EQ(c->spanId(), "b7ad6b7169203331");
 }
@@ -25,43 +25,49 @@
   EXPECT_TRUE(TraceContext::parse(child.str()).ok());
 }
 
-struct Text {
+struct TraceparentCase {
   const char *Name;
   std::string Value;
-  bool Read;
+  bool IsValid;
 };
 
-class EachTraceparent : public testing::TestWithParam<Text> {};
+class EachTraceparent : public testing::TestWithParam<TraceparentCase> {};
 
 TEST_P(EachTraceparent, IsReadAsTheStandardSays) {
-  EXPECT_EQ(TraceContext::parse(GetParam().Value).ok(), GetParam().Read);
+  EXPECT_EQ(TraceContext::parse(GetParam().Value).ok(), GetParam().IsValid);
 }
 
-std::string edited(size_t at, const std::string &with) {
-  return std::string(Good).replace(at, with.size(), with);
+std::string replaceAt(size_t at, const std::string &replacement) {
+  return std::string(ValidTraceparent)
+      .replace(at, replacement.size(), replacement);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Texts, EachTraceparent,
-    testing::Values(Text{"Good", Good, true}, Text{"Empty", "", false},
-                    Text{"Short", std::string(Good).substr(0, 54), false},
-                    Text{"LongerOfVersion0", std::string(Good) + "-x", false},
-                    Text{"LaterVersion", edited(0, "01"), true},
-                    Text{"LongerOfLaterVersion", edited(0, "01") + "-x", true},
-                    Text{"LaterVersionGluedOn", edited(0, "01") + "x", false},
-                    Text{"ForbiddenVersion", edited(0, "ff"), false},
-                    Text{"UpperCase", edited(4, "A"), false},
-                    Text{"Sign", edited(3, "+"), false},
-                    Text{"ZeroTrace", edited(3, std::string(32, '0')), false},
-                    Text{"ZeroSpan", edited(36, std::string(16, '0')), false},
-                    Text{"WrongDash", edited(35, "_"), false}),
+    testing::Values(
+        TraceparentCase{"Good", ValidTraceparent, true},
+        TraceparentCase{"Empty", "", false},
+        TraceparentCase{"Short", std::string(ValidTraceparent).substr(0, 54),
+                        false},
+        TraceparentCase{"LongerOfVersion0",
+                        std::string(ValidTraceparent) + "-x", false},
+        TraceparentCase{"LaterVersion", replaceAt(0, "01"), true},
+        TraceparentCase{"LongerOfLaterVersion", replaceAt(0, "01") + "-x",
+                        true},
+        TraceparentCase{"LaterVersionGluedOn", replaceAt(0, "01") + "x", false},
+        TraceparentCase{"ForbiddenVersion", replaceAt(0, "ff"), false},
+        TraceparentCase{"UpperCase", replaceAt(4, "A"), false},
+        TraceparentCase{"Sign", replaceAt(3, "+"), false},
+        TraceparentCase{"ZeroTrace", replaceAt(3, std::string(32, '0')), false},
+        TraceparentCase{"ZeroSpan", replaceAt(36, std::string(16, '0')), false},
+        TraceparentCase{"WrongDash", replaceAt(35, "_"), false}),
     [](const auto &info) { return std::string(info.param.Name); });
 
 TEST(TraceContextTest, MutantsNeverCrashAndComeBack) {
-  constexpr int Mutants = 20000;
+  constexpr int MutantCount = 20000;
   SeededRandom random(3);
-  for (int i = 0; i < Mutants; ++i) {
-    std::string text = Good;
+  for (int i = 0; i < MutantCount; ++i) {
+    std::string text = ValidTraceparent;
     for (uint64_t n = 1 + random.below(3); n > 0; --n)
       text[random.below(text.size())] = static_cast<char>(random.next());
     text.resize(random.below(4) == 0 ? random.below(80) : text.size(), '0');
--- a/UnitTests/Packets/PacketLoadTest.cpp
+++ b/UnitTests/Packets/PacketLoadTest.cpp
@@ -146,7 +146,7 @@
   }
   void nextCaller() {
     startCall(Now);
-    double gap = -std::log(1 - Random.unit()) / Config.PerSecond;
+    double gap = -std::log(1 - Random.nextDouble()) / Config.PerSecond;
     TimePoint next = Now + Duration(static_cast<int64_t>(gap * 1e6));
     if (next < Until)
       schedule(next, [this] { nextCaller(); });
@@ -231,7 +231,8 @@
       ++Waits;
       WaitSum += static_cast<double>((Now - job.Since).count());
       // Service times of mixed lookups: 16 to 48 ms, with a mean of 32 ms.
-      Duration took(static_cast<int64_t>(16'000 + Random.unit() * 32'000));
+      Duration took(
+          static_cast<int64_t>(16'000 + Random.nextDouble() * 32'000));
       schedule(Now + took, [this, index, job] {
         --Servers[index].Busy;
         finishCall(job.Call);
--- a/UnitTests/Peers/PeerSamples.cpp
+++ b/UnitTests/Peers/PeerSamples.cpp
@@ -124,8 +124,8 @@
 OutcomeReport report() {
   OutcomeReport r;
   r.Result.Request = {11};
-  r.Result.How = OutcomeKind::GivenUp;
-  r.Result.Why = Reason::UnknownService;
+  r.Result.Kind = OutcomeKind::GivenUp;
+  r.Result.Cause = Reason::UnknownService;
   r.Result.RetryAfter = Duration(9);
   r.Result.Server = ServerId("booking-01");
   r.Result.AtStep = "dispatch";
--- a/UnitTests/Replay/ReplayTest.cpp
+++ b/UnitTests/Replay/ReplayTest.cpp
@@ -16,19 +16,19 @@
   head.FirstOfFlow = true;
   head.Key = {1, 2};
   head.Remaining = Duration(5'000'000);
-  RoutingView parts;
-  parts.Ticket = {7};
-  parts.Self = {VmId("vm-1"), DomainId("bern-a"), {"127.0.0.1", 1}, false};
-  ServiceRoute &route = parts.Services[ServiceId("booking")];
+  RoutingView contents;
+  contents.Ticket = {7};
+  contents.Self = {VmId("vm-1"), DomainId("bern-a"), {"127.0.0.1", 1}, false};
+  ServiceRoute &route = contents.Services[ServiceId("booking")];
   route.Settings.Id = ServiceId("booking");
   RoutedServer server;
   server.Server.Id = ServerId("booking-01");
   server.Server.Service = ServiceId("booking");
-  server.Owner = parts.Self;
+  server.Owner = contents.Self;
   server.OwnerReachable = true;
   route.Servers.push_back(server);
   route.EarlierServers = {{{ServerId("booking-00"), 50}}};
-  auto view = RoutingView::create(parts);
+  auto view = RoutingView::create(contents);
   return {ViewChanged{*view},
           PacketArrived{head, "token"},
           OwnerReplied{VmId("vm-2"), Outcome{{11},
@@ -84,39 +84,44 @@
                    OwnerOpened{ServiceId("booking"), 4}});
   for (const TraceLine &it : lines) {
     const std::string text = encodeTraceLine(it);
-    const auto read = decodeTraceLine(text);
-    ASSERT_TRUE(read.ok()) << text << describe(read.status());
-    EXPECT_EQ(encodeTraceLine(*read), text);
+    const auto decoded = decodeTraceLine(text);
+    ASSERT_TRUE(decoded.ok()) << text << describe(decoded.status());
+    EXPECT_EQ(encodeTraceLine(*decoded), text);
   }
 }
 
-struct BadLine {
+struct InvalidLineCase {
   const char *Name;
   const char *Text;
 };
 
-class BadLineTest : public testing::TestWithParam<BadLine> {};
+class BadLineTest : public testing::TestWithParam<InvalidLineCase> {};
 
 TEST_P(BadLineTest, IsRefused) {
   Replayer replayer;
-  const auto done = replayer.run(GetParam().Text);
-  ASSERT_FALSE(done.ok());
-  EXPECT_EQ(stepOf(done.status()), "replay");
+  const auto actions = replayer.processLine(GetParam().Text);
+  ASSERT_FALSE(actions.ok());
+  EXPECT_EQ(stepOf(actions.status()), "replay");
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Lines, BadLineTest,
     testing::Values(
-        BadLine{"NoJson", "packet arrived"},
-        BadLine{"NoMachine", R"({"at_us":1,"what":"Ticked"})"},
-        BadLine{"UnknownEvent", R"({"machine":"m","at_us":1,"what":"Knock"})"},
-        BadLine{"NotOpened", R"({"machine":"m","at_us":1,"what":"Ticked"})"},
-        BadLine{"Misspelt", R"({"machine":"m","at_us":1,"what":"PeerLost",)"
-                            R"("with":{"pear":"vm-1"}})"},
-        BadLine{"EnumRange", R"({"machine":"m","at_us":1,)"
-                             R"("what":"DispatchEnded","with":{"how":9}})"},
-        BadLine{"WrongType", R"({"machine":"m","at_us":1,)"
-                             R"("what":"CallerLeft","with":{"request":"x"}})"}),
+        InvalidLineCase{"NoJson", "packet arrived"},
+        InvalidLineCase{"NoMachine", R"({"at_us":1,"what":"Ticked"})"},
+        InvalidLineCase{"UnknownEvent",
+                        R"({"machine":"m","at_us":1,"what":"Knock"})"},
+        InvalidLineCase{"NotOpened",
+                        R"({"machine":"m","at_us":1,"what":"Ticked"})"},
+        InvalidLineCase{"Misspelt",
+                        R"({"machine":"m","at_us":1,"what":"PeerLost",)"
+                        R"("with":{"pear":"vm-1"}})"},
+        InvalidLineCase{"EnumRange",
+                        R"({"machine":"m","at_us":1,)"
+                        R"("what":"DispatchEnded","with":{"how":9}})"},
+        InvalidLineCase{"WrongType",
+                        R"({"machine":"m","at_us":1,)"
+                        R"("what":"CallerLeft","with":{"request":"x"}})"}),
     [](const auto &info) { return info.param.Name; });
 
 // Traces are files that people edit. Any change must be read or refused.
@@ -128,16 +133,16 @@
         {"entry-0", TimePoint(Duration(5)), events[n % events.size()]});
     for (uint64_t i = 1 + random.below(4); i > 0; --i)
       text[random.below(text.size())] = static_cast<char>(random.below(256));
-    const auto read = decodeTraceLine(text);
-    if (!read.ok()) {
-      EXPECT_EQ(stepOf(read.status()), "replay");
+    const auto decoded = decodeTraceLine(text);
+    if (!decoded.ok()) {
+      EXPECT_EQ(stepOf(decoded.status()), "replay");
     }
   }
 }
 
 struct CompareCase {
   const char *Name;
-  std::vector<std::string> Stated;
+  std::vector<std::string> Expected;
   size_t Line; ///< Of the first difference; zero for none.
 };
 
@@ -145,7 +150,7 @@
 
 // A stated outcome is changed: the replay has to fail, and show where.
 TEST_P(CompareTest, FindsTheFirstDifference) {
-  const auto difference = compareOutcomes({"a", "b"}, GetParam().Stated);
+  const auto difference = compareOutcomes({"a", "b"}, GetParam().Expected);
   EXPECT_EQ(difference ? difference->Line : 0, GetParam().Line);
 }
 
--- a/UnitTests/Replay/TracesTest.cpp
+++ b/UnitTests/Replay/TracesTest.cpp
@@ -10,7 +10,7 @@
 namespace balsamrack {
 namespace {
 
-std::vector<std::string> linesOf(const std::filesystem::path &path) {
+std::vector<std::string> readLines(const std::filesystem::path &path) {
   std::ifstream file(path);
   std::vector<std::string> lines;
   for (std::string line; std::getline(file, line);)
@@ -18,7 +18,7 @@
   return lines;
 }
 
-std::vector<std::string> traceNames() {
+std::vector<std::string> listTraceNames() {
   std::vector<std::string> names;
   const std::filesystem::path folder =
       std::filesystem::path(BALSAMRACK_SOURCE_DIR) / "Traces";
@@ -34,15 +34,15 @@
   void SetUp() override {
     const std::filesystem::path base =
         std::filesystem::path(BALSAMRACK_SOURCE_DIR) / "Traces" / GetParam();
-    Stated = linesOf(base.string() + ".outcomes");
+    Expected = readLines(base.string() + ".outcomes");
     Replayer replayer;
-    for (const std::string &line : linesOf(base.string() + ".trace")) {
-      const auto done = replayer.run(line);
-      ASSERT_TRUE(done.ok()) << describe(done.status());
-      Actions.insert(Actions.end(), done->begin(), done->end());
+    for (const std::string &line : readLines(base.string() + ".trace")) {
+      const auto lineActions = replayer.processLine(line);
+      ASSERT_TRUE(lineActions.ok()) << describe(lineActions.status());
+      Actions.insert(Actions.end(), lineActions->begin(), lineActions->end());
     }
   }
-  std::vector<std::string> Stated;
+  std::vector<std::string> Expected;
   std::vector<std::string> Actions;
 };
 
@@ -50,16 +50,16 @@
 // stated beside it, and may change only on purpose.
 TEST_P(TracesTest, EndsAsStated) {
   EXPECT_FALSE(Actions.empty());
-  const auto difference = compareOutcomes(Actions, Stated);
+  const auto difference = compareOutcomes(Actions, Expected);
   EXPECT_FALSE(difference) << "line " << difference->Line << "\nstated "
-                           << difference->Expected << "\nfound  "
-                           << difference->Found;
+                           << difference->ExpectedLine << "\nfound  "
+                           << difference->ActualLine;
 }
 
 // A comparison that lets a changed outcome pass would prove nothing.
 TEST_P(TracesTest, AnyChangedOutcomeIsNoticed) {
-  for (size_t i = 0; i < Stated.size(); ++i) {
-    std::vector<std::string> changed = Stated;
+  for (size_t i = 0; i < Expected.size(); ++i) {
+    std::vector<std::string> changed = Expected;
     changed[i].back() = ' ';
     EXPECT_TRUE(compareOutcomes(Actions, changed)) << "line " << i + 1;
     changed.erase(changed.begin() + static_cast<int64_t>(i));
@@ -67,7 +67,7 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, TracesTest, testing::ValuesIn(traceNames()),
+INSTANTIATE_TEST_SUITE_P(All, TracesTest, testing::ValuesIn(listTraceNames()),
                          [](const auto &info) {
                            std::string name = info.param;
                            std::replace(name.begin(), name.end(), '-', '_');
