--- a/Balsamrack/Client/OperatorClient.cpp
+++ b/Balsamrack/Client/OperatorClient.cpp
@@ -46,13 +46,13 @@
   const std::string target = targetOf(path, query);
   std::vector<DaemonReply> replies(Daemons.size());
   std::atomic<size_t> next{0};
-  auto work = [&] {
+  auto askNext = [&] {
     for (size_t i = next++; i < Daemons.size(); i = next++)
       replies[i] = ask(Daemons[i], target);
   };
   std::vector<std::thread> threads;
   for (size_t i = 0; i < std::min(MaxThreads, Daemons.size()); ++i)
-    threads.emplace_back(work);
+    threads.emplace_back(askNext);
   for (std::thread &it : threads)
     it.join();
   return replies;
@@ -73,11 +73,11 @@
   request.timeout =
       (Timeout + std::chrono::milliseconds(999)) / std::chrono::seconds(1);
   if (ulfius_send_http_request(&request, &response) == U_OK) {
-    reply.Status = response.status;
+    reply.HttpStatus = response.status;
     reply.Body.assign(static_cast<const char *>(response.binary_body),
                       response.binary_body_length);
   } else {
-    reply.How =
+    reply.CallStatus =
         makeError(absl::StatusCode::kUnavailable, Step::HandleOperatorRequest,
                   daemon.str(), "no answer");
   }
--- a/Balsamrack/Client/OperatorClient.h
+++ b/Balsamrack/Client/OperatorClient.h
@@ -13,13 +13,14 @@
 
 /// What one daemon answered to an operators' question.
 struct DaemonReply {
-  Address Daemon;      ///< Who was asked.
-  absl::Status How;    ///< Error (step answer-operator) when it didn't answer.
-  uint32_t Status = 0; ///< HTTP status code; zero without an answer.
-  std::string Body;    ///< The answer.
+  Address Daemon; ///< Who was asked.
+  absl::Status
+      CallStatus; ///< Error (step answer-operator) when it didn't answer.
+  uint32_t HttpStatus = 0; ///< HTTP status code; zero without an answer.
+  std::string Body;        ///< The answer.
 
   /// True when the daemon answered the question itself. Thread-safe.
-  bool good() const { return How.ok() && Status == 200; }
+  bool isOk() const { return CallStatus.ok() && HttpStatus == 200; }
 };
 
 /// Asks the operators' ports of many daemons at the same time.
--- a/Balsamrack/Client/Report.cpp
+++ b/Balsamrack/Client/Report.cpp
@@ -36,21 +36,22 @@
 }
 
 /// Names who didn't answer, and sets the exit code that says so.
-void noteSilent(const std::vector<DaemonReply> &replies, Report &report) {
-  size_t silent = 0;
+void reportFailures(const std::vector<DaemonReply> &replies, Report &report) {
+  size_t failed = 0;
   for (const DaemonReply &it : replies) {
-    if (it.good())
+    if (it.isOk())
       continue;
-    ++silent;
+    ++failed;
     absl::StrAppend(&report.Notes, "balsamctl: daemon ", it.Daemon.str(),
-                    it.How.ok() ? absl::StrCat(" answered ", it.Status, ": ",
-                                               it.Body.substr(0, 200))
-                                : absl::StrCat(" is unreachable"),
+                    it.CallStatus.ok()
+                        ? absl::StrCat(" answered ", it.HttpStatus, ": ",
+                                       it.Body.substr(0, 200))
+                        : absl::StrCat(" is unreachable"),
                     "\n");
   }
-  if (silent == replies.size())
-    report.ExitCode = ExitCodes::Nobody;
-  else if (silent > 0)
+  if (failed == replies.size())
+    report.ExitCode = ExitCodes::NoneAnswered;
+  else if (failed > 0)
     report.ExitCode = ExitCodes::Partial;
 }
 
@@ -58,7 +59,7 @@
 std::string asJson(const std::vector<DaemonReply> &replies) {
   json all = json::array();
   for (const DaemonReply &it : replies) {
-    json entry = {{"daemon", it.Daemon.str()}, {"reached", it.good()}};
+    json entry = {{"daemon", it.Daemon.str()}, {"reached", it.isOk()}};
     entry["answer"] = bodyOf(it);
     all.push_back(entry);
   }
@@ -101,11 +102,11 @@
 }
 
 /// Elements of the array \p name of every answer, with the daemon added.
-std::vector<json> gather(const std::vector<DaemonReply> &replies,
-                         const char *name) {
+std::vector<json> collectElements(const std::vector<DaemonReply> &replies,
+                                  const char *name) {
   std::vector<json> all;
   for (const DaemonReply &reply : replies) {
-    const json body = reply.good() ? bodyOf(reply) : json();
+    const json body = reply.isOk() ? bodyOf(reply) : json();
     for (json it : listOf(body, name)) {
       if (!it.is_object())
         continue;
@@ -123,22 +124,24 @@
              : 0;
 }
 
-Report finish(const std::vector<DaemonReply> &replies, OutputFormat how,
-              std::string text) {
+Report makeReport(const std::vector<DaemonReply> &replies, OutputFormat format,
+                  std::string text) {
   Report report;
-  report.Text = how == OutputFormat::Json ? asJson(replies) : std::move(text);
-  noteSilent(replies, report);
+  report.Text =
+      format == OutputFormat::Json ? asJson(replies) : std::move(text);
+  reportFailures(replies, report);
   return report;
 }
 
 } // namespace
 
-Report reportStatus(const std::vector<DaemonReply> &replies, OutputFormat how) {
+Report reportStatus(const std::vector<DaemonReply> &replies,
+                    OutputFormat format) {
   Table table({"DAEMON", "VM", "DOMAIN", "TICKET", "PLATFORM", "AUTHORITY",
                "OWNS", "FLOWS", "ALIVE", "SUSPECT", "DEAD"});
   for (const DaemonReply &it : replies) {
-    const json body = it.good() ? bodyOf(it) : json();
-    if (!it.good()) {
+    const json body = it.isOk() ? bodyOf(it) : json();
+    if (!it.isOk()) {
       table.add({it.Daemon.str(), "unreachable", "-", "-", "-", "-", "-", "-",
                  "-", "-", "-"});
       continue;
@@ -154,30 +157,30 @@
 
   // Failure domains as the first reachable daemon of each sees them.
   std::map<std::string, json> domains;
-  for (const json &it : gather(replies, "domains"))
+  for (const json &it : collectElements(replies, "domains"))
     domains.emplace(textOf(it, "id"), it);
   Table domainTable({"DOMAIN", "REGION", "IN SERVICE", "REACHABLE FROM"});
   for (const auto &[id, it] : domains) {
-    std::string from;
-    for (const json &seen : gather(replies, "domains"))
-      if (textOf(seen, "id") == id && textOf(seen, "reachable") == "true")
-        absl::StrAppend(&from, from.empty() ? "" : ", ",
-                        textOf(seen, "daemon"));
+    std::string reachableFrom;
+    for (const json &view : collectElements(replies, "domains"))
+      if (textOf(view, "id") == id && textOf(view, "reachable") == "true")
+        absl::StrAppend(&reachableFrom, reachableFrom.empty() ? "" : ", ",
+                        textOf(view, "daemon"));
     domainTable.add({id, textOf(it, "region"), textOf(it, "in_service"),
-                     from.empty() ? "-" : from});
+                     reachableFrom.empty() ? "-" : reachableFrom});
   }
   if (!domains.empty())
     absl::StrAppend(&text, "\n", domainTable.str());
-  return finish(replies, how, std::move(text));
+  return makeReport(replies, format, std::move(text));
 }
 
 Report reportServers(const std::vector<DaemonReply> &replies,
-                     OutputFormat how) {
+                     OutputFormat format) {
   std::map<std::string, json> servers;
-  for (const json &it : gather(replies, "servers")) {
-    auto [at, isNew] = servers.emplace(textOf(it, "id"), it);
+  for (const json &it : collectElements(replies, "servers")) {
+    auto [entry, isNew] = servers.emplace(textOf(it, "id"), it);
     if (!isNew && it.value("owned", false))
-      at->second = it;
+      entry->second = it;
   }
   Table table({"SERVER", "SERVICE", "DOMAIN", "MODE", "OWNER", "LIMIT",
                "RUNNING", "QUEUED", "WARM", "EJECTED", "FLOWS"});
@@ -186,29 +189,30 @@
                textOf(it, "mode"), textOf(it, "owner"), textOf(it, "limit"),
                textOf(it, "in_progress"), textOf(it, "queued"),
                textOf(it, "warm"), textOf(it, "ejected"), textOf(it, "flows")});
-  return finish(replies, how, table.str());
+  return makeReport(replies, format, table.str());
 }
 
-Report reportFlows(const std::vector<DaemonReply> &replies, OutputFormat how) {
+Report reportFlows(const std::vector<DaemonReply> &replies,
+                   OutputFormat format) {
   Table table({"DAEMON", "FLOW", "SERVICE", "SERVER", "IDLE MS"});
-  for (const json &it : gather(replies, "flows"))
+  for (const json &it : collectElements(replies, "flows"))
     table.add({textOf(it, "daemon"), textOf(it, "flow"), textOf(it, "service"),
                textOf(it, "server"), textOf(it, "idle_ms")});
   std::string text = table.str();
   for (const DaemonReply &it : replies)
-    if (it.good())
+    if (it.isOk())
       absl::StrAppend(&text, textOf(bodyOf(it), "vm"), ": ",
                       textOf(bodyOf(it), "count"), " flows\n");
-  return finish(replies, how, std::move(text));
+  return makeReport(replies, format, std::move(text));
 }
 
 Report reportDecisions(const std::vector<DaemonReply> &replies,
-                       OutputFormat how) {
+                       OutputFormat format) {
   // Clocks of two VMs can't be compared: each daemon's story stands alone.
   std::string text;
   size_t count = 0;
   std::string daemon;
-  for (const json &it : gather(replies, "decisions")) {
+  for (const json &it : collectElements(replies, "decisions")) {
     if (textOf(it, "daemon") != daemon) {
       daemon = textOf(it, "daemon");
       absl::StrAppend(&text, daemon, ":\n");
@@ -218,14 +222,15 @@
   }
   if (count == 0)
     text = "no daemon that answered remembers a decision about this\n";
-  Report report = finish(replies, how, std::move(text));
+  Report report = makeReport(replies, format, std::move(text));
   if (count == 0 && report.ExitCode == ExitCodes::Good)
     report.ExitCode = ExitCodes::No;
   return report;
 }
 
-Report reportTrace(const std::vector<DaemonReply> &replies, OutputFormat how) {
-  std::vector<json> spans = gather(replies, "spans");
+Report reportTrace(const std::vector<DaemonReply> &replies,
+                   OutputFormat format) {
+  std::vector<json> spans = collectElements(replies, "spans");
   std::stable_sort(
       spans.begin(), spans.end(), [](const json &a, const json &b) {
         return numberOf(a, "start_unix_us") < numberOf(b, "start_unix_us");
@@ -235,27 +240,27 @@
     table.add({textOf(it, "daemon"), textOf(it, "span"), textOf(it, "parent"),
                textOf(it, "name"), textOf(it, "took_us"),
                textOf(it, "result")});
-  Report report = finish(replies, how, table.str());
+  Report report = makeReport(replies, format, table.str());
   if (spans.empty() && report.ExitCode == ExitCodes::Good)
     report.ExitCode = ExitCodes::No;
   return report;
 }
 
 Report reportMetrics(const std::vector<DaemonReply> &replies,
-                     OutputFormat how) {
+                     OutputFormat format) {
   std::string text;
   for (const DaemonReply &it : replies)
-    if (it.good())
+    if (it.isOk())
       absl::StrAppend(&text, "# daemon ", it.Daemon.str(), "\n", it.Body);
-  return finish(replies, how, std::move(text));
+  return makeReport(replies, format, std::move(text));
 }
 
 Report reportInForce(const std::vector<DaemonReply> &replies,
-                     OutputFormat how) {
+                     OutputFormat format) {
   std::string text;
   bool everywhere = true;
   for (const DaemonReply &it : replies) {
-    if (!it.good())
+    if (!it.isOk())
       continue;
     const json body = bodyOf(it);
     const bool here = textOf(body, "in_force") == "true";
@@ -264,7 +269,7 @@
                     here ? "in force" : "not in force", ", holds up to ",
                     textOf(body, "ticket"), "\n");
   }
-  Report report = finish(replies, how, std::move(text));
+  Report report = makeReport(replies, format, std::move(text));
   if (!everywhere && report.ExitCode == ExitCodes::Good)
     report.ExitCode = ExitCodes::No;
   return report;
--- a/Balsamrack/Client/TicketCommands.cpp
+++ b/Balsamrack/Client/TicketCommands.cpp
@@ -29,11 +29,11 @@
 }
 
 /// Merges what the daemons hold, as they would among themselves.
-void mergeReplies(const std::vector<DaemonReply> &replies,
-                  ConfigurationStore &store) {
+void mergeConfigurations(const std::vector<DaemonReply> &replies,
+                         ConfigurationStore &store) {
   for (const DaemonReply &reply : replies) {
     const json body = json::parse(reply.Body, nullptr, false);
-    if (!reply.good() || !body.is_object() || !body.contains("objects") ||
+    if (!reply.isOk() || !body.is_object() || !body.contains("objects") ||
         !body["objects"].is_array())
       continue;
     for (const json &it : body["objects"]) {
@@ -44,9 +44,9 @@
   }
 }
 
-Report rejected(const absl::Status &status, OutputFormat how) {
+Report rejectionReport(const absl::Status &status, OutputFormat format) {
   const std::string message(status.message());
-  if (how == OutputFormat::Json)
+  if (format == OutputFormat::Json)
     return {json{{"accepted", false}, {"reason", message}}.dump(2) + "\n",
             ExitCodes::No, ""};
   return {absl::StrCat("rejected: ", message, "\n"), ExitCodes::No, ""};
@@ -56,17 +56,17 @@
 
 Report checkTicketText(const std::string &text,
                        const std::vector<DaemonReply> &replies,
-                       OutputFormat how) {
+                       OutputFormat format) {
   const auto ticket = parseTicket(text);
   if (!ticket.ok())
-    return rejected(ticket.status(), how);
+    return rejectionReport(ticket.status(), format);
   const absl::Status status = checkTicket(*ticket);
   if (!status.ok())
-    return rejected(status, how);
+    return rejectionReport(status, format);
 
   // What it would change, and what would dangle then.
   auto store = ConfigurationStore::create();
-  mergeReplies(replies, *store);
+  mergeConfigurations(replies, *store);
   const auto changes = store->previewChanges(*ticket);
   store->merge(ticket->Objects);
   const auto warnings = configurationWarnings(*store->view());
@@ -91,10 +91,10 @@
   }
   for (const std::string &it : warnings)
     absl::StrAppend(&report.Text, "warning: ", it, "\n");
-  if (how == OutputFormat::Json)
+  if (format == OutputFormat::Json)
     report.Text = document.dump(2) + "\n";
   for (const DaemonReply &it : replies)
-    if (!it.good()) {
+    if (!it.isOk()) {
       absl::StrAppend(&report.Notes, "balsamctl: daemon ", it.Daemon.str(),
                       " is unreachable\n");
       report.ExitCode = ExitCodes::Partial;
--- a/Balsamrack/Client/TicketCommands.h
+++ b/Balsamrack/Client/TicketCommands.h
@@ -13,7 +13,7 @@
 /// check). Exit code No for a ticket that would be rejected. Thread-safe.
 Report checkTicketText(const std::string &text,
                        const std::vector<DaemonReply> &replies,
-                       OutputFormat how);
+                       OutputFormat format);
 
 } // namespace balsamrack
 
--- a/Balsamrack/Daemon/Daemon.cpp
+++ b/Balsamrack/Daemon/Daemon.cpp
@@ -124,7 +124,7 @@
   ServerLinkSettings link;
   link.MaxDispatches = Config.ServerThreads;
   link.ConnectTimeout = Config.ServerConnectTimeout;
-  link.MayLeave = [this] { return Fence->mayDispatch(Time.now()); };
+  link.MaySend = [this] { return Fence->mayDispatch(Time.now()); };
   auto servers = createHttpServerLink(link);
   if (!servers.ok())
     return servers.status();
--- a/Balsamrack/Daemon/DaemonOperatorHandler.cpp
+++ b/Balsamrack/Daemon/DaemonOperatorHandler.cpp
@@ -53,7 +53,7 @@
 DaemonOperatorHandler::DaemonOperatorHandler(const OperatorSources &sources)
     : Sources(sources), StartedAt(sources.Time.now()) {}
 
-OperatorAnswer DaemonOperatorHandler::answer(const OperatorQuestion &question) {
+OperatorReply DaemonOperatorHandler::answer(const OperatorRequest &question) {
   const std::string &path = question.Path;
   if (path == "status")
     return status();
@@ -75,11 +75,11 @@
     return {200, "text/plain; version=0.0.4",
             Sources.TelemetrySink.metricsText()};
   if (path == "metrics.json")
-    return goodAnswer(Sources.TelemetrySink.metricsJson());
-  return badAnswer(404, "no such question");
+    return successReply(Sources.TelemetrySink.metricsJson());
+  return errorReply(404, "no such question");
 }
 
-OperatorAnswer DaemonOperatorHandler::status() const {
+OperatorReply DaemonOperatorHandler::status() const {
   const ControlReport control = Sources.Control.report(Sources.Time.now());
   const auto view = Sources.Store.view();
   json members = json::array();
@@ -99,7 +99,7 @@
          {"reachable", it != control.Reachable.end() && it->second}});
   }
   const StateDigest digest = Sources.Store.digest();
-  return goodAnswer(
+  return successReply(
       {{"vm", Sources.Self.Id.str()},
        {"failure_domain", Sources.Self.Domain.str()},
        {"run", Sources.Run.Value},
@@ -120,16 +120,16 @@
        {"flows", Sources.Flows.size()}});
 }
 
-OperatorAnswer DaemonOperatorHandler::configuration() const {
+OperatorReply DaemonOperatorHandler::configuration() const {
   json objects = json::array();
   for (const ObjectState &it : Sources.Store.objects())
     objects.push_back(objectToJson(it));
-  return goodAnswer({{"vm", Sources.Self.Id.str()},
-                     {"ticket", Sources.Store.view()->highest().Value},
-                     {"objects", objects}});
+  return successReply({{"vm", Sources.Self.Id.str()},
+                       {"ticket", Sources.Store.view()->highest().Value},
+                       {"objects", objects}});
 }
 
-OperatorAnswer DaemonOperatorHandler::servers() const {
+OperatorReply DaemonOperatorHandler::servers() const {
   std::map<ServerId, ServerReport> owned;
   for (ServerReport &it : Sources.Owner.report())
     owned.emplace(it.Server, std::move(it));
@@ -164,17 +164,17 @@
     }
     all.push_back(std::move(entry));
   }
-  return goodAnswer({{"vm", Sources.Self.Id.str()}, {"servers", all}});
+  return successReply({{"vm", Sources.Self.Id.str()}, {"servers", all}});
 }
 
-OperatorAnswer
-DaemonOperatorHandler::flows(const OperatorQuestion &question) const {
+OperatorReply
+DaemonOperatorHandler::flows(const OperatorRequest &question) const {
   uint32_t limit = FlowsListed;
   const std::string text = parameterOf(question, "limit");
   if (!text.empty() &&
       (!absl::SimpleAtoi(text, &limit) || limit > MostFlowsListed))
-    return badAnswer(400,
-                     absl::StrCat("limit has to be at most ", MostFlowsListed));
+    return errorReply(
+        400, absl::StrCat("limit has to be at most ", MostFlowsListed));
   json listed = json::array();
   const auto view = Sources.Store.view();
   for (const ServerReport &it : Sources.Owner.report()) {
@@ -187,52 +187,52 @@
                         {"service", server ? server->Service.str() : ""}});
     }
   }
-  return goodAnswer({{"vm", Sources.Self.Id.str()},
-                     {"count", Sources.Flows.size()},
-                     {"bytes", Sources.Flows.bytes()},
-                     {"flows", listed}});
+  return successReply({{"vm", Sources.Self.Id.str()},
+                       {"count", Sources.Flows.size()},
+                       {"bytes", Sources.Flows.bytes()},
+                       {"flows", listed}});
 }
 
-OperatorAnswer
-DaemonOperatorHandler::explain(const OperatorQuestion &question) const {
+OperatorReply
+DaemonOperatorHandler::explain(const OperatorRequest &question) const {
   const auto found = Sources.TelemetrySink.findDecisions(
       parameterOf(question, "kind"), parameterOf(question, "id"));
   if (!found.ok())
-    return badAnswer(400, std::string(found.status().message()));
-  return goodAnswer(
+    return errorReply(400, std::string(found.status().message()));
+  return successReply(
       {{"vm", Sources.Self.Id.str()}, {"decisions", decisionsOf(*found)}});
 }
 
-OperatorAnswer
-DaemonOperatorHandler::where(const OperatorQuestion &question) const {
+OperatorReply
+DaemonOperatorHandler::where(const OperatorRequest &question) const {
   FlowId flow;
   if (!absl::SimpleHexAtoi(parameterOf(question, "flow"), &flow.Value))
-    return badAnswer(400, "flow has to be hex digits");
+    return errorReply(400, "flow has to be hex digits");
   const ServiceId service(parameterOf(question, "service"));
   const auto view = Sources.Control.view();
   if (!view || !view->findService(service))
-    return badAnswer(404, "no such service");
-  return goodAnswer(
+    return errorReply(404, "no such service");
+  return successReply(
       {{"vm", Sources.Self.Id.str()},
        {"decisions", decisionsOf(explainPlacement(*view, service, flow,
                                                   Sources.Time.now()))}});
 }
 
-OperatorAnswer
-DaemonOperatorHandler::inForce(const OperatorQuestion &question) const {
+OperatorReply
+DaemonOperatorHandler::inForce(const OperatorRequest &question) const {
   TicketNumber number;
   if (!absl::SimpleAtoi(parameterOf(question, "number"), &number.Value))
-    return badAnswer(400, "number has to be a ticket's number");
-  return goodAnswer({{"vm", Sources.Self.Id.str()},
-                     {"ticket", Sources.Store.view()->highest().Value},
-                     {"in_force", Sources.Store.isInForce(number)}});
+    return errorReply(400, "number has to be a ticket's number");
+  return successReply({{"vm", Sources.Self.Id.str()},
+                       {"ticket", Sources.Store.view()->highest().Value},
+                       {"in_force", Sources.Store.isInForce(number)}});
 }
 
-OperatorAnswer
-DaemonOperatorHandler::trace(const OperatorQuestion &question) const {
-  return goodAnswer({{"vm", Sources.Self.Id.str()},
-                     {"spans", Sources.TelemetrySink.findSpans(
-                                   parameterOf(question, "id"))}});
+OperatorReply
+DaemonOperatorHandler::trace(const OperatorRequest &question) const {
+  return successReply({{"vm", Sources.Self.Id.str()},
+                       {"spans", Sources.TelemetrySink.findSpans(
+                                     parameterOf(question, "id"))}});
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/DaemonOperatorHandler.h
+++ b/Balsamrack/Daemon/DaemonOperatorHandler.h
@@ -31,17 +31,17 @@
   /// Precondition: all objects that \p sources refers to outlive the result.
   explicit DaemonOperatorHandler(const OperatorSources &sources);
 
-  OperatorAnswer answer(const OperatorQuestion &question) override;
+  OperatorReply answer(const OperatorRequest &question) override;
 
 private:
-  OperatorAnswer status() const;
-  OperatorAnswer configuration() const;
-  OperatorAnswer servers() const;
-  OperatorAnswer flows(const OperatorQuestion &question) const;
-  OperatorAnswer explain(const OperatorQuestion &question) const;
-  OperatorAnswer where(const OperatorQuestion &question) const;
-  OperatorAnswer inForce(const OperatorQuestion &question) const;
-  OperatorAnswer trace(const OperatorQuestion &question) const;
+  OperatorReply status() const;
+  OperatorReply configuration() const;
+  OperatorReply servers() const;
+  OperatorReply flows(const OperatorRequest &question) const;
+  OperatorReply explain(const OperatorRequest &question) const;
+  OperatorReply where(const OperatorRequest &question) const;
+  OperatorReply inForce(const OperatorRequest &question) const;
+  OperatorReply trace(const OperatorRequest &question) const;
 
   const OperatorSources Sources;
   const TimePoint StartedAt;
--- a/Balsamrack/Daemon/PacketOperatorHandler.cpp
+++ b/Balsamrack/Daemon/PacketOperatorHandler.cpp
@@ -91,7 +91,7 @@
                                              const PacketTelemetry &telemetry)
     : Settings(settings), Forwarder(forwarder), TelemetrySink(telemetry) {}
 
-OperatorAnswer PacketOperatorHandler::answer(const OperatorQuestion &question) {
+OperatorReply PacketOperatorHandler::answer(const OperatorRequest &question) {
   if (question.Path == "metrics")
     return {200, "text/plain; version=0.0.4", TelemetrySink.prometheus()};
   if (question.Path == "status")
@@ -102,21 +102,21 @@
     return explain(question);
   if (question.Path == "where")
     return where(question);
-  return badAnswer(HttpNotFound, "no such question");
+  return errorReply(HttpNotFound, "no such question");
 }
 
-OperatorAnswer PacketOperatorHandler::status() const {
+OperatorReply PacketOperatorHandler::status() const {
   ForwarderStatus now = Forwarder.status();
-  return goodAnswer({{"vm", Settings.Name},
-                     {"failure_domain", Settings.Domain.str()},
-                     {"version", BALSAMRACK_VERSION},
-                     {"ticket", now.Configuration},
-                     {"flows", now.Flows},
-                     {"daemons", now.Daemons},
-                     {"silent_servers", now.SilentServers}});
+  return successReply({{"vm", Settings.Name},
+                       {"failure_domain", Settings.Domain.str()},
+                       {"version", BALSAMRACK_VERSION},
+                       {"ticket", now.Configuration},
+                       {"flows", now.Flows},
+                       {"daemons", now.Daemons},
+                       {"silent_servers", now.SilentServers}});
 }
 
-OperatorAnswer PacketOperatorHandler::servers() const {
+OperatorReply PacketOperatorHandler::servers() const {
   json all = json::array();
   for (const ForwarderServerStatus &it : Forwarder.servers())
     all.push_back({{"id", it.Id.str()},
@@ -128,36 +128,37 @@
                    {"share", it.Share},
                    {"ejected", it.Silent},
                    {"warm", !it.Cold}});
-  return goodAnswer({{"vm", Settings.Name}, {"servers", all}});
+  return successReply({{"vm", Settings.Name}, {"servers", all}});
 }
 
-OperatorAnswer
-PacketOperatorHandler::explain(const OperatorQuestion &question) const {
+OperatorReply
+PacketOperatorHandler::explain(const OperatorRequest &question) const {
   if (parameterOf(question, "kind") != "flow")
-    return badAnswer(HttpBadRequest, "only flows are explained here");
+    return errorReply(HttpBadRequest, "only flows are explained here");
   std::pair<std::string, std::string> ends =
       absl::StrSplit(parameterOf(question, "id"), absl::MaxSplits('>', 1));
   auto caller = endpointOf(ends.first);
   auto service = endpointOf(ends.second);
   if (!caller || !service)
-    return badAnswer(HttpBadRequest, "a flow is CALLER>SERVICE, as in the log: "
-                                     "10.0.0.1:1024>198.18.0.1:443");
-  return goodAnswer(
+    return errorReply(HttpBadRequest,
+                      "a flow is CALLER>SERVICE, as in the log: "
+                      "10.0.0.1:1024>198.18.0.1:443");
+  return successReply(
       {{"vm", Settings.Name},
        {"decisions", describeFlow(Forwarder.explain({*caller, *service}))}});
 }
 
-OperatorAnswer
-PacketOperatorHandler::where(const OperatorQuestion &question) const {
+OperatorReply
+PacketOperatorHandler::where(const OperatorRequest &question) const {
   auto service = endpointOf(parameterOf(question, "service"));
   auto caller = endpointOf(parameterOf(question, "flow"));
   if (!caller || !service)
-    return badAnswer(HttpBadRequest,
-                     "service and flow are addresses: the route's, "
-                     "198.18.0.1:443, and the caller's");
-  return goodAnswer({{"vm", Settings.Name},
-                     {"decisions", describePlacement(Forwarder.explain(
-                                       {*caller, *service}))}});
+    return errorReply(HttpBadRequest,
+                      "service and flow are addresses: the route's, "
+                      "198.18.0.1:443, and the caller's");
+  return successReply({{"vm", Settings.Name},
+                       {"decisions", describePlacement(Forwarder.explain(
+                                         {*caller, *service}))}});
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/PacketOperatorHandler.h
+++ b/Balsamrack/Daemon/PacketOperatorHandler.h
@@ -16,13 +16,13 @@
                         PacketForwarder &forwarder,
                         const PacketTelemetry &telemetry);
 
-  OperatorAnswer answer(const OperatorQuestion &question) override;
+  OperatorReply answer(const OperatorRequest &question) override;
 
 private:
-  OperatorAnswer status() const;
-  OperatorAnswer servers() const;
-  OperatorAnswer explain(const OperatorQuestion &question) const;
-  OperatorAnswer where(const OperatorQuestion &question) const;
+  OperatorReply status() const;
+  OperatorReply servers() const;
+  OperatorReply explain(const OperatorRequest &question) const;
+  OperatorReply where(const OperatorRequest &question) const;
 
   const PacketSettings &Settings;
   PacketForwarder &Forwarder;
--- a/Balsamrack/Http/CallerPort.cpp
+++ b/Balsamrack/Http/CallerPort.cpp
@@ -21,11 +21,11 @@
            stepName(Step::DecodeEnvelope) + "\""}};
 }
 
-class ListenerPerPort final : public CallerPort {
+class HttpCallerPort final : public CallerPort {
 public:
-  ListenerPerPort(CallerPortSettings settings, CallerHandler &handler)
+  HttpCallerPort(CallerPortSettings settings, CallerHandler &handler)
       : Settings(std::move(settings)), Handler(handler) {}
-  ~ListenerPerPort() override { stop(); }
+  ~HttpCallerPort() override { stop(); }
 
   absl::Status open(uint16_t port) override;
   std::vector<uint16_t> ports() const override;
@@ -41,7 +41,7 @@
   bool Stopped = false;
 };
 
-absl::Status ListenerPerPort::open(uint16_t port) {
+absl::Status HttpCallerPort::open(uint16_t port) {
   std::lock_guard<std::mutex> hold(Lock);
   for (const auto &one : Open)
     if (port != 0 && one->at().Port == port)
@@ -57,19 +57,19 @@
   limits.RefusalHeaders = refusalHeaders();
   // The number that the handler gets is that of the socket, never anything
   // that the message says: it decides the service.
-  auto real = std::make_shared<std::atomic<uint16_t>>(port);
+  auto boundPort = std::make_shared<std::atomic<uint16_t>>(port);
   auto made = HttpListener::create(
-      limits, [this, real](const std::string &peerIp, Message message) {
-        return Handler.serve(*real, peerIp, std::move(message));
+      limits, [this, boundPort](const std::string &peerIp, Message message) {
+        return Handler.serve(*boundPort, peerIp, std::move(message));
       });
   if (!made.ok())
     return made.status();
-  *real = (*made)->at().Port;
+  *boundPort = (*made)->at().Port;
   Open.push_back(*std::move(made));
   return absl::OkStatus();
 }
 
-std::vector<uint16_t> ListenerPerPort::ports() const {
+std::vector<uint16_t> HttpCallerPort::ports() const {
   std::lock_guard<std::mutex> hold(Lock);
   std::vector<uint16_t> all;
   all.reserve(Open.size());
@@ -78,7 +78,7 @@
   return all;
 }
 
-void ListenerPerPort::stop() {
+void HttpCallerPort::stop() {
   {
     std::lock_guard<std::mutex> hold(Lock);
     Stopped = true;
@@ -96,7 +96,7 @@
 absl::StatusOr<std::unique_ptr<CallerPort>>
 CallerPort::create(const CallerPortSettings &settings,
                    const std::vector<uint16_t> &ports, CallerHandler &handler) {
-  auto made = std::make_unique<ListenerPerPort>(settings, handler);
+  auto made = std::make_unique<HttpCallerPort>(settings, handler);
   for (uint16_t port : ports) {
     absl::Status status = made->open(port);
     if (!status.ok())
--- a/Balsamrack/Http/CurlExchange.cpp
+++ b/Balsamrack/Http/CurlExchange.cpp
@@ -21,10 +21,11 @@
 /// True when \p text can't end a line or a field early. A daemon of another
 /// make could send us a message with a line break in a field; passed on, it
 /// would be a second request on the server's connection.
-bool isPlain(const std::string &text, bool spaceToo) {
+bool isSafeText(const std::string &text, bool rejectSpaces) {
   return std::none_of(text.begin(), text.end(), [&](char c) {
     auto byte = static_cast<unsigned char>(c);
-    return (byte < ' ' && c != '\t') || byte == 127 || (spaceToo && c == ' ');
+    return (byte < ' ' && c != '\t') || byte == 127 ||
+           (rejectSpaces && c == ' ');
   });
 }
 
@@ -35,25 +36,26 @@
 } // namespace
 
 CurlExchange::CurlExchange(HttpCall call, HttpClient::Done done)
-    : Call(std::move(call)), Report(std::move(done)),
-      Began(std::chrono::steady_clock::now()), LastByte(Began),
+    : Call(std::move(call)), OnDone(std::move(done)),
+      StartedAt(std::chrono::steady_clock::now()), LastByteAt(StartedAt),
       Easy(curl_easy_init()), Url("http://" + Call.To.str() + "/") {}
 
 CurlExchange::~CurlExchange() {
   curl_easy_cleanup(Easy);
-  curl_slist_free_all(Lines);
+  curl_slist_free_all(HeaderLines);
 }
 
-std::chrono::steady_clock::time_point CurlExchange::stallsAt() const {
+std::chrono::steady_clock::time_point CurlExchange::stallDeadline() const {
   if (Call.StallTimeout <= Duration(0))
     return std::chrono::steady_clock::time_point::max();
-  return LastByte + Call.StallTimeout;
+  return LastByteAt + Call.StallTimeout;
 }
 
 bool CurlExchange::prepare() {
   const Message &m = Call.Content;
   if (!Easy || Call.Timeout <= Duration(0) || m.Method.empty() ||
-      m.Target.empty() || !isPlain(m.Method, true) || !isPlain(m.Target, true))
+      m.Target.empty() || !isSafeText(m.Method, true) ||
+      !isSafeText(m.Target, true))
     return false;
   if (!setHeaders())
     return false;
@@ -87,7 +89,7 @@
 
 bool CurlExchange::setHeaders() {
   for (const auto &[name, value] : withoutHopByHop(Call.Content.Headers)) {
-    if (!isPlain(name, true) || !isPlain(value, false))
+    if (!isSafeText(name, true) || !isSafeText(value, false))
       return false;
     // libcurl takes "Name:" as the wish to leave a field out, and "Name;" as an
     // empty one.
@@ -99,15 +101,15 @@
     if (!findHeader(Call.Content.Headers, name) &&
         !addHeaderLine(std::string(name) + ":"))
       return false;
-  curl_easy_setopt(Easy, CURLOPT_HTTPHEADER, Lines);
+  curl_easy_setopt(Easy, CURLOPT_HTTPHEADER, HeaderLines);
   return true;
 }
 
 bool CurlExchange::addHeaderLine(const std::string &line) {
-  curl_slist *longer = curl_slist_append(Lines, line.c_str());
-  if (longer)
-    Lines = longer;
-  return longer != nullptr;
+  curl_slist *extended = curl_slist_append(HeaderLines, line.c_str());
+  if (extended)
+    HeaderLines = extended;
+  return extended != nullptr;
 }
 
 void CurlExchange::setMethod() {
@@ -135,7 +137,7 @@
   // before each send.
   if (me.Sent && me.Call.SendOnce)
     return CURL_PREREQFUNC_ABORT;
-  if (me.Call.MayLeave && !me.Call.MayLeave())
+  if (me.Call.MaySend && !me.Call.MaySend())
     return CURL_PREREQFUNC_ABORT;
   me.Sent = true;
   return CURL_PREREQFUNC_OK;
@@ -143,7 +145,7 @@
 
 size_t CurlExchange::onHeader(char *data, size_t size, size_t n, void *self) {
   auto &me = *static_cast<CurlExchange *>(self);
-  me.LastByte = std::chrono::steady_clock::now();
+  me.LastByteAt = std::chrono::steady_clock::now();
   std::string line(data, size * n);
   me.HeaderBytes += line.size();
   if (me.HeaderBytes > MaxAnswerHeaderBytes)
@@ -163,20 +165,20 @@
 
 size_t CurlExchange::onBody(char *data, size_t size, size_t n, void *self) {
   auto &me = *static_cast<CurlExchange *>(self);
-  me.LastByte = std::chrono::steady_clock::now();
+  me.LastByteAt = std::chrono::steady_clock::now();
   if (me.Body.size() + size * n > me.Call.MaxAnswerBytes)
     return 0;
   me.Body.append(data, size * n);
   return size * n;
 }
 
-bool CurlExchange::somethingLeft() const {
+bool CurlExchange::hasSentAnything() const {
   long written = 0;
   curl_easy_getinfo(Easy, CURLINFO_REQUEST_SIZE, &written);
   return Sent || written > 0;
 }
 
-bool CurlExchange::endIsCertain() const {
+bool CurlExchange::hasExplicitLength() const {
   long status = 0;
   curl_easy_getinfo(Easy, CURLINFO_RESPONSE_CODE, &status);
   return Call.Content.Method == "HEAD" || status == HttpNoContent ||
@@ -188,25 +190,26 @@
   HttpCallResult result;
   result.Cancelled = cancelled;
   result.Took = std::chrono::duration_cast<Duration>(
-      std::chrono::steady_clock::now() - Began);
+      std::chrono::steady_clock::now() - StartedAt);
   if (cancelled)
     result.Error = "cancelled";
   else if (code != CURLE_OK)
     result.Error = curl_easy_strerror(code);
-  else if (!endIsCertain())
+  else if (!hasExplicitLength())
     // The end of the connection ends the body. A server process that is killed
     // looks the same, so that half an answer could pass for a whole one.
     result.Error = "answer without Content-Length or chunks";
   if (result.Error.empty()) {
     long status = 0;
     curl_easy_getinfo(Easy, CURLINFO_RESPONSE_CODE, &status);
-    result.How = HttpCallEnd::Answered;
+    result.How = HttpCallOutcome::Answered;
     result.Content = {static_cast<uint32_t>(status), withoutHopByHop(Headers),
                       std::move(Body)};
   } else {
-    result.How = somethingLeft() ? HttpCallEnd::Failed : HttpCallEnd::NotSent;
+    result.How =
+        hasSentAnything() ? HttpCallOutcome::Failed : HttpCallOutcome::NotSent;
   }
-  Report(std::move(result));
+  OnDone(std::move(result));
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Http/CurlExchange.h
+++ b/Balsamrack/Http/CurlExchange.h
@@ -28,7 +28,7 @@
   uint64_t tag() const { return Call.Tag; }
   /// When the call has stalled unless a byte comes before; the far future when
   /// it has no StallTimeout.
-  std::chrono::steady_clock::time_point stallsAt() const;
+  std::chrono::steady_clock::time_point stallDeadline() const;
   /// Reports the end to the one who began the call. \p code is libcurl's
   /// verdict; \p cancelled tells that we ended it. To be called once, after the
   /// handle was taken out of its loop.
@@ -43,16 +43,16 @@
   bool setHeaders();
   void setMethod();
   bool addHeaderLine(const std::string &line);
-  bool somethingLeft() const;
-  bool endIsCertain() const;
+  bool hasSentAnything() const;
+  bool hasExplicitLength() const;
 
   const HttpCall Call;
-  const HttpClient::Done Report;
-  const std::chrono::steady_clock::time_point Began;
-  std::chrono::steady_clock::time_point LastByte; ///< Of the answer; Began.
+  const HttpClient::Done OnDone;
+  const std::chrono::steady_clock::time_point StartedAt;
+  std::chrono::steady_clock::time_point LastByteAt; ///< Of the answer; Began.
   CURL *Easy;
-  curl_slist *Lines = nullptr; ///< Header lines of the request.
-  std::string Url;             ///< Only its address counts.
+  curl_slist *HeaderLines = nullptr; ///< Header lines of the request.
+  std::string Url;                   ///< Only its address counts.
   bool Sent = false;  ///< The request was about to be written to a connection.
   HeaderList Headers; ///< Of the answer so far.
   size_t HeaderBytes = 0;
--- a/Balsamrack/Http/HeaderRules.cpp
+++ b/Balsamrack/Http/HeaderRules.cpp
@@ -12,52 +12,53 @@
 
 namespace {
 
-constexpr std::array<const char *, 11> HopByHop = {"connection",
-                                                   "keep-alive",
-                                                   "proxy-connection",
-                                                   "proxy-authenticate",
-                                                   "proxy-authorization",
-                                                   "te",
-                                                   "trailer",
-                                                   "transfer-encoding",
-                                                   "upgrade",
-                                                   "content-length",
-                                                   "host"};
+constexpr std::array<const char *, 11> HopByHopNames = {"connection",
+                                                        "keep-alive",
+                                                        "proxy-connection",
+                                                        "proxy-authenticate",
+                                                        "proxy-authorization",
+                                                        "te",
+                                                        "trailer",
+                                                        "transfer-encoding",
+                                                        "upgrade",
+                                                        "content-length",
+                                                        "host"};
 
-bool sameName(const std::string &a, const std::string &b) {
+bool isSameName(const std::string &a, const std::string &b) {
   return strcasecmp(a.c_str(), b.c_str()) == 0;
 }
 
 /// Names that the sender declared as meant for this connection only.
-std::vector<std::string> namedByConnection(const HeaderList &headers) {
-  std::vector<std::string> names;
+std::vector<std::string> connectionOptions(const HeaderList &headers) {
+  std::vector<std::string> options;
   for (const auto &[name, value] : headers) {
-    if (!sameName(name, "connection"))
+    if (!isSameName(name, "connection"))
       continue;
     for (auto part : absl::StrSplit(value, ',')) {
-      std::string one(part);
-      absl::StripAsciiWhitespace(&one);
-      names.push_back(std::move(one));
+      std::string option(part);
+      absl::StripAsciiWhitespace(&option);
+      options.push_back(std::move(option));
     }
   }
-  return names;
+  return options;
 }
 
 } // namespace
 
 bool isHopByHop(const std::string &name) {
-  return std::any_of(HopByHop.begin(), HopByHop.end(),
-                     [&](const char *one) { return sameName(name, one); });
+  return std::any_of(HopByHopNames.begin(), HopByHopNames.end(),
+                     [&](const char *one) { return isSameName(name, one); });
 }
 
 HeaderList withoutHopByHop(const HeaderList &headers) {
-  std::vector<std::string> named = namedByConnection(headers);
+  std::vector<std::string> options = connectionOptions(headers);
   HeaderList kept;
   for (const auto &field : headers) {
-    bool drop = isHopByHop(field.first) ||
-                std::any_of(named.begin(), named.end(), [&](const auto &one) {
-                  return sameName(field.first, one);
-                });
+    bool drop =
+        isHopByHop(field.first) ||
+        std::any_of(options.begin(), options.end(), [&](const auto &one) {
+          return isSameName(field.first, one);
+        });
     if (!drop)
       kept.push_back(field);
   }
@@ -67,7 +68,7 @@
 const std::string *findHeader(const HeaderList &headers,
                               const std::string &name) {
   for (const auto &[key, value] : headers)
-    if (sameName(key, name))
+    if (isSameName(key, name))
       return &value;
   return nullptr;
 }
--- a/Balsamrack/Http/HttpClient.cpp
+++ b/Balsamrack/Http/HttpClient.cpp
@@ -18,7 +18,7 @@
 
 using Instant = std::chrono::steady_clock::time_point;
 
-constexpr int PollMillis = 1000;
+constexpr int MaxPollMillis = 1000;
 constexpr long MaxKeptConnections = 256;
 
 /// libcurl's global state must be set up once, before any thread uses it.
@@ -39,13 +39,13 @@
     curl_multi_cleanup(Multi);
   }
 
-  absl::Status begin();
+  absl::Status startThread();
   void start(HttpCall call, Done done) override;
   void cancel(uint64_t tag) override {
-    tell([this, tag] { Cancels.push_back(tag); });
+    post([this, tag] { CancelledTags.push_back(tag); });
   }
   void cancelAll() override {
-    tell([this] { AllCancelled = true; });
+    post([this] { CancelAll = true; });
   }
   void stop() override;
 
@@ -53,43 +53,43 @@
   using Exchanges = std::vector<std::unique_ptr<CurlExchange>>;
 
   /// What other threads want of the loop.
-  struct Wishes {
-    Exchanges Starts;
-    std::vector<uint64_t> Cancels;
-    bool AllCancelled = false;
+  struct Commands {
+    Exchanges NewExchanges;
+    std::vector<uint64_t> CancelledTags;
+    bool CancelAll = false;
     bool Stopping = false;
   };
 
-  template <class Change> void tell(Change change) {
+  template <class Change> void post(Change change) {
     {
       std::lock_guard<std::mutex> hold(Lock);
       change();
     }
     curl_multi_wakeup(Multi);
   }
-  Wishes takeWishes();
+  Commands takeCommands();
   void run();
-  void admit(std::unique_ptr<CurlExchange> exchange);
+  void addExchange(std::unique_ptr<CurlExchange> exchange);
   void reapFinished();
-  void endStalled();
+  void failStalled();
   int pollMillis() const;
   void finish(CURL *handle, CURLcode code, bool cancelled);
-  template <class Which> void cancelThose(Which which);
+  template <class Predicate> void cancelIf(Predicate predicate);
 
   CURLM *const Multi;
   std::thread Loop;
   std::mutex StopLock; ///< Held while the thread is joined.
   std::map<CURL *, std::unique_ptr<CurlExchange>> Active; ///< Loop's own.
-  std::set<CURL *> MayStall; ///< Those of Active with a StallTimeout.
+  std::set<CURL *> WithStallTimeout; ///< Those of Active with a StallTimeout.
 
   std::mutex Lock; ///< Guards what follows.
-  Exchanges Starts;
-  std::vector<uint64_t> Cancels;
-  bool AllCancelled = false;
+  Exchanges NewExchanges;
+  std::vector<uint64_t> CancelledTags;
+  bool CancelAll = false;
   bool Stopping = false;
 };
 
-absl::Status CurlClient::begin() {
+absl::Status CurlClient::startThread() {
   if (!Multi)
     return absl::InternalError("cannot set libcurl up");
   try {
@@ -106,7 +106,7 @@
   {
     std::lock_guard<std::mutex> hold(Lock);
     if (!Stopping) {
-      Starts.push_back(std::move(exchange));
+      NewExchanges.push_back(std::move(exchange));
       curl_multi_wakeup(Multi);
       return;
     }
@@ -114,20 +114,20 @@
   exchange->finish(CURLE_OK, true);
 }
 
-CurlClient::Wishes CurlClient::takeWishes() {
+CurlClient::Commands CurlClient::takeCommands() {
   std::lock_guard<std::mutex> hold(Lock);
-  return {std::exchange(Starts, {}), std::exchange(Cancels, {}),
-          std::exchange(AllCancelled, false), Stopping};
+  return {std::exchange(NewExchanges, {}), std::exchange(CancelledTags, {}),
+          std::exchange(CancelAll, false), Stopping};
 }
 
-void CurlClient::admit(std::unique_ptr<CurlExchange> exchange) {
+void CurlClient::addExchange(std::unique_ptr<CurlExchange> exchange) {
   if (!exchange->prepare()) {
     exchange->finish(CURLE_BAD_FUNCTION_ARGUMENT, false);
     return;
   }
   CURL *handle = exchange->handle();
-  if (exchange->stallsAt() != Instant::max())
-    MayStall.insert(handle);
+  if (exchange->stallDeadline() != Instant::max())
+    WithStallTimeout.insert(handle);
   Active[handle] = std::move(exchange);
   curl_multi_add_handle(Multi, handle);
 }
@@ -138,16 +138,16 @@
     return;
   std::unique_ptr<CurlExchange> exchange = std::move(it->second);
   Active.erase(it);
-  MayStall.erase(handle);
+  WithStallTimeout.erase(handle);
   // Closes the connection of a call that is not through.
   curl_multi_remove_handle(Multi, handle);
   exchange->finish(code, cancelled);
 }
 
-template <class Which> void CurlClient::cancelThose(Which which) {
+template <class Predicate> void CurlClient::cancelIf(Predicate predicate) {
   std::vector<CURL *> found;
   for (const auto &[handle, exchange] : Active)
-    if (which(*exchange))
+    if (predicate(*exchange))
       found.push_back(handle);
   for (CURL *handle : found)
     finish(handle, CURLE_OK, true);
@@ -163,13 +163,13 @@
     finish(handle, code, false);
 }
 
-void CurlClient::endStalled() {
-  if (MayStall.empty())
+void CurlClient::failStalled() {
+  if (WithStallTimeout.empty())
     return;
   Instant now = std::chrono::steady_clock::now();
   std::vector<CURL *> stalled;
-  for (CURL *handle : MayStall)
-    if (now >= Active.at(handle)->stallsAt())
+  for (CURL *handle : WithStallTimeout)
+    if (now >= Active.at(handle)->stallDeadline())
       stalled.push_back(handle);
   for (CURL *handle : stalled)
     finish(handle, CURLE_OPERATION_TIMEDOUT, false);
@@ -177,40 +177,40 @@
 
 int CurlClient::pollMillis() const {
   using std::chrono::milliseconds;
-  milliseconds wait(PollMillis);
-  if (MayStall.empty())
-    return PollMillis;
+  milliseconds wait(MaxPollMillis);
+  if (WithStallTimeout.empty())
+    return MaxPollMillis;
   Instant now = std::chrono::steady_clock::now();
-  for (CURL *handle : MayStall)
+  for (CURL *handle : WithStallTimeout)
     wait = std::min(wait, std::chrono::ceil<milliseconds>(
-                              Active.at(handle)->stallsAt() - now));
+                              Active.at(handle)->stallDeadline() - now));
   return std::max(0, static_cast<int>(wait.count()));
 }
 
 void CurlClient::run() {
   for (;;) {
-    Wishes wishes = takeWishes();
-    for (auto &exchange : wishes.Starts)
-      admit(std::move(exchange));
+    Commands commands = takeCommands();
+    for (auto &exchange : commands.NewExchanges)
+      addExchange(std::move(exchange));
     // Calls that are through already keep their answers.
     reapFinished();
-    if (wishes.AllCancelled)
-      cancelThose([](const CurlExchange &) { return true; });
-    for (uint64_t tag : wishes.Cancels)
-      cancelThose([&](const CurlExchange &e) { return e.tag() == tag; });
+    if (commands.CancelAll)
+      cancelIf([](const CurlExchange &) { return true; });
+    for (uint64_t tag : commands.CancelledTags)
+      cancelIf([&](const CurlExchange &e) { return e.tag() == tag; });
     int running = 0;
     curl_multi_perform(Multi, &running);
     reapFinished();
-    endStalled();
-    if (wishes.Stopping && Active.empty() && wishes.Starts.empty())
+    failStalled();
+    if (commands.Stopping && Active.empty() && commands.NewExchanges.empty())
       return;
     curl_multi_poll(Multi, nullptr, 0, pollMillis(), nullptr);
   }
 }
 
 void CurlClient::stop() {
-  std::lock_guard<std::mutex> once(StopLock);
-  tell([this] { Stopping = true; });
+  std::lock_guard<std::mutex> hold(StopLock);
+  post([this] { Stopping = true; });
   if (Loop.joinable())
     Loop.join();
 }
@@ -221,7 +221,7 @@
   if (!initCurl())
     return absl::InternalError("cannot set libcurl up");
   auto made = std::make_unique<CurlClient>();
-  absl::Status status = made->begin();
+  absl::Status status = made->startThread();
   if (!status.ok())
     return status;
   return made;
--- a/Balsamrack/Http/HttpClient.h
+++ b/Balsamrack/Http/HttpClient.h
@@ -25,13 +25,13 @@
   uint32_t MaxAnswerBytes = 4 << 20; ///< A longer body is an error.
   bool SendOnce = true; ///< Never send it a second time, not even when a kept
                         ///< connection turns out to be dead.
-  std::function<bool()> MayLeave; ///< Asked on the client's thread right before
-                                  ///< each send; false: nothing is sent. Empty:
-                                  ///< always true. Must not block.
+  std::function<bool()> MaySend; ///< Asked on the client's thread right before
+                                 ///< each send; false: nothing is sent. Empty:
+                                 ///< always true. Must not block.
 };
 
 /// What became of a call, as far as it can be proved.
-enum class HttpCallEnd {
+enum class HttpCallOutcome {
   Answered, ///< The whole answer came.
   NotSent,  ///< Not a byte of the request left this process.
   Failed,   ///< Some of the request may have left, and no whole answer came.
@@ -39,7 +39,7 @@
 
 /// Result of a call.
 struct HttpCallResult {
-  HttpCallEnd How = HttpCallEnd::NotSent; ///< What became of it.
+  HttpCallOutcome How = HttpCallOutcome::NotSent; ///< What became of it.
   bool Cancelled = false; ///< Ended by cancel(), cancelAll() or stop().
   Answer Content;         ///< Set when Answered; without hop-by-hop fields.
   std::string Error;      ///< Why, unless Answered.
--- a/Balsamrack/Http/HttpListener.cpp
+++ b/Balsamrack/Http/HttpListener.cpp
@@ -64,7 +64,7 @@
 /// ulfius holds one value a name, and tells names apart by case. Fields that
 /// may not be joined into a list (Set-Cookie) would lose all but the last; each
 /// repeat gets a spelling of its own, which HTTP takes as the same name.
-std::string freeSpelling(_u_map *map, const std::string &name) {
+std::string uniqueSpelling(_u_map *map, const std::string &name) {
   std::string spelling = name;
   for (unsigned n = 1; u_map_has_key(map, spelling.c_str()); ++n) {
     spelling = name;
@@ -77,9 +77,9 @@
   return spelling;
 }
 
-void fill(_u_response &response, const Answer &answer, bool close) {
+void fillResponse(_u_response &response, const Answer &answer, bool close) {
   for (const auto &[name, value] : answer.Headers) {
-    std::string key = freeSpelling(response.map_header, name);
+    std::string key = uniqueSpelling(response.map_header, name);
     u_map_put(response.map_header, key.c_str(), value.c_str());
   }
   if (close)
@@ -94,14 +94,14 @@
 
 class UlfiusListener final : public HttpListener {
 public:
-  UlfiusListener(HttpListenerSettings settings, Serve serve,
+  UlfiusListener(HttpListenerSettings settings, RequestHandler handler,
                  ListenSocket socket)
-      : Settings(std::move(settings)), Handler(std::move(serve)),
-        Socket(std::move(socket)), Where(Socket->address()) {}
+      : Settings(std::move(settings)), Handler(std::move(handler)),
+        Socket(std::move(socket)), BoundAddress(Socket->address()) {}
   ~UlfiusListener() override { stop(); }
 
   absl::Status start();
-  const Address &at() const override { return Where; }
+  const Address &at() const override { return BoundAddress; }
   void quiesce() override;
   void stop() override;
 
@@ -111,22 +111,22 @@
   static void onCompleted(void *self, MHD_Connection *connection,
                           void **context, MHD_RequestTerminationCode how);
 
-  absl::Status fault(const char *what) const {
-    return makeError(absl::StatusCode::kInternal, Step::Listen, Where.str(),
-                     what);
+  absl::Status makeListenError(const char *what) const {
+    return makeError(absl::StatusCode::kInternal, Step::Listen,
+                     BoundAddress.str(), what);
   }
-  Answer answer(const _u_request &request);
+  Answer serveRequest(const _u_request &request);
   Answer refusal(unsigned status) const {
     return {status, Settings.RefusalHeaders, ""};
   }
   void quiesceLocked();
-  bool enter(const _u_request *request);
+  bool addToServing(const _u_request *request);
 
   const HttpListenerSettings Settings;
-  const Serve Handler;
+  const RequestHandler Handler;
   std::optional<ListenSocket> Socket; ///< Empty once quiesced.
-  const Address Where;
-  sockaddr_in BindTo{}; ///< Borrowed by Instance.
+  const Address BoundAddress;
+  sockaddr_in BindAddress{}; ///< Borrowed by Instance.
   _u_instance Instance{};
   bool Started = false;
 
@@ -137,16 +137,17 @@
   /// whose answer is on its way, which would cut requests in progress.
   std::unordered_set<const _u_request *> Serving;
   bool Quiesced = false;
-  bool Closed = false;  ///< Nothing more is served.
+  bool Closing = false; ///< Nothing more is served.
   bool Stopped = false; ///< The daemon has ended.
 };
 
 absl::Status UlfiusListener::start() {
-  BindTo.sin_family = AF_INET;
-  BindTo.sin_port = htons(Where.Port);
-  inet_pton(AF_INET, Where.Ip.c_str(), &BindTo.sin_addr);
-  if (ulfius_init_instance(&Instance, Where.Port, &BindTo, nullptr) != U_OK)
-    return fault("cannot set up the HTTP server");
+  BindAddress.sin_family = AF_INET;
+  BindAddress.sin_port = htons(BoundAddress.Port);
+  inet_pton(AF_INET, BoundAddress.Ip.c_str(), &BindAddress.sin_addr);
+  if (ulfius_init_instance(&Instance, BoundAddress.Port, &BindAddress,
+                           nullptr) != U_OK)
+    return makeListenError("cannot set up the HTTP server");
   Started = true;
   Instance.max_post_body_size = size_t(Settings.MaxBodyBytes) + 1;
   Instance.check_utf8 = 0;
@@ -172,19 +173,19 @@
                              MHD_USE_ITC;
   if (ulfius_start_framework_with_mhd_options(&Instance, Flags, options) !=
       U_OK)
-    return fault("cannot start the HTTP server");
+    return makeListenError("cannot start the HTTP server");
   return absl::OkStatus();
 }
 
-bool UlfiusListener::enter(const _u_request *request) {
+bool UlfiusListener::addToServing(const _u_request *request) {
   std::lock_guard<std::mutex> hold(Lock);
-  if (Closed)
+  if (Closing)
     return false;
   Serving.insert(request);
   return true;
 }
 
-Answer UlfiusListener::answer(const _u_request &request) {
+Answer UlfiusListener::serveRequest(const _u_request &request) {
   if (request.binary_body_length > Settings.MaxBodyBytes)
     return refusal(HttpPayloadTooLarge);
   Message message = messageOf(request);
@@ -193,7 +194,7 @@
   message.Headers = withoutHopByHop(message.Headers);
   // A message that comes in after stop() found none in progress must not be
   // served: its answer would be cut off.
-  if (!enter(&request))
+  if (!addToServing(&request))
     return refusal(HttpUnavailable);
   return Handler(peerIpOf(request), std::move(message));
 }
@@ -201,13 +202,14 @@
 int UlfiusListener::onRequest(const _u_request *request, _u_response *response,
                               void *self) {
   auto &me = *static_cast<UlfiusListener *>(self);
-  Answer answer = me.answer(*request);
+  Answer answer = me.serveRequest(*request);
   bool close = false;
   {
     std::lock_guard<std::mutex> hold(me.Lock);
     close = me.Quiesced;
   }
-  fill(*response, answer, close || answer.Status == HttpPayloadTooLarge);
+  fillResponse(*response, answer,
+               close || answer.Status == HttpPayloadTooLarge);
   return U_CALLBACK_COMPLETE;
 }
 
@@ -245,7 +247,7 @@
   std::unique_lock<std::mutex> hold(Lock);
   quiesceLocked();
   Changed.wait(hold, [this] { return Serving.empty(); });
-  if (std::exchange(Closed, true)) {
+  if (std::exchange(Closing, true)) {
     Changed.wait(hold, [this] { return Stopped; });
     return;
   }
@@ -263,11 +265,12 @@
 } // namespace
 
 absl::StatusOr<std::unique_ptr<HttpListener>>
-HttpListener::create(const HttpListenerSettings &settings, Serve serve) {
+HttpListener::create(const HttpListenerSettings &settings,
+                     RequestHandler handler) {
   auto socket = ListenSocket::open(settings.At);
   if (!socket.ok())
     return socket.status();
-  auto made = std::make_unique<UlfiusListener>(settings, std::move(serve),
+  auto made = std::make_unique<UlfiusListener>(settings, std::move(handler),
                                                *std::move(socket));
   absl::Status status = made->start();
   if (!status.ok())
--- a/Balsamrack/Http/HttpListener.h
+++ b/Balsamrack/Http/HttpListener.h
@@ -29,14 +29,14 @@
 public:
   /// Serves one message of \p peerIp. Blocks for as long as it takes. Called on
   /// many threads at once.
-  using Serve =
+  using RequestHandler =
       std::function<Answer(const std::string &peerIp, Message message)>;
 
   /// Starts to listen. Error (step listen, peer ip:port) when the port is
   /// taken, the address is not ours or the threads can't be started.
   /// Thread-safe.
   static absl::StatusOr<std::unique_ptr<HttpListener>>
-  create(const HttpListenerSettings &settings, Serve serve);
+  create(const HttpListenerSettings &settings, RequestHandler handler);
   virtual ~HttpListener() = default;
   /// Where it listens, with the real port. Thread-safe.
   virtual const Address &at() const = 0;
--- a/Balsamrack/Http/OperatorAnswers.h
+++ b/Balsamrack/Http/OperatorAnswers.h
@@ -11,13 +11,13 @@
 
 /// The answer \p body with status 200; bytes that are no UTF-8 are replaced.
 /// Thread-safe.
-OperatorAnswer goodAnswer(const nlohmann::json &body);
+OperatorReply successReply(const nlohmann::json &body);
 
 /// An error in the operators' form, with status \p status. Thread-safe.
-OperatorAnswer badAnswer(uint32_t status, const std::string &message);
+OperatorReply errorReply(uint32_t status, const std::string &message);
 
 /// The query parameter \p name, or an empty string. Thread-safe.
-std::string parameterOf(const OperatorQuestion &question, const char *name);
+std::string parameterOf(const OperatorRequest &request, const char *name);
 
 } // namespace balsamrack
 
--- a/Balsamrack/Http/OperatorPort.cpp
+++ b/Balsamrack/Http/OperatorPort.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr uint32_t MaxQuestionBytes = 4096;
+constexpr uint32_t MaxRequestBytes = 4096;
 constexpr uint32_t MaxOperatorConnections = 64;
-constexpr const char *Prefix = "/v1/";
+constexpr const char *PathPrefix = "/v1/";
 
 Answer errorAnswer(uint32_t status, const std::string &message) {
   nlohmann::json body = {{"error", message},
@@ -25,11 +25,11 @@
           body.dump(-1, ' ', false, ErrorHandler::replace) + "\n"};
 }
 
-class UlfiusOperatorPort final : public OperatorPort {
+class HttpOperatorPort final : public OperatorPort {
 public:
-  UlfiusOperatorPort(AddressSet allowed, OperatorHandler &handler)
+  HttpOperatorPort(AddressSet allowed, OperatorHandler &handler)
       : Allowed(std::move(allowed)), Handler(handler) {}
-  ~UlfiusOperatorPort() override { UlfiusOperatorPort::stop(); }
+  ~HttpOperatorPort() override { HttpOperatorPort::stop(); }
 
   absl::Status start(const Address &at);
   const Address &at() const override { return Listener->at(); }
@@ -46,11 +46,11 @@
   std::unique_ptr<HttpListener> Listener;
 };
 
-absl::Status UlfiusOperatorPort::start(const Address &at) {
+absl::Status HttpOperatorPort::start(const Address &at) {
   HttpListenerSettings limits;
   limits.At = at;
   limits.MaxBodyBytes = 0;
-  limits.MaxHeaderBytes = MaxQuestionBytes;
+  limits.MaxHeaderBytes = MaxRequestBytes;
   limits.MaxConnections = MaxOperatorConnections;
   auto made = HttpListener::create(
       limits, [this](const std::string &peerIp, const Message &message) {
@@ -62,8 +62,8 @@
   return absl::OkStatus();
 }
 
-Answer UlfiusOperatorPort::serve(const std::string &peerIp,
-                                 const Message &message) {
+Answer HttpOperatorPort::serve(const std::string &peerIp,
+                               const Message &message) {
   if (!Allowed.contains(peerIp))
     return errorAnswer(403, "address " + peerIp + " is not an operator's");
   if (message.Method != "GET") {
@@ -71,18 +71,18 @@
     refused.Headers.emplace_back("Allow", "GET");
     return refused;
   }
-  auto target = splitTarget(message.Target);
+  auto target = parseTarget(message.Target);
   if (!target.ok())
     return errorAnswer(400, std::string(target.status().message()));
   // Where collectors of metrics look by default.
   std::string path = target->Path == "/metrics" ? "/v1/metrics" : target->Path;
-  if (path.rfind(Prefix, 0) != 0)
+  if (path.rfind(PathPrefix, 0) != 0)
     return errorAnswer(404, "paths begin with /v1/");
-  OperatorQuestion question{path.substr(4), std::move(target->Query)};
-  OperatorAnswer answer = Handler.answer(question);
-  return {answer.Status,
-          {{"Content-Type", std::move(answer.ContentType)}},
-          std::move(answer.Body)};
+  OperatorRequest request{path.substr(4), std::move(target->Query)};
+  OperatorReply reply = Handler.answer(request);
+  return {reply.Status,
+          {{"Content-Type", std::move(reply.ContentType)}},
+          std::move(reply.Body)};
 }
 
 } // namespace
@@ -93,7 +93,7 @@
   auto set = AddressSet::parse(allowed);
   if (!set.ok())
     return addErrorContext(set.status(), Step::Listen, at.str());
-  auto made = std::make_unique<UlfiusOperatorPort>(*std::move(set), handler);
+  auto made = std::make_unique<HttpOperatorPort>(*std::move(set), handler);
   absl::Status status = made->start(at);
   if (!status.ok())
     return status;
--- a/Balsamrack/Http/OperatorPort.h
+++ b/Balsamrack/Http/OperatorPort.h
@@ -13,13 +13,13 @@
 namespace balsamrack {
 
 /// An operators' question: the path below /v1/, and the query's parameters.
-struct OperatorQuestion {
+struct OperatorRequest {
   std::string Path;                         ///< Such as "status" or "explain".
   std::map<std::string, std::string> Query; ///< Parameters by name.
 };
 
 /// The answer to an operators' question.
-struct OperatorAnswer {
+struct OperatorReply {
   uint32_t Status = 200;                        ///< HTTP status code.
   std::string ContentType = "application/json"; ///< Of Body.
   std::string Body;                             ///< The answer.
@@ -31,7 +31,7 @@
   virtual ~OperatorHandler() = default;
   /// Answers one question. Called on many threads at once; must not wait for
   /// the network.
-  virtual OperatorAnswer answer(const OperatorQuestion &question) = 0;
+  virtual OperatorReply answer(const OperatorRequest &request) = 0;
 };
 
 /// The operators' HTTP port: read only, and apart from the callers' ports.
--- a/Balsamrack/Http/QueryString.cpp
+++ b/Balsamrack/Http/QueryString.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-absl::StatusOr<std::string> decode(const std::string &text, bool plusIsSpace) {
+absl::StatusOr<std::string> percentDecode(const std::string &text,
+                                          bool plusIsSpace) {
   std::string out;
   for (size_t i = 0; i < text.size(); ++i) {
     char c = text[i];
@@ -32,27 +33,28 @@
 
 } // namespace
 
-absl::StatusOr<SplitTarget> splitTarget(const std::string &target) {
-  SplitTarget split;
-  size_t mark = target.find('?');
-  auto path = decode(target.substr(0, mark), false);
+absl::StatusOr<RequestTarget> parseTarget(const std::string &target) {
+  RequestTarget result;
+  size_t queryStart = target.find('?');
+  auto path = percentDecode(target.substr(0, queryStart), false);
   if (!path.ok())
     return path.status();
-  split.Path = *std::move(path);
-  if (mark == std::string::npos)
-    return split;
-  for (auto piece :
-       absl::StrSplit(target.substr(mark + 1), '&', absl::SkipEmpty())) {
-    std::string part(piece);
-    size_t equals = part.find('=');
-    auto name = decode(part.substr(0, equals), true);
-    auto value = decode(
-        equals == std::string::npos ? "" : part.substr(equals + 1), true);
+  result.Path = *std::move(path);
+  if (queryStart == std::string::npos)
+    return result;
+  for (auto encoded :
+       absl::StrSplit(target.substr(queryStart + 1), '&', absl::SkipEmpty())) {
+    std::string parameter(encoded);
+    size_t equalsSign = parameter.find('=');
+    auto name = percentDecode(parameter.substr(0, equalsSign), true);
+    auto value = percentDecode(
+        equalsSign == std::string::npos ? "" : parameter.substr(equalsSign + 1),
+        true);
     if (!name.ok() || !value.ok())
       return name.ok() ? value.status() : name.status();
-    split.Query.emplace(*std::move(name), *std::move(value));
+    result.Query.emplace(*std::move(name), *std::move(value));
   }
-  return split;
+  return result;
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Http/QueryString.h
+++ b/Balsamrack/Http/QueryString.h
@@ -9,7 +9,7 @@
 namespace balsamrack {
 
 /// An HTTP request target, taken apart.
-struct SplitTarget {
+struct RequestTarget {
   std::string Path;                         ///< Decoded.
   std::map<std::string, std::string> Query; ///< Decoded; of a repeated
                                             ///< parameter the first value.
@@ -18,7 +18,7 @@
 /// Takes \p target apart and decodes its percent escapes. Error
 /// kInvalidArgument when an escape is incomplete or stands for a zero byte.
 /// Thread-safe.
-absl::StatusOr<SplitTarget> splitTarget(const std::string &target);
+absl::StatusOr<RequestTarget> parseTarget(const std::string &target);
 
 } // namespace balsamrack
 
--- a/Balsamrack/Http/ServerLink.cpp
+++ b/Balsamrack/Http/ServerLink.cpp
@@ -21,7 +21,7 @@
 constexpr Duration CancelTimeout{1'000'000};
 constexpr uint32_t MaxRetryAfterSeconds = 3600;
 constexpr const char *CancelTarget = "/balsamrack/cancel";
-constexpr const char *OwnPrefix = "Balsamrack-";
+constexpr const char *OwnFieldPrefix = "Balsamrack-";
 
 std::string hex(uint64_t value) { return absl::StrFormat("%016x", value); }
 
@@ -45,7 +45,7 @@
 /// Fields of our own name would let a server speak for us to the caller.
 HeaderList withoutOwnFields(HeaderList headers) {
   auto own = [](const auto &field) {
-    return absl::StartsWithIgnoreCase(field.first, OwnPrefix);
+    return absl::StartsWithIgnoreCase(field.first, OwnFieldPrefix);
   };
   headers.erase(std::remove_if(headers.begin(), headers.end(), own),
                 headers.end());
@@ -69,9 +69,10 @@
 DispatchResult resultOf(HttpCallResult call) {
   DispatchResult result;
   result.Took = call.Took;
-  if (call.How != HttpCallEnd::Answered) {
-    result.How = call.How == HttpCallEnd::NotSent ? DispatchOutcome::Unreachable
-                                                  : DispatchOutcome::Failed;
+  if (call.How != HttpCallOutcome::Answered) {
+    result.How = call.How == HttpCallOutcome::NotSent
+                     ? DispatchOutcome::Unreachable
+                     : DispatchOutcome::Failed;
     return result;
   }
   if (const auto *name =
@@ -138,14 +139,14 @@
   call.Timeout = timeout;
   call.MaxAnswerBytes = Settings.MaxAnswerBytes;
   call.SendOnce = head.Kind == Semantics::RunOnce;
-  call.MayLeave = Settings.MayLeave;
+  call.MaySend = Settings.MaySend;
   // A call without time ends as not sent, on the link's thread as promised.
   if (++Running > Settings.MaxDispatches)
     call.Timeout = Duration(0);
   HttpClient &loop = *Loops[server.Id.hash() % Loops.size()];
   auto finish = [this, &loop, to = server.At, request = head.Request,
                  done = std::move(done)](HttpCallResult result) {
-    if (result.Cancelled && result.How == HttpCallEnd::Failed)
+    if (result.Cancelled && result.How == HttpCallOutcome::Failed)
       sendCancel(loop, to, request);
     --Running;
     done(resultOf(std::move(result)));
--- a/Balsamrack/Http/ServerLink.h
+++ b/Balsamrack/Http/ServerLink.h
@@ -46,12 +46,12 @@
 
 /// Limits of the link.
 struct ServerLinkSettings {
-  std::function<bool()> MayLeave; ///< Asked on the link's thread right before
-                                  ///< a message leaves; false: it ends as
-                                  ///< Unreachable. Empty: always true. Guards
-                                  ///< against a dispatch that waited for its
-                                  ///< connection while its owner lost
-                                  ///< authority. Must not block.
+  std::function<bool()> MaySend; ///< Asked on the link's thread right before
+                                 ///< a message leaves; false: it ends as
+                                 ///< Unreachable. Empty: always true. Guards
+                                 ///< against a dispatch that waited for its
+                                 ///< connection while its owner lost
+                                 ///< authority. Must not block.
   uint32_t Loops = 2; ///< Threads; each carries any number of dispatches.
   uint32_t MaxDispatches = 64; ///< At the same time; one more ends at once as
                                ///< Unreachable.
--- a/Balsamrack/Platform/HttpPlatformLink.cpp
+++ b/Balsamrack/Platform/HttpPlatformLink.cpp
@@ -29,10 +29,10 @@
   void stop() override;
 
 private:
-  absl::Status fault(absl::StatusCode code, const std::string &what) const {
+  absl::Status linkError(absl::StatusCode code, const std::string &what) const {
     return makeError(code, Step::ReadPlatform, At.str(), what);
   }
-  absl::StatusOr<std::string> read(const char *what, uint64_t after,
+  absl::StatusOr<std::string> read(const char *resource, uint64_t after,
                                    Duration wait);
 
   const Address At;
@@ -41,13 +41,13 @@
 };
 
 absl::StatusOr<std::string>
-HttpPlatformLink::read(const char *what, uint64_t after, Duration wait) {
+HttpPlatformLink::read(const char *resource, uint64_t after, Duration wait) {
   if (!Client.ok())
-    return fault(absl::StatusCode::kInternal,
-                 std::string(Client.status().message()));
+    return linkError(absl::StatusCode::kInternal,
+                     std::string(Client.status().message()));
   HttpCall call;
   call.To = At;
-  call.Content.Target = absl::StrCat("/v1/", what, "?after=", after,
+  call.Content.Target = absl::StrCat("/v1/", resource, "?after=", after,
                                      "&wait_ms=", wait.count() / 1000);
   call.ConnectTimeout = ConnectTimeout;
   call.Timeout = wait + AnswerTimeout;
@@ -57,18 +57,19 @@
   (*Client)->start(std::move(call), [result](HttpCallResult r) {
     result->set_value(std::move(r));
   });
-  HttpCallResult got = result->get_future().get();
-  if (got.Cancelled)
-    return fault(absl::StatusCode::kCancelled, "stopped");
-  if (got.How != HttpCallEnd::Answered)
-    return fault(got.Took >= wait + AnswerTimeout
-                     ? absl::StatusCode::kDeadlineExceeded
-                     : absl::StatusCode::kUnavailable,
-                 got.Error);
-  if (got.Content.Status != HttpOk)
-    return fault(absl::StatusCode::kUnavailable,
-                 absl::StrCat("answered with status ", got.Content.Status));
-  return std::move(got.Content.Body);
+  HttpCallResult outcome = result->get_future().get();
+  if (outcome.Cancelled)
+    return linkError(absl::StatusCode::kCancelled, "stopped");
+  if (outcome.How != HttpCallOutcome::Answered)
+    return linkError(outcome.Took >= wait + AnswerTimeout
+                         ? absl::StatusCode::kDeadlineExceeded
+                         : absl::StatusCode::kUnavailable,
+                     outcome.Error);
+  if (outcome.Content.Status != HttpOk)
+    return linkError(
+        absl::StatusCode::kUnavailable,
+        absl::StrCat("answered with status ", outcome.Content.Status));
+  return std::move(outcome.Content.Body);
 }
 
 absl::StatusOr<TicketPage> HttpPlatformLink::readTickets(TicketNumber after,
@@ -78,7 +79,8 @@
     return text.status();
   auto page = decodeTicketPage(*text);
   if (!page.ok())
-    return fault(page.status().code(), std::string(page.status().message()));
+    return linkError(page.status().code(),
+                     std::string(page.status().message()));
   return page;
 }
 
@@ -89,7 +91,8 @@
     return text.status();
   auto page = decodeVmPage(*text);
   if (!page.ok())
-    return fault(page.status().code(), std::string(page.status().message()));
+    return linkError(page.status().code(),
+                     std::string(page.status().message()));
   return page;
 }
 
--- a/FailureTests/PacketFleetTest.cpp
+++ b/FailureTests/PacketFleetTest.cpp
@@ -112,9 +112,9 @@
   }
   /// Asks as the fabric does.
   bool isReady(size_t i) const;
-  CallResult::End call(int moveTo = -1) {
+  CallResult::Kind call(int moveTo = -1) {
     platform::CallPlan plan;
-    plan.MoveTo = moveTo;
+    plan.MoveToDaemon = moveTo;
     return Caller->call(Booking, plan).How;
   }
   std::string logOf(size_t i) const {
@@ -143,7 +143,8 @@
   std::atomic<unsigned> status{0};
   std::atomic<bool> done{false};
   (*client)->start(ask, [&](const HttpCallResult &result) {
-    status = result.How == HttpCallEnd::Answered ? result.Content.Status : 0;
+    status =
+        result.How == HttpCallOutcome::Answered ? result.Content.Status : 0;
     done = true;
   });
   awaitUntil(Second * 2, [&] { return done.load(); });
@@ -153,7 +154,7 @@
 
 TEST_F(PacketFleetTest, ServesEveryFlowOnAQuietDay) {
   for (int i = 0; i < 60; ++i)
-    EXPECT_EQ(call(i % 4 == 0 ? i : -1), CallResult::End::Answered) << i;
+    EXPECT_EQ(call(i % 4 == 0 ? i : -1), CallResult::Kind::Answered) << i;
   for (auto &server : Servers) {
     EXPECT_EQ(server->misdirected(), 0U);
     EXPECT_EQ(server->unknownFlows(), 0U);
@@ -164,11 +165,11 @@
 // Story: a server goes dark while its entry still stands. Its callers get their
 // answers from others, within a fraction of the time of a caller's own copy.
 TEST_F(PacketFleetTest, ADarkServerCostsNoCallerItsAnswer) {
-  Servers[0]->setDark(true);
+  Servers[0]->setSilent(true);
   int late = 0;
   for (int i = 0; i < 60; ++i) {
     CallResult result = Caller->call(Booking);
-    EXPECT_EQ(result.How, CallResult::End::Answered) << i;
+    EXPECT_EQ(result.How, CallResult::Kind::Answered) << i;
     late += result.Took > Duration(190'000) ? 1 : 0;
   }
   EXPECT_LE(late, 3);
@@ -183,7 +184,7 @@
   startDaemon(2);
   ASSERT_TRUE(awaitUntil(Second * 10, [&] { return isReady(2); }));
   for (int i = 0; i < 20; ++i)
-    EXPECT_EQ(call(), CallResult::End::Answered) << i;
+    EXPECT_EQ(call(), CallResult::Kind::Answered) << i;
 }
 
 // Story: operators drop a route while the store turns everybody away but one.
@@ -196,7 +197,7 @@
     return true;
   }));
   for (int i = 0; i < 6; ++i)
-    EXPECT_EQ(call(), CallResult::End::Reset);
+    EXPECT_EQ(call(), CallResult::Kind::Reset);
 }
 
 // Story: a VM is stopped. The fabric still sends there for a second, and no
@@ -206,14 +207,14 @@
   ASSERT_TRUE(awaitUntil(Second, [&] { return !isReady(0); }));
   Caller->setDaemons({packetAddresses()[0]});
   for (int i = 0; i < 10; ++i)
-    EXPECT_EQ(call(), CallResult::End::Answered) << i;
+    EXPECT_EQ(call(), CallResult::Kind::Answered) << i;
   Caller->setDaemons({packetAddresses()[1], packetAddresses()[2]});
   auto code = Processes[0]->awaitEnd(Second * 6);
   ASSERT_TRUE(code.ok()) << code.status();
   EXPECT_EQ(*code, 0);
   EXPECT_TRUE(logHas(0, "\"event\":\"stopped\""));
   for (int i = 0; i < 10; ++i)
-    EXPECT_EQ(call(), CallResult::End::Answered) << i;
+    EXPECT_EQ(call(), CallResult::Kind::Answered) << i;
 }
 
 // Story: a settings file is broken and then mended while the daemon runs. It
@@ -223,10 +224,10 @@
   Processes[1]->signal(SIGHUP);
   EXPECT_TRUE(logHas(1, "\"event\":\"bad-settings\""));
   EXPECT_TRUE(Processes[1]->running());
-  EXPECT_EQ(call(), CallResult::End::Answered);
+  EXPECT_EQ(call(), CallResult::Kind::Answered);
   writeSettings(1, absl::StrCat("\"", vmIp(2), ":1\""));
   EXPECT_TRUE(logHas(1, "\"event\":\"reloaded\"")) << "without a signal";
-  EXPECT_EQ(call(), CallResult::End::Answered);
+  EXPECT_EQ(call(), CallResult::Kind::Answered);
 }
 
 // Story: a daemon is started while the run before still holds its address. It
@@ -267,7 +268,7 @@
 // it with the operators' client: where it is, and where a new one would go.
 TEST_F(PacketFleetTest, OperatorsAskAboutAFlow) {
   platform::CallPlan plan;
-  ASSERT_EQ(Caller->call(Booking, plan).How, CallResult::End::Answered);
+  ASSERT_EQ(Caller->call(Booking, plan).How, CallResult::Kind::Answered);
   std::vector<Address> ports;
   for (size_t i = 0; i < Daemons; ++i)
     ports.push_back({vmIp(i), Ports[2]});
@@ -308,9 +309,9 @@
     ASSERT_TRUE(Processes[i]->awaitEnd(Second * 5).ok());
     startDaemon(i);
   }
-  EXPECT_EQ(call(), CallResult::End::Answered);
+  EXPECT_EQ(call(), CallResult::Kind::Answered);
   for (int i = 0; i < 20; ++i)
-    EXPECT_EQ(call(), CallResult::End::Answered) << i;
+    EXPECT_EQ(call(), CallResult::Kind::Answered) << i;
 }
 
 } // namespace
--- a/Programs/balsamctl.cpp
+++ b/Programs/balsamctl.cpp
@@ -23,8 +23,8 @@
 
 /// One parsed command line, without the subcommand.
 struct CommandLine {
-  std::vector<std::string> Words; ///< Positional arguments.
-  std::vector<Address> Daemons;   ///< Whom to ask.
+  std::vector<std::string> Arguments; ///< Positional arguments.
+  std::vector<Address> Daemons;       ///< Whom to ask.
   OutputFormat Format = OutputFormat::Text;
   Duration Timeout{2'000'000};
   Duration Wait{0};
@@ -37,64 +37,66 @@
 
 /// A subcommand: its words, its help, and what it does.
 struct Command {
-  const char *Name;                              ///< "explain".
-  const char *Arguments;                         ///< "KIND ID".
-  size_t Words;                                  ///< Number of arguments.
-  const char *Help;                              ///< One sentence.
-  std::function<Report(const CommandLine &)> Do; ///< Runs it.
+  const char *Name;                               ///< "explain".
+  const char *ArgumentSyntax;                     ///< "KIND ID".
+  size_t ArgumentCount;                           ///< Number of arguments.
+  const char *Help;                               ///< One sentence.
+  std::function<Report(const CommandLine &)> Run; ///< Runs it.
 };
 
-Report usage(const std::string &message) {
+Report usageError(const std::string &message) {
   return {"", ExitCodes::Usage, "balsamctl: " + message + "\n"};
 }
 
 /// Asks all daemons one question and reports with \p print.
 Report ask(const CommandLine &line, const std::string &path,
            const OperatorClient::Query &query,
-           Report (*print)(const std::vector<DaemonReply> &, OutputFormat)) {
+           Report (*makeReport)(const std::vector<DaemonReply> &,
+                                OutputFormat)) {
   auto client = line.client();
   if (!client.ok())
-    return usage(std::string(client.status().message()));
-  return print(client->askAll(path, query), line.Format);
+    return usageError(std::string(client.status().message()));
+  return makeReport(client->askAll(path, query), line.Format);
 }
 
 Report explain(const CommandLine &line) {
-  const std::string &kind = line.Words[0];
+  const std::string &kind = line.Arguments[0];
   if (kind != "request" && kind != "flow" && kind != "server" &&
       kind != "ticket")
-    return usage("explain takes request, flow, server or ticket, not " + kind);
-  return ask(line, "explain", {{"kind", kind}, {"id", line.Words[1]}},
+    return usageError("explain takes request, flow, server or ticket, not " +
+                      kind);
+  return ask(line, "explain", {{"kind", kind}, {"id", line.Arguments[1]}},
              reportDecisions);
 }
 
 /// Asks again until the ticket is in force everywhere or the wait is over.
-Report inForce(const CommandLine &line) {
-  const auto end = std::chrono::steady_clock::now() + line.Wait;
+Report waitUntilInForce(const CommandLine &line) {
+  const auto deadline = std::chrono::steady_clock::now() + line.Wait;
   for (;;) {
-    Report report = ask(line, "tickets/in-force", {{"number", line.Words[1]}},
-                        reportInForce);
+    Report report = ask(line, "tickets/in-force",
+                        {{"number", line.Arguments[1]}}, reportInForce);
     if (report.ExitCode == ExitCodes::Good ||
         report.ExitCode == ExitCodes::Usage ||
-        std::chrono::steady_clock::now() >= end)
+        std::chrono::steady_clock::now() >= deadline)
       return report;
     std::this_thread::sleep_for(PollInterval);
   }
 }
 
-Report tickets(const CommandLine &line) {
-  if (line.Words[0] == "in-force")
-    return inForce(line);
-  if (line.Words[0] != "check")
-    return usage("tickets takes check FILE or in-force N");
-  std::ifstream file(line.Words[1], std::ios::binary);
+Report runTickets(const CommandLine &line) {
+  if (line.Arguments[0] == "in-force")
+    return waitUntilInForce(line);
+  if (line.Arguments[0] != "check")
+    return usageError("tickets takes check FILE or in-force N");
+  std::ifstream file(line.Arguments[1], std::ios::binary);
   std::ostringstream text;
   if (!file || !(text << file.rdbuf()))
-    return usage("can't read " + line.Words[1]);
+    return usageError("can't read " + line.Arguments[1]);
   std::vector<DaemonReply> replies;
   if (!line.Daemons.empty()) {
     auto client = line.client();
     if (!client.ok())
-      return usage(std::string(client.status().message()));
+      return usageError(std::string(client.status().message()));
     replies = client->askAll("configuration", {});
   }
   return checkTicketText(text.str(), replies, line.Format);
@@ -118,15 +120,16 @@
       {"tickets", "check FILE | in-force N", 2,
        "Checks a ticket as the daemons will, and tells what it would change; "
        "or tells whether ticket N is in force (see --wait).",
-       tickets},
+       runTickets},
       {"explain", "request|flow|server|ticket ID", 2,
        "The decisions about one thing: rule, inputs, ticket, step, peer.",
        explain},
       {"where", "SERVICE FLOW", 2, "Where a flow would go now, and why.",
        [](const CommandLine &line) {
-         return ask(line, "where",
-                    {{"service", line.Words[0]}, {"flow", line.Words[1]}},
-                    reportDecisions);
+         return ask(
+             line, "where",
+             {{"service", line.Arguments[0]}, {"flow", line.Arguments[1]}},
+             reportDecisions);
        }},
       {"metrics", "", 0, "Metrics of every daemon, Prometheus text format.",
        [](const CommandLine &line) {
@@ -136,19 +139,19 @@
        }},
       {"trace", "ID", 1, "The spans of one trace.",
        [](const CommandLine &line) {
-         return ask(line, "trace", {{"id", line.Words[0]}}, reportTrace);
+         return ask(line, "trace", {{"id", line.Arguments[0]}}, reportTrace);
        }},
   };
   return all;
 }
 
-std::string overview() {
+std::string helpText() {
   std::string text =
       "balsamctl: asks the daemons of a balsamrack fleet.\n\n"
       "usage: balsamctl [--daemons IP:PORT,...] COMMAND [ARGUMENTS] "
       "[OPTIONS]\n\n";
   for (const Command &it : commands())
-    text += std::string("  ") + it.Name + " " + it.Arguments + "\n      " +
+    text += std::string("  ") + it.Name + " " + it.ArgumentSyntax + "\n      " +
             it.Help + "\n";
   text += "\nThe daemons may also be named in BALSAMRACK_DAEMONS. Exit codes: "
           "0 good,\n1 the answer is no, 2 wrong usage, 3 some daemons didn't "
@@ -156,7 +159,7 @@
   return text;
 }
 
-cxxopts::Options optionsOf(const Command *command) {
+cxxopts::Options makeOptions(const Command *command) {
   cxxopts::Options options(
       command ? std::string("balsamctl ") + command->Name : "balsamctl",
       command ? command->Help : "Asks the daemons of a balsamrack fleet.");
@@ -176,7 +179,7 @@
       "words", "", cxxopts::value<std::vector<std::string>>());
   options.parse_positional({"words"});
   if (command)
-    options.positional_help(command->Arguments);
+    options.positional_help(command->ArgumentSyntax);
   return options;
 }
 
@@ -188,7 +191,8 @@
 }
 
 /// Fills \p line from the parsed options; returns what is wrong, if anything.
-std::string readLine(const cxxopts::ParseResult &parsed, CommandLine &line) {
+std::string parseOptions(const cxxopts::ParseResult &parsed,
+                         CommandLine &line) {
   const std::string format = parsed["output"].as<std::string>();
   if (format != "text" && format != "json")
     return "--output takes text or json, not " + format;
@@ -214,37 +218,37 @@
 
 int run(int argc, char **argv) {
   // The first word that is no option names the subcommand.
-  cxxopts::ParseResult first = optionsOf(nullptr).parse(argc, argv);
-  if (first.count("version")) {
+  cxxopts::ParseResult parsed = makeOptions(nullptr).parse(argc, argv);
+  if (parsed.count("version")) {
     std::cout << "balsamctl " << BALSAMRACK_VERSION << "\n";
     return ExitCodes::Good;
   }
   std::vector<std::string> words;
-  if (first.count("words"))
-    words = first["words"].as<std::vector<std::string>>();
+  if (parsed.count("words"))
+    words = parsed["words"].as<std::vector<std::string>>();
   if (words.empty()) {
-    std::cout << overview();
-    return first.count("help") ? ExitCodes::Good : ExitCodes::Usage;
+    std::cout << helpText();
+    return parsed.count("help") ? ExitCodes::Good : ExitCodes::Usage;
   }
   const Command *command = findCommand(words[0]);
   if (!command)
-    return print(usage("no command " + words[0] + "; see --help"));
-  if (first.count("help")) {
-    std::cout << optionsOf(command).help();
+    return print(usageError("no command " + words[0] + "; see --help"));
+  if (parsed.count("help")) {
+    std::cout << makeOptions(command).help();
     return ExitCodes::Good;
   }
 
   // Read the rest and run it.
   CommandLine line;
-  line.Words.assign(words.begin() + 1, words.end());
-  if (line.Words.size() != command->Words)
-    return print(
-        usage(std::string(command->Name) + " takes " +
-              (*command->Arguments ? command->Arguments : "no arguments")));
-  const std::string fault = readLine(first, line);
-  if (!fault.empty())
-    return print(usage(fault));
-  return print(command->Do(line));
+  line.Arguments.assign(words.begin() + 1, words.end());
+  if (line.Arguments.size() != command->ArgumentCount)
+    return print(usageError(
+        std::string(command->Name) + " takes " +
+        (*command->ArgumentSyntax ? command->ArgumentSyntax : "no arguments")));
+  const std::string error = parseOptions(parsed, line);
+  if (!error.empty())
+    return print(usageError(error));
+  return print(command->Run(line));
 }
 
 } // namespace
--- a/Programs/balsamrack-packetd.cpp
+++ b/Programs/balsamrack-packetd.cpp
@@ -22,9 +22,9 @@
 constexpr int BadSettings = 2;
 
 /// The settings file may change without a signal; it is looked at so often.
-constexpr Duration LookPeriod{1'000'000};
+constexpr Duration FileCheckPeriod{1'000'000};
 /// Between tries to start.
-constexpr Duration StartRetry{200'000};
+constexpr Duration StartRetryDelay{200'000};
 constexpr int StandardOutput = 1;
 
 cxxopts::Options options() {
@@ -51,48 +51,50 @@
       : Path(std::move(path)), Log(log) {}
 
   /// Reads the file; true when it has new, good content.
-  bool look() {
+  bool readIfChanged() {
     auto text = readSettingsText(Path);
     if (!text.ok()) {
-      complain("", std::string(text.status().message()));
+      reportUnreadable("", std::string(text.status().message()));
       return false;
     }
     if (*text == Text)
       return false;
     Text = *text;
-    PacketSettingsResult read = parsePacketSettings(Text);
-    for (const SettingsFault &fault : read.Faults)
+    PacketSettingsResult parsed = parsePacketSettings(Text);
+    for (const SettingsFault &fault : parsed.Faults)
       Log.write(LogLine(Component::Daemon, Severity::Error, "bad-settings")
                     .text("file", Path)
                     .text("fault", fault.str()));
-    if (!read.Faults.empty())
+    if (!parsed.Faults.empty())
       return false;
-    Values = read.Values;
-    Complaint.clear();
+    Values = parsed.Values;
+    LastReadError.clear();
     return true;
   }
   const PacketSettings &values() const { return Values; }
 
 private:
   /// Once for each kind of trouble, not at each look.
-  void complain(const std::string &text, const std::string &what) {
-    if (what == Complaint)
+  void reportUnreadable(const std::string &text, const std::string &error) {
+    if (error == LastReadError)
       return;
     Text = text;
-    Complaint = what;
+    LastReadError = error;
     Log.write(LogLine(Component::Daemon, Severity::Error, "settings-unreadable")
                   .text("file", Path)
-                  .text("error", what));
+                  .text("error", error));
   }
 
   const std::string Path;
   EventLog &Log;
   std::string Text;
-  std::string Complaint;
+  std::string LastReadError;
   PacketSettings Values;
 };
 
-bool asksForEnd(int signal) { return signal == SIGTERM || signal == SIGINT; }
+bool isTerminationSignal(int signal) {
+  return signal == SIGTERM || signal == SIGINT;
+}
 
 int serve(const std::string &path, SignalPipe &signals) {
   SystemClock clock;
@@ -102,8 +104,8 @@
   // A bad file at the start is waited out: an exit would only bring the same
   // file again.
   SettingsFile file(path, *log);
-  while (!file.look())
-    if (asksForEnd(signals.wait(LookPeriod)))
+  while (!file.readIfChanged())
+    if (isTerminationSignal(signals.wait(FileCheckPeriod)))
       return Good;
   const PacketSettings settings = file.values();
   platform::EchoPackets codec;
@@ -118,12 +120,13 @@
   while (!daemon.ok()) {
     log->write(LogLine(Component::Daemon, Severity::Error, "not-started")
                    .text("error", describe(daemon.status())));
-    if (asksForEnd(signals.wait(StartRetry)))
+    if (isTerminationSignal(signals.wait(StartRetryDelay)))
       return Good;
     daemon = PacketDaemon::create(settings, {codec, **source, clock, *log});
   }
-  for (int signal = 0; !asksForEnd(signal); signal = signals.wait(LookPeriod))
-    if (file.look())
+  for (int signal = 0; !isTerminationSignal(signal);
+       signal = signals.wait(FileCheckPeriod))
+    if (file.readIfChanged())
       (*daemon)->reload(file.values());
   (*daemon)->shutDown();
   return Good;
@@ -135,10 +138,10 @@
     std::cerr << "balsamrack-packetd: " << describe(text.status()) << "\n";
     return BadSettings;
   }
-  PacketSettingsResult read = parsePacketSettings(*text);
-  for (const SettingsFault &it : read.Faults)
+  PacketSettingsResult parsed = parsePacketSettings(*text);
+  for (const SettingsFault &it : parsed.Faults)
     std::cerr << it.str() << "\n";
-  if (!read.Faults.empty())
+  if (!parsed.Faults.empty())
     return BadSettings;
   std::cout << "settings are good\n";
   return Good;
--- a/Programs/balsamrack-replay.cpp
+++ b/Programs/balsamrack-replay.cpp
@@ -37,12 +37,12 @@
   Replayer replayer;
   std::vector<std::string> actions;
   for (size_t i = 0; i < lines->size(); ++i) {
-    auto done = replayer.processLine((*lines)[i]);
-    if (!done.ok())
-      return makeError(done.status().code(), Step::Replay,
+    auto result = replayer.processLine((*lines)[i]);
+    if (!result.ok())
+      return makeError(result.status().code(), Step::Replay,
                        path + ":" + std::to_string(i + 1),
-                       std::string(done.status().message()));
-    actions.insert(actions.end(), done->begin(), done->end());
+                       std::string(result.status().message()));
+    actions.insert(actions.end(), result->begin(), result->end());
   }
   return actions;
 }
@@ -54,10 +54,10 @@
 
 int compare(const std::string &trace, const std::vector<std::string> &actions,
             const std::string &outcomes) {
-  const auto stated = readLines(outcomes);
-  if (!stated.ok())
-    return fail(stated.status());
-  const auto difference = compareOutcomes(actions, *stated);
+  const auto expected = readLines(outcomes);
+  if (!expected.ok())
+    return fail(expected.status());
+  const auto difference = compareOutcomes(actions, *expected);
   if (!difference) {
     std::cout << trace << ": " << actions.size() << " actions as stated\n";
     return Same;
--- a/Soak/CalmChecks.cpp
+++ b/Soak/CalmChecks.cpp
@@ -49,7 +49,7 @@
     int lost = 0;
     for (int i = 0; i < CallsPerService; ++i)
       for (const Endpoint &service : {Booking, Plans})
-        lost += Mouth->call(service).How == CallResult::End::Answered ? 0 : 1;
+        lost += Mouth->call(service).How == CallResult::Kind::Answered ? 0 : 1;
     if (lost > 0)
       Broken.push_back(absl::StrCat(lost, " calls not answered in the calm"));
   }
@@ -66,7 +66,7 @@
   void eachDaemon(const char *complaint, bool served) {
     for (size_t i = 0; i < SoakFleet::Daemons; ++i) {
       Mouth->setDaemons({Fleet.daemonAt(i)});
-      bool answered = Mouth->call(Passing).How == CallResult::End::Answered;
+      bool answered = Mouth->call(Passing).How == CallResult::Kind::Answered;
       if (answered != served)
         Broken.push_back(absl::StrCat("daemon ", i, ": ", complaint));
     }
--- a/Soak/SoakCallers.cpp
+++ b/Soak/SoakCallers.cpp
@@ -52,7 +52,7 @@
   }
   (*mouth)->setFabric([this] { return Fleet.fabric(); });
   platform::CallPlan plan;
-  plan.Again = true;
+  plan.Retransmit = true;
   if (caller % SessionEvery == 0) {
     plan.Requests = SessionRequests;
     plan.Pause = SessionPause;
@@ -65,7 +65,7 @@
 }
 
 void SoakCallers::note(size_t caller, const platform::CallResult &result) {
-  using End = platform::CallResult::End;
+  using End = platform::CallResult::Kind;
   std::lock_guard<std::mutex> hold(Lock);
   ++Counts.Calls;
   Counts.Answered += result.How == End::Answered ? 1 : 0;
--- a/Soak/SoakFleet.cpp
+++ b/Soak/SoakFleet.cpp
@@ -151,8 +151,8 @@
   ask.Timeout = ReadyTimeout;
   auto answer = std::make_shared<std::atomic<int>>(-1);
   Client->start(ask, [answer](const HttpCallResult &result) {
-    bool good =
-        result.How == HttpCallEnd::Answered && result.Content.Status == HttpOk;
+    bool good = result.How == HttpCallOutcome::Answered &&
+                result.Content.Status == HttpOk;
     *answer = good ? 1 : 0;
   });
   awaitUntil(ReadyTimeout * 2, [&] { return *answer >= 0; });
@@ -230,7 +230,7 @@
 void SoakFleet::endServer(size_t p) {
   if (!Servers[p])
     return;
-  StrangersBefore += Servers[p]->strangers();
+  StrangersBefore += Servers[p]->wrongServicePackets();
   Servers[p].reset();
 }
 
@@ -263,7 +263,7 @@
 uint64_t SoakFleet::strangers() const {
   uint64_t n = StrangersBefore;
   for (const auto &server : Servers)
-    n += server ? server->strangers() : 0;
+    n += server ? server->wrongServicePackets() : 0;
   return n;
 }
 
--- a/UnitTests/Client/ReportTest.cpp
+++ b/UnitTests/Client/ReportTest.cpp
@@ -10,7 +10,7 @@
   return {{"127.0.0.1", port}, absl::OkStatus(), 200, body};
 }
 
-DaemonReply silent(uint16_t port) {
+DaemonReply unreachable(uint16_t port) {
   return {{"127.0.0.1", port}, absl::UnavailableError("refused"), 0, ""};
 }
 
@@ -18,10 +18,10 @@
 
 struct ReportCase {
   const char *Name;
-  Reporter Print;
+  Reporter MakeReport;
   std::vector<DaemonReply> Replies;
   int ExitCode;
-  const char *Shows; ///< Part of the text.
+  const char *ExpectedText; ///< Part of the text.
 };
 
 class ReportTest : public testing::TestWithParam<ReportCase> {};
@@ -30,9 +30,10 @@
 // and which is which.
 TEST_P(ReportTest, ShowsWhatIsThere) {
   const ReportCase &it = GetParam();
-  const Report report = it.Print(it.Replies, OutputFormat::Text);
+  const Report report = it.MakeReport(it.Replies, OutputFormat::Text);
   EXPECT_EQ(report.ExitCode, it.ExitCode);
-  EXPECT_NE((report.Text + report.Notes).find(it.Shows), std::string::npos)
+  EXPECT_NE((report.Text + report.Notes).find(it.ExpectedText),
+            std::string::npos)
       << report.Text << report.Notes;
 }
 
@@ -48,13 +49,13 @@
         ReportCase{"Status", reportStatus, {reply(1, Status)}, 0, "vm-2"},
         ReportCase{"PartlySilent",
                    reportStatus,
-                   {reply(1, Status), silent(2)},
+                   {reply(1, Status), unreachable(2)},
                    ExitCodes::Partial,
                    "127.0.0.1:2 is unreachable"},
         ReportCase{"AllSilent",
                    reportServers,
-                   {silent(1)},
-                   ExitCodes::Nobody,
+                   {unreachable(1)},
+                   ExitCodes::NoneAnswered,
                    "unreachable"},
         ReportCase{"NoJson", reportStatus, {reply(1, "<html>")}, 0, "-"},
         ReportCase{"WrongTypes",
@@ -89,14 +90,14 @@
     [](const auto &info) { return info.param.Name; });
 
 TEST(TicketCommandsTest, TellsWhatATicketWouldChange) {
-  const std::string held =
+  const std::string current =
       R"({"objects":[{"kind":"domain","id":"bern-a","ticket":3,)"
       R"("state":{"region":"r","in_service":true}}]})";
   const std::string ticket =
       R"({"ticket":4,"objects":[{"kind":"domain","id":"bern-a",)"
       R"("state":{"region":"r","in_service":false}}]})";
   const Report report =
-      checkTicketText(ticket, {reply(1, held)}, OutputFormat::Text);
+      checkTicketText(ticket, {reply(1, current)}, OutputFormat::Text);
   EXPECT_EQ(report.ExitCode, ExitCodes::Good);
   EXPECT_NE(report.Text.find("bern-a: changed (held by ticket 3)"),
             std::string::npos)
--- a/UnitTests/Http/CallerPortTest.cpp
+++ b/UnitTests/Http/CallerPortTest.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /// Notes what it is handed, and answers with what it is told to.
-class NotingHandler final : public CallerHandler {
+class RecordingHandler final : public CallerHandler {
 public:
   Answer serve(uint16_t port, const std::string &peerIp,
                Message message) override {
@@ -37,17 +37,17 @@
 };
 
 /// Serves only when it is released.
-class HeldHandler final : public CallerHandler {
+class BlockingHandler final : public CallerHandler {
 public:
   Answer serve(uint16_t /*port*/, const std::string & /*peerIp*/,
                Message /*message*/) override {
     ++Entered;
-    Release.wait();
+    Released.wait();
     return {200, {}, std::string(1 << 20, 'x')};
   }
 
-  std::promise<void> Go;
-  std::shared_future<void> Release = Go.get_future().share();
+  std::promise<void> ReleasePromise;
+  std::shared_future<void> Released = ReleasePromise.get_future().share();
   std::atomic<int> Entered{0};
 };
 
@@ -69,7 +69,7 @@
   }
 
   CallerPortSettings Settings;
-  NotingHandler Handler;
+  RecordingHandler Handler;
   std::unique_ptr<CallerPort> Port;
   Address At;
 };
@@ -181,7 +181,7 @@
     [](const auto &info) { return std::string(info.param.Name); });
 
 TEST(CallerPortErrorTest, SaysWhyItCannotListen) {
-  NotingHandler handler;
+  RecordingHandler handler;
   auto taken = ListenSocket::open({"127.0.0.1", 0});
   ASSERT_TRUE(taken.ok());
   auto clash = CallerPort::create({}, {0, taken->address().Port}, handler);
@@ -196,7 +196,7 @@
 }
 
 TEST(CallerPortErrorTest, OpeningAnOpenPortIsOk) {
-  NotingHandler handler;
+  RecordingHandler handler;
   auto made = CallerPort::create({}, {0}, handler);
   ASSERT_TRUE(made.ok());
   EXPECT_TRUE((*made)->open((*made)->ports()[0]).ok());
@@ -209,7 +209,7 @@
 // stops; the server library shuts all connections down when it stops, so that
 // the seller would lose the answer of a request that ran.
 TEST(CallerPortStopTest, RunningRequestGetsItsWholeAnswer) {
-  HeldHandler handler;
+  BlockingHandler handler;
   auto made = CallerPort::create({}, {0}, handler);
   ASSERT_TRUE(made.ok());
   Address at{"127.0.0.1", (*made)->ports()[0]};
@@ -219,7 +219,7 @@
   std::thread stopper([&] { (*made)->stop(); });
   bool refused =
       waitUntil([&] { return !RawConnection::connectTo(at).isOpen(); });
-  handler.Go.set_value();
+  handler.ReleasePromise.set_value();
   std::string answer = c.readToEnd();
   stopper.join();
   EXPECT_TRUE(refused);
--- a/UnitTests/Http/HttpClientTest.cpp
+++ b/UnitTests/Http/HttpClientTest.cpp
@@ -11,18 +11,18 @@
 namespace balsamrack {
 namespace {
 
-constexpr Duration Stall{300'000};
-constexpr Duration Limit{10'000'000};
+constexpr Duration StallTimeout{300'000};
+constexpr Duration Timeout{10'000'000};
 
 /// How a server sends its answer.
-struct Sending {
+struct AnswerPattern {
   const char *Name;
   int Pieces;                    ///< Of the whole answer's ten.
   std::chrono::milliseconds Gap; ///< Before each piece.
-  HttpCallEnd End;
+  HttpCallOutcome End;
 };
 
-class EachSending : public testing::TestWithParam<Sending> {};
+class EachSending : public testing::TestWithParam<AnswerPattern> {};
 
 // Guards against a long answer over a slow link that is given up at a fixed
 // time, and against one that never goes on and holds its caller up.
@@ -43,25 +43,26 @@
   call.To = server.at();
   call.Content.Method = "GET";
   call.Content.Target = "/";
-  call.Timeout = Limit;
-  call.StallTimeout = Stall;
+  call.Timeout = Timeout;
+  call.StallTimeout = StallTimeout;
   std::promise<HttpCallResult> promise;
   (*client)->start(std::move(call), [&](HttpCallResult result) {
     promise.set_value(std::move(result));
   });
   HttpCallResult result = promise.get_future().get();
   EXPECT_EQ(result.How, GetParam().End) << result.Error;
-  EXPECT_LT(result.Took, Limit);
+  EXPECT_LT(result.Took, Timeout);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Sendings, EachSending,
-    testing::Values(Sending{"Slowly", 10, std::chrono::milliseconds(60),
-                            HttpCallEnd::Answered},
-                    Sending{"ThenNoMore", 3, std::chrono::milliseconds(10),
-                            HttpCallEnd::Failed},
-                    Sending{"Nothing", 0, std::chrono::milliseconds(0),
-                            HttpCallEnd::Failed}),
+    testing::Values(AnswerPattern{"Slowly", 10, std::chrono::milliseconds(60),
+                                  HttpCallOutcome::Answered},
+                    AnswerPattern{"ThenNoMore", 3,
+                                  std::chrono::milliseconds(10),
+                                  HttpCallOutcome::Failed},
+                    AnswerPattern{"Nothing", 0, std::chrono::milliseconds(0),
+                                  HttpCallOutcome::Failed}),
     [](const auto &info) { return std::string(info.param.Name); });
 
 } // namespace
--- a/UnitTests/Http/OperatorPortTest.cpp
+++ b/UnitTests/Http/OperatorPortTest.cpp
@@ -13,9 +13,9 @@
 /// Answers with the question as it understood it.
 class EchoHandler final : public OperatorHandler {
 public:
-  OperatorAnswer answer(const OperatorQuestion &question) override {
-    std::string text = question.Path;
-    for (const auto &[name, value] : question.Query) {
+  OperatorReply answer(const OperatorRequest &request) override {
+    std::string text = request.Path;
+    for (const auto &[name, value] : request.Query) {
       text += " ";
       text += name;
       text += "=";
@@ -29,7 +29,7 @@
   const char *Name;
   const char *Request;
   const char *Status;
-  const char *Holds;
+  const char *ExpectedText;
 };
 
 class EachExchange : public testing::TestWithParam<Exchange> {};
@@ -42,7 +42,7 @@
   c.sendAll(std::string(GetParam().Request) + " HTTP/1.1\r\nHost: h\r\n\r\n");
   std::string answer = c.readMessage();
   EXPECT_EQ(answer.substr(9, 3), GetParam().Status);
-  EXPECT_NE(answer.find(GetParam().Holds), std::string::npos) << answer;
+  EXPECT_NE(answer.find(GetParam().ExpectedText), std::string::npos) << answer;
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -76,29 +76,29 @@
   EXPECT_EQ(stepOf(port.status()), "listen");
 }
 
-struct Membership {
+struct AddressSetCase {
   const char *List;
   const char *Ip;
-  bool Held;
+  bool IsMember;
 };
 
-class EachMembership : public testing::TestWithParam<Membership> {};
+class EachMembership : public testing::TestWithParam<AddressSetCase> {};
 
 TEST_P(EachMembership, IsRight) {
   auto set = AddressSet::parse({GetParam().List});
   ASSERT_TRUE(set.ok());
-  EXPECT_EQ(set->contains(GetParam().Ip), GetParam().Held);
+  EXPECT_EQ(set->contains(GetParam().Ip), GetParam().IsMember);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Sets, EachMembership,
-    testing::Values(Membership{"10.1.2.3", "10.1.2.3", true},
-                    Membership{"10.1.2.3", "10.1.2.4", false},
-                    Membership{"10.1.2.3/24", "10.1.2.255", true},
-                    Membership{"10.1.2.3/24", "10.1.3.0", false},
-                    Membership{"0.0.0.0/0", "255.1.1.1", true},
-                    Membership{"0.0.0.0/0", "not an address", false},
-                    Membership{"0.0.0.0/0", "", false}));
+    testing::Values(AddressSetCase{"10.1.2.3", "10.1.2.3", true},
+                    AddressSetCase{"10.1.2.3", "10.1.2.4", false},
+                    AddressSetCase{"10.1.2.3/24", "10.1.2.255", true},
+                    AddressSetCase{"10.1.2.3/24", "10.1.3.0", false},
+                    AddressSetCase{"0.0.0.0/0", "255.1.1.1", true},
+                    AddressSetCase{"0.0.0.0/0", "not an address", false},
+                    AddressSetCase{"0.0.0.0/0", "", false}));
 
 } // namespace
 } // namespace balsamrack
--- a/UnitTests/Http/RawConnection.cpp
+++ b/UnitTests/Http/RawConnection.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr timeval ReadLimit{10, 0};
+constexpr timeval ReadTimeout{10, 0};
 
 size_t contentLength(const std::string &header) {
   for (size_t at = 0; (at = header.find("\r\n", at)) != std::string::npos;) {
@@ -45,8 +45,8 @@
   raw.sin_port = htons(at.Port);
   inet_pton(AF_INET, at.Ip.c_str(), &raw.sin_addr);
   RawConnection made(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  ::setsockopt(made.Shared->Fd, SOL_SOCKET, SO_RCVTIMEO, &ReadLimit,
-               sizeof ReadLimit);
+  ::setsockopt(made.Shared->Fd, SOL_SOCKET, SO_RCVTIMEO, &ReadTimeout,
+               sizeof ReadTimeout);
   if (::connect(made.Shared->Fd, reinterpret_cast<sockaddr *>(&raw),
                 sizeof raw) != 0)
     made.close();
@@ -56,8 +56,8 @@
 RawConnection RawConnection::acceptOn(int fd) {
   RawConnection made(::accept4(fd, nullptr, nullptr, SOCK_CLOEXEC));
   if (made.isOpen())
-    ::setsockopt(made.Shared->Fd, SOL_SOCKET, SO_RCVTIMEO, &ReadLimit,
-                 sizeof ReadLimit);
+    ::setsockopt(made.Shared->Fd, SOL_SOCKET, SO_RCVTIMEO, &ReadTimeout,
+                 sizeof ReadTimeout);
   return made;
 }
 
@@ -106,9 +106,10 @@
   std::lock_guard<std::mutex> hold(Shared->Lock);
   if (Shared->Fd < 0)
     return;
-  linger hard{1, 0};
+  linger resetOnClose{1, 0};
   if (reset)
-    ::setsockopt(Shared->Fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+    ::setsockopt(Shared->Fd, SOL_SOCKET, SO_LINGER, &resetOnClose,
+                 sizeof resetOnClose);
   ::close(std::exchange(Shared->Fd, -1));
 }
 
@@ -122,9 +123,9 @@
 
 bool waitUntil(const std::function<bool()> &condition) {
   using std::chrono::steady_clock;
-  auto limit = steady_clock::now() + std::chrono::seconds(60);
+  auto deadline = steady_clock::now() + std::chrono::seconds(60);
   while (!condition()) {
-    if (steady_clock::now() > limit)
+    if (steady_clock::now() > deadline)
       return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
   }
--- a/UnitTests/Http/ScriptedServer.cpp
+++ b/UnitTests/Http/ScriptedServer.cpp
@@ -7,7 +7,7 @@
 
 ScriptedServer::ScriptedServer(Script script)
     : Socket(ListenSocket::open({"127.0.0.1", 0}).value()),
-      Serve(std::move(script)), Acceptor([this] { run(); }) {}
+      RunScript(std::move(script)), Acceptor([this] { run(); }) {}
 
 ScriptedServer::~ScriptedServer() {
   Stopping = true;
@@ -15,7 +15,7 @@
   Acceptor.join();
   for (auto &interrupt : Interrupters)
     interrupt();
-  for (std::thread &t : Scripts)
+  for (std::thread &t : ScriptThreads)
     t.join();
 }
 
@@ -26,9 +26,10 @@
       continue;
     Interrupters.push_back(c.interrupter());
     int number = ++Accepted;
-    Scripts.emplace_back([this, number, moved = std::move(c)]() mutable {
-      Serve(std::move(moved), number);
-    });
+    ScriptThreads.emplace_back(
+        [this, number, connection = std::move(c)]() mutable {
+          RunScript(std::move(connection), number);
+        });
   }
 }
 
--- a/UnitTests/Http/ScriptedServer.h
+++ b/UnitTests/Http/ScriptedServer.h
@@ -30,11 +30,12 @@
   void run();
 
   ListenSocket Socket;
-  const Script Serve;
+  const Script RunScript;
   std::atomic<int> Accepted{0};
   std::atomic<bool> Stopping{false};
   std::vector<std::function<void()>> Interrupters; ///< One a connection.
-  std::vector<std::thread> Scripts; ///< Only touched by Acceptor until it ends.
+  std::vector<std::thread>
+      ScriptThreads; ///< Only touched by Acceptor until it ends.
   std::thread Acceptor;
 };
 
--- a/UnitTests/Http/ServerLinkTest.cpp
+++ b/UnitTests/Http/ServerLinkTest.cpp
@@ -13,7 +13,7 @@
 namespace balsamrack {
 namespace {
 
-constexpr Duration Long{10'000'000};
+constexpr Duration LongTimeout{10'000'000};
 
 BackendServer serverAt(const Address &at) {
   BackendServer s;
@@ -39,9 +39,9 @@
     Link = *std::move(made);
   }
 
-  std::future<DispatchResult> begin(const Address &at, Semantics kind,
-                                    const Message &message = {},
-                                    Duration timeout = Long) {
+  std::future<DispatchResult> dispatch(const Address &at, Semantics kind,
+                                       const Message &message = {},
+                                       Duration timeout = LongTimeout) {
     auto result = std::make_shared<std::promise<DispatchResult>>();
     Link->dispatch(serverAt(at), envelope(7, kind), message, timeout,
                    [result](const DispatchResult &r) { result->set_value(r); });
@@ -52,9 +52,9 @@
 };
 
 TEST_F(ServerLinkTest, SendsTheMessageAsItCameWithTheHopsFields) {
-  std::string seen;
+  std::string received;
   ScriptedServer server([&](RawConnection c, int) {
-    seen = c.readMessage();
+    received = c.readMessage();
     c.sendAll(httpAnswer("201 Created\r\nX-A: 1\r\nBalsamrack-Ending: not-run"
                          "\r\nBalsamrack-Instance: run-4",
                          std::string("a\0b", 3)));
@@ -63,28 +63,29 @@
   m.Headers = {{"Idempotency-Key", "k"}, {"X-Empty", ""},
                {"traceparent", "old"},   {"Connection", "X-Hop"},
                {"X-Hop", "1"},           {"Content-Type", "a/b"}};
-  DispatchResult r = begin(server.at(), Semantics::RunOnce, m).get();
+  DispatchResult r = dispatch(server.at(), Semantics::RunOnce, m).get();
   EXPECT_EQ(r.How, DispatchOutcome::Answered);
   EXPECT_EQ(r.Content.Status, 201U);
   EXPECT_EQ(r.Content.Body, std::string("a\0b", 3));
   EXPECT_EQ(r.Instance.str(), "run-4");
   EXPECT_NE(findHeader(r.Content.Headers, "x-a"), nullptr);
   EXPECT_EQ(findHeader(r.Content.Headers, "balsamrack-ending"), nullptr);
-  EXPECT_EQ(seen.rfind("POST /a/../b?x=%2F HTTP/1.1\r\n", 0), 0U) << seen;
+  EXPECT_EQ(received.rfind("POST /a/../b?x=%2F HTTP/1.1\r\n", 0), 0U)
+      << received;
   for (const char *line :
        {"\r\nIdempotency-Key: k\r\n", "\r\nX-Empty:\r\n",
         "\r\nRequest-Timeout: 10000\r\n", "\r\nContent-Type: a/b\r\n",
         "\r\nBalsamrack-Request: 0000000000000007\r\n",
         "\r\nBalsamrack-Flow: 00000000000000f1\r\n",
         "\r\ntraceparent: 00-0af7651916cd43dd8448eb211c80319c-"})
-    EXPECT_NE(seen.find(line), std::string::npos) << line << seen;
+    EXPECT_NE(received.find(line), std::string::npos) << line << received;
   for (const char *absent : {"X-Hop", "traceparent: old", "Accept", "Expect"})
-    EXPECT_EQ(seen.find(absent), std::string::npos) << absent << seen;
+    EXPECT_EQ(received.find(absent), std::string::npos) << absent << received;
 }
 
 struct ServerAnswer {
   const char *Name;
-  std::string Sends; ///< What the server sends before it closes.
+  std::string Reply; ///< What the server sends before it closes.
   DispatchOutcome How;
 };
 
@@ -97,9 +98,9 @@
 TEST_P(EachAnswer, IsJudgedByWhatCanBeProved) {
   ScriptedServer server([&](RawConnection c, int) {
     c.readMessage();
-    c.sendAll(GetParam().Sends);
+    c.sendAll(GetParam().Reply);
   });
-  DispatchResult r = begin(server.at(), Semantics::RunOnce).get();
+  DispatchResult r = dispatch(server.at(), Semantics::RunOnce).get();
   EXPECT_EQ(r.How, GetParam().How);
   EXPECT_EQ(server.connections(), 1);
 }
@@ -153,39 +154,40 @@
     c.sendAll(
         httpAnswer("503 Busy\r\nBalsamrack-Run: no\r\nRetry-After: 3", ""));
   });
-  DispatchResult r = begin(server.at(), Semantics::RunOnce).get();
+  DispatchResult r = dispatch(server.at(), Semantics::RunOnce).get();
   EXPECT_EQ(r.RetryAfter, std::chrono::seconds(3));
 }
 
 TEST_F(ServerLinkTest, RefusedConnectionIsUnreachable) {
-  ReservedPort gone;
-  EXPECT_EQ(begin(gone.at(), Semantics::RunOnce).get().How,
+  ReservedPort closedPort;
+  EXPECT_EQ(dispatch(closedPort.at(), Semantics::RunOnce).get().How,
             DispatchOutcome::Unreachable);
 }
 
 TEST_F(ServerLinkTest, LineBreakInAFieldNeverLeaves) {
   ScriptedServer server([](const RawConnection &, int) {});
   Message m{"GET", "/", {{"X", "1\r\nPOST /evil"}}, ""};
-  EXPECT_EQ(begin(server.at(), Semantics::Idempotent, m).get().How,
+  EXPECT_EQ(dispatch(server.at(), Semantics::Idempotent, m).get().How,
             DispatchOutcome::Unreachable);
   m = {"GET", "/ HTTP/1.1\r\nX: y", {}, ""};
-  EXPECT_EQ(begin(server.at(), Semantics::Idempotent, m).get().How,
+  EXPECT_EQ(dispatch(server.at(), Semantics::Idempotent, m).get().How,
             DispatchOutcome::Unreachable);
   EXPECT_EQ(server.connections(), 0);
 }
 
 TEST_F(ServerLinkTest, NoTimeLeftIsUnreachable) {
   ScriptedServer server([](const RawConnection &, int) {});
-  EXPECT_EQ(begin(server.at(), Semantics::RunOnce, {}, Duration(0)).get().How,
-            DispatchOutcome::Unreachable);
+  EXPECT_EQ(
+      dispatch(server.at(), Semantics::RunOnce, {}, Duration(0)).get().How,
+      DispatchOutcome::Unreachable);
 }
 
 // Story: an owner's process is paused while a connection is being made. When it
 // wakes, another daemon owns the server; what it had in hand must not leave.
 TEST(ServerLinkSettingsTest, NothingLeavesOnceAuthorityIsLost) {
-  std::atomic<bool> may{true};
+  std::atomic<bool> hasAuthority{true};
   ServerLinkSettings settings;
-  settings.MayLeave = [&] { return may.load(); };
+  settings.MaySend = [&] { return hasAuthority.load(); };
   auto link = createHttpServerLink(settings);
   ASSERT_TRUE(link.ok());
   ScriptedServer server([](RawConnection c, int) {
@@ -193,10 +195,10 @@
       c.sendAll(httpAnswer("200 OK", ""));
   });
   for (bool allowed : {true, false}) {
-    may = allowed;
+    hasAuthority = allowed;
     std::promise<DispatchOutcome> end;
     (*link)->dispatch(serverAt(server.at()), envelope(7, Semantics::Idempotent),
-                      {}, Long,
+                      {}, LongTimeout,
                       [&](const DispatchResult &r) { end.set_value(r.How); });
     EXPECT_EQ(end.get_future().get(), allowed ? DispatchOutcome::Answered
                                               : DispatchOutcome::Unreachable);
@@ -213,7 +215,7 @@
   std::promise<DispatchOutcome> second;
   for (auto *end : {&first, &second})
     (*link)->dispatch(serverAt(server.at()), envelope(7, Semantics::RunOnce),
-                      {}, Long,
+                      {}, LongTimeout,
                       [=](const DispatchResult &r) { end->set_value(r.How); });
   EXPECT_EQ(second.get_future().get(), DispatchOutcome::Unreachable);
   ASSERT_TRUE(waitUntil([&] { return server.connections() == 1; }));
@@ -224,14 +226,14 @@
 TEST_F(ServerLinkTest, SilentServerIsFailedAfterTheTimeout) {
   ScriptedServer server([](RawConnection c, int) { c.readToEnd(); });
   DispatchResult r =
-      begin(server.at(), Semantics::RunOnce, {}, Duration(50'000)).get();
+      dispatch(server.at(), Semantics::RunOnce, {}, Duration(50'000)).get();
   EXPECT_EQ(r.How, DispatchOutcome::Failed);
   EXPECT_GE(r.Took, Duration(40'000));
 }
 
 /// Answers the first request of a connection; closes it, without an answer, on
 /// the next.
-class ForgetfulServer {
+class ClosingServer {
 public:
   int requests() const { return Requests; }
   const Address &at() const { return Server.at(); }
@@ -254,12 +256,12 @@
 // as the request arrives. libcurl sends it again on a new connection, whatever
 // its method, and the deposit is charged twice.
 TEST_F(ServerLinkTest, RunOnceIsNeverSentOnAKeptConnection) {
-  ForgetfulServer server;
+  ClosingServer server;
   Message get{"GET", "/", {}, ""};
   Message post{"POST", "/", {}, "deposit"};
-  EXPECT_EQ(begin(server.at(), Semantics::Idempotent, get).get().How,
+  EXPECT_EQ(dispatch(server.at(), Semantics::Idempotent, get).get().How,
             DispatchOutcome::Answered);
-  EXPECT_EQ(begin(server.at(), Semantics::RunOnce, post).get().How,
+  EXPECT_EQ(dispatch(server.at(), Semantics::RunOnce, post).get().How,
             DispatchOutcome::Answered);
   EXPECT_EQ(server.requests(), 2);
   EXPECT_EQ(server.connections(), 2);
@@ -268,11 +270,11 @@
 // The other side of the same: what may run twice uses the kept connection, and
 // when that turns out dead it is sent again rather than failed.
 TEST_F(ServerLinkTest, IdempotentIsSentAgainWhenAKeptConnectionIsDead) {
-  ForgetfulServer server;
+  ClosingServer server;
   Message get{"GET", "/", {}, ""};
-  EXPECT_EQ(begin(server.at(), Semantics::Idempotent, get).get().How,
+  EXPECT_EQ(dispatch(server.at(), Semantics::Idempotent, get).get().How,
             DispatchOutcome::Answered);
-  EXPECT_EQ(begin(server.at(), Semantics::Idempotent, get).get().How,
+  EXPECT_EQ(dispatch(server.at(), Semantics::Idempotent, get).get().How,
             DispatchOutcome::Answered);
   EXPECT_EQ(server.requests(), 3);
   EXPECT_EQ(server.connections(), 2);
@@ -284,7 +286,7 @@
       c.sendAll(httpAnswer("200 OK", "x"));
   });
   for (int i = 0; i < 5; ++i)
-    EXPECT_EQ(begin(server.at(), Semantics::Idempotent).get().How,
+    EXPECT_EQ(dispatch(server.at(), Semantics::Idempotent).get().How,
               DispatchOutcome::Answered);
   EXPECT_EQ(server.connections(), 1);
 }
@@ -293,12 +295,12 @@
 // told that nobody waits, and the dispatch ends without its answer.
 TEST_F(ServerLinkTest, CancelTellsTheServerAndEndsTheDispatch) {
   std::mutex lock;
-  std::vector<std::string> seen;
+  std::vector<std::string> received;
   ScriptedServer server([&](RawConnection c, int) {
     std::string message = c.readMessage();
     {
       std::lock_guard<std::mutex> hold(lock);
-      seen.push_back(message);
+      received.push_back(message);
     }
     if (message.find("/balsamrack/cancel") != std::string::npos)
       c.sendAll(httpAnswer("200 OK", ""));
@@ -307,36 +309,36 @@
   });
   auto count = [&] {
     std::lock_guard<std::mutex> hold(lock);
-    return seen.size();
+    return received.size();
   };
-  auto result = begin(server.at(), Semantics::RunOnce);
+  auto result = dispatch(server.at(), Semantics::RunOnce);
   ASSERT_TRUE(waitUntil([&] { return count() == 1; }));
   Link->cancel({8}); // another request's
   Link->cancel({7});
   EXPECT_EQ(result.get().How, DispatchOutcome::Failed);
   ASSERT_TRUE(waitUntil([&] { return count() == 2; }));
   std::lock_guard<std::mutex> hold(lock);
-  EXPECT_EQ(seen[1].rfind("POST /balsamrack/cancel HTTP/1.1\r\n", 0), 0U);
-  EXPECT_NE(seen[1].find("\r\nBalsamrack-Request: 0000000000000007\r\n"),
+  EXPECT_EQ(received[1].rfind("POST /balsamrack/cancel HTTP/1.1\r\n", 0), 0U);
+  EXPECT_NE(received[1].find("\r\nBalsamrack-Request: 0000000000000007\r\n"),
             std::string::npos);
 }
 
 TEST_F(ServerLinkTest, StopWaitsForAnswersAndThenSendsNothing) {
-  std::promise<void> go;
+  std::promise<void> release;
   std::atomic<int> entered{0};
   ScriptedServer server([&](RawConnection c, int) {
     c.readMessage();
     ++entered;
-    go.get_future().wait();
+    release.get_future().wait();
     c.sendAll(httpAnswer("200 OK", "x"));
   });
-  auto result = begin(server.at(), Semantics::RunOnce);
+  auto result = dispatch(server.at(), Semantics::RunOnce);
   ASSERT_TRUE(waitUntil([&] { return entered == 1; }));
   std::thread stopper([&] { Link->stop(); });
-  go.set_value();
+  release.set_value();
   EXPECT_EQ(result.get().How, DispatchOutcome::Answered);
   stopper.join();
-  EXPECT_EQ(begin(server.at(), Semantics::RunOnce).get().How,
+  EXPECT_EQ(dispatch(server.at(), Semantics::RunOnce).get().How,
             DispatchOutcome::Unreachable);
   EXPECT_EQ(server.connections(), 1);
 }
@@ -355,7 +357,7 @@
   std::atomic<int> answered{0};
   for (int i = 0; i < Many; ++i)
     (*link)->dispatch(serverAt(server.at()), envelope(i, Semantics::Idempotent),
-                      {}, Long, [&](const DispatchResult &r) {
+                      {}, LongTimeout, [&](const DispatchResult &r) {
                         answered += r.How == DispatchOutcome::Answered;
                         ++ended;
                       });
--- a/UnitTests/Platform/HttpPlatformLinkTest.cpp
+++ b/UnitTests/Platform/HttpPlatformLinkTest.cpp
@@ -13,12 +13,12 @@
 namespace {
 
 TEST(HttpPlatformLinkTest, AsksAndReads) {
-  std::string asked;
+  std::string received;
   ScriptedServer server([&](RawConnection c, int) {
-    asked = c.readMessage();
+    received = c.readMessage();
     c.sendAll(
         httpAnswer("200 OK", R"({"highest":9,"tickets":[{"ticket":9}]})"));
-    asked += c.readMessage();
+    received += c.readMessage();
     c.sendAll(httpAnswer("200 OK", R"({"version":2,"vms":[]})"));
   });
   auto link = createHttpPlatformLink(server.at());
@@ -29,24 +29,24 @@
   ASSERT_TRUE(vms.ok()) << vms.status();
   EXPECT_EQ(vms->Version, 2U);
   link->stop();
-  EXPECT_NE(asked.find("GET /v1/tickets?after=7&wait_ms=1500 HTTP/1.1"),
+  EXPECT_NE(received.find("GET /v1/tickets?after=7&wait_ms=1500 HTTP/1.1"),
             std::string::npos);
-  EXPECT_NE(asked.find("GET /v1/vms?after=1&wait_ms=0 HTTP/1.1"),
+  EXPECT_NE(received.find("GET /v1/vms?after=1&wait_ms=0 HTTP/1.1"),
             std::string::npos);
 }
 
-struct Fault {
+struct BadReply {
   const char *Name;
-  std::string Sends;
+  std::string Reply;
   absl::StatusCode Code;
 };
 
-class EachFault : public testing::TestWithParam<Fault> {};
+class EachFault : public testing::TestWithParam<BadReply> {};
 
 TEST_P(EachFault, IsAnErrorWithStepAndPeer) {
   ScriptedServer server([&](RawConnection c, int) {
     c.readMessage();
-    c.sendAll(GetParam().Sends);
+    c.sendAll(GetParam().Reply);
   });
   auto got = createHttpPlatformLink(server.at())->readTickets({}, Duration(0));
   EXPECT_EQ(got.status().code(), GetParam().Code) << got.status();
@@ -57,18 +57,18 @@
 INSTANTIATE_TEST_SUITE_P(
     Faults, EachFault,
     testing::Values(
-        Fault{"Status", httpAnswer("500 E", "{}"),
-              absl::StatusCode::kUnavailable},
-        Fault{"Closed", "", absl::StatusCode::kUnavailable},
-        Fault{"Half", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"high",
-              absl::StatusCode::kUnavailable},
-        Fault{"NotAPage", httpAnswer("200 OK", "[]"),
-              absl::StatusCode::kInvalidArgument}),
+        BadReply{"Status", httpAnswer("500 E", "{}"),
+                 absl::StatusCode::kUnavailable},
+        BadReply{"Closed", "", absl::StatusCode::kUnavailable},
+        BadReply{"Half", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"high",
+                 absl::StatusCode::kUnavailable},
+        BadReply{"NotAPage", httpAnswer("200 OK", "[]"),
+                 absl::StatusCode::kInvalidArgument}),
     [](const auto &info) { return std::string(info.param.Name); });
 
 TEST(HttpPlatformLinkTest, DownIsUnavailable) {
-  ReservedPort gone;
-  auto got = createHttpPlatformLink(gone.at())->readVms(0, Duration(0));
+  ReservedPort closedPort;
+  auto got = createHttpPlatformLink(closedPort.at())->readVms(0, Duration(0));
   EXPECT_EQ(got.status().code(), absl::StatusCode::kUnavailable);
 }
 
--- a/UnitTests/Platform/PlatformPagesTest.cpp
+++ b/UnitTests/Platform/PlatformPagesTest.cpp
@@ -41,7 +41,7 @@
 struct BadPage {
   const char *Name;
   std::string Text;
-  const char *Says;
+  const char *ExpectedText;
 };
 
 class EachBadPage : public testing::TestWithParam<BadPage> {};
@@ -57,7 +57,7 @@
   EXPECT_EQ(stepOf(tickets.status()), "read-platform");
   std::string both = std::string(tickets.status().message()) +
                      std::string(vms.status().message());
-  EXPECT_NE(both.find(GetParam().Says), std::string::npos) << both;
+  EXPECT_NE(both.find(GetParam().ExpectedText), std::string::npos) << both;
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/UnitTests/UsersPlatform/EchoPacketsTest.cpp
+++ b/UnitTests/UsersPlatform/EchoPacketsTest.cpp
@@ -80,7 +80,7 @@
   const char *Name;
   size_t Bytes;
   uint8_t Flags;
-  uint16_t Says;
+  uint16_t DataLength;
 };
 
 class EachBadEchoPacket : public testing::TestWithParam<BadPacket> {};
@@ -91,8 +91,8 @@
   if (packet.size() > 22)
     packet[22] = GetParam().Flags;
   if (packet.size() > 5) {
-    packet[4] = static_cast<uint8_t>(GetParam().Says);
-    packet[5] = static_cast<uint8_t>(GetParam().Says >> 8);
+    packet[4] = static_cast<uint8_t>(GetParam().DataLength);
+    packet[5] = static_cast<uint8_t>(GetParam().DataLength >> 8);
   }
   EXPECT_FALSE(EchoPackets().decode(packet.data(), packet.size()));
 }
--- a/UnitTests/UsersPlatform/StorePagesTest.cpp
+++ b/UnitTests/UsersPlatform/StorePagesTest.cpp
@@ -74,7 +74,7 @@
       Servers, listing(item("servers/i-7f3a91c2", GoodServer, 12), true),
       unreadable);
   ASSERT_TRUE(page.ok());
-  EXPECT_EQ(page->As, Revision{530});
+  EXPECT_EQ(page->AsOf, Revision{530});
   EXPECT_TRUE(page->More);
   EXPECT_EQ(page->LastKey, "servers/i-7f3a91c2");
   ASSERT_EQ(page->Objects.size(), 1U);
@@ -138,7 +138,7 @@
   EXPECT_FALSE(page->Objects[1].isDeleted());
 }
 
-std::string with(const std::string &from, const std::string &to) {
+std::string goodServerWith(const std::string &from, const std::string &to) {
   std::string text = GoodServer;
   text.replace(text.find(from), from.size(), to);
   return text;
@@ -148,14 +148,16 @@
     Entries, EachBadStoreEntry,
     testing::Values(
         BadEntry{"NoJson", "\x01\xff"}, BadEntry{"Array", "[1]"},
-        BadEntry{"NoService", with("\"service\":\"huvo\",", "")},
-        BadEntry{"ServiceIsANumber", with("\"huvo\"", "7")},
-        BadEntry{"BadAddress", with("10.128.0.9:8080", "host:80")},
-        BadEntry{"PortZero", with(":8080", ":0")},
-        BadEntry{"UnknownState", with("ready", "zombie")},
-        BadEntry{"NoSlots", with("\"slots\":2", "\"slots\":0")},
-        BadEntry{"SlotsAreText", with("\"slots\":2", "\"slots\":\"2\"")},
-        BadEntry{"NoZone", with("\"zone\":\"bern-a\"", "\"zone\":null")}),
+        BadEntry{"NoService", goodServerWith("\"service\":\"huvo\",", "")},
+        BadEntry{"ServiceIsANumber", goodServerWith("\"huvo\"", "7")},
+        BadEntry{"BadAddress", goodServerWith("10.128.0.9:8080", "host:80")},
+        BadEntry{"PortZero", goodServerWith(":8080", ":0")},
+        BadEntry{"UnknownState", goodServerWith("ready", "zombie")},
+        BadEntry{"NoSlots", goodServerWith("\"slots\":2", "\"slots\":0")},
+        BadEntry{"SlotsAreText",
+                 goodServerWith("\"slots\":2", "\"slots\":\"2\"")},
+        BadEntry{"NoZone",
+                 goodServerWith("\"zone\":\"bern-a\"", "\"zone\":null")}),
     [](const auto &info) { return std::string(info.param.Name); });
 
 struct BadPage {
