--- a/Balsamrack/Peers/PeerAcceptor.cpp
+++ b/Balsamrack/Peers/PeerAcceptor.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 using Server = websocketpp::server<websocketpp::config::asio>;
-using Handle = websocketpp::connection_hdl;
+using CurlHandle = websocketpp::connection_hdl;
 using websocketpp::frame::opcode::binary;
 using websocketpp::frame::opcode::text;
 namespace close_code = websocketpp::close::status;
@@ -64,16 +64,16 @@
 
 private:
   using ConnectionMap =
-      std::map<Handle, InboundConnection, std::owner_less<Handle>>;
+      std::map<CurlHandle, InboundConnection, std::owner_less<CurlHandle>>;
 
-  bool onValidate(const Handle &h);
-  void onOpen(const Handle &h);
-  void onMessage(const Handle &h, const Server::message_ptr &m);
-  void onClose(const Handle &h);
+  bool onValidate(const CurlHandle &h);
+  void onOpen(const CurlHandle &h);
+  void onMessage(const CurlHandle &h, const Server::message_ptr &m);
+  void onClose(const CurlHandle &h);
   bool checkProof(InboundConnection &inbound, const Server::message_ptr &m);
-  void handleHello(const Handle &h, InboundConnection &inbound,
+  void handleHello(const CurlHandle &h, InboundConnection &inbound,
                    const PeerMessage &message);
-  void closeWithError(const Handle &h, const std::string &peer,
+  void closeWithError(const CurlHandle &h, const std::string &peer,
                       absl::Status why, close_code::value code);
   bool rejectHandshake(const Server::connection_ptr &c, const std::string &ip,
                        http_code::value status, const char *why);
@@ -91,7 +91,7 @@
   Server Endpoint;
   Address BoundAddress;
   ConnectionMap Connections;
-  std::map<VmId, Handle>
+  std::map<VmId, CurlHandle>
       NewestConnections; ///< The newest connection of each peer.
 };
 
@@ -108,12 +108,12 @@
   Endpoint.set_reuse_addr(true);
   Endpoint.set_max_message_size(Settings.MaxFrameBytes);
   Endpoint.set_validate_handler(
-      [this](const Handle &h) { return onValidate(h); });
-  Endpoint.set_open_handler([this](const Handle &h) { onOpen(h); });
-  Endpoint.set_close_handler([this](const Handle &h) { onClose(h); });
-  Endpoint.set_fail_handler([this](const Handle &h) { onClose(h); });
+      [this](const CurlHandle &h) { return onValidate(h); });
+  Endpoint.set_open_handler([this](const CurlHandle &h) { onOpen(h); });
+  Endpoint.set_close_handler([this](const CurlHandle &h) { onClose(h); });
+  Endpoint.set_fail_handler([this](const CurlHandle &h) { onClose(h); });
   Endpoint.set_message_handler(
-      [this](const Handle &h, const Server::message_ptr &m) {
+      [this](const CurlHandle &h, const Server::message_ptr &m) {
         onMessage(h, m);
       });
   ErrorCode ec;
@@ -139,7 +139,7 @@
   return false;
 }
 
-bool WebsocketAcceptor::onValidate(const Handle &h) {
+bool WebsocketAcceptor::onValidate(const CurlHandle &h) {
   ErrorCode ec;
   auto c = Endpoint.get_con_from_hdl(h, ec);
   if (ec)
@@ -168,7 +168,7 @@
   return true;
 }
 
-void WebsocketAcceptor::onOpen(const Handle &h) {
+void WebsocketAcceptor::onOpen(const CurlHandle &h) {
   ErrorCode ec;
   auto c = Endpoint.get_con_from_hdl(h, ec);
   if (ec)
@@ -184,7 +184,8 @@
   });
 }
 
-void WebsocketAcceptor::closeWithError(const Handle &h, const std::string &peer,
+void WebsocketAcceptor::closeWithError(const CurlHandle &h,
+                                       const std::string &peer,
                                        absl::Status why,
                                        close_code::value code) {
   auto it = Connections.find(h);
@@ -195,7 +196,7 @@
   report(addErrorContext(std::move(why), Step::DecodePeerMessage, peer));
 }
 
-void WebsocketAcceptor::onMessage(const Handle &h,
+void WebsocketAcceptor::onMessage(const CurlHandle &h,
                                   const Server::message_ptr &m) {
   auto it = Connections.find(h);
   if (it == Connections.end())
@@ -239,7 +240,8 @@
   return true;
 }
 
-void WebsocketAcceptor::handleHello(const Handle &h, InboundConnection &inbound,
+void WebsocketAcceptor::handleHello(const CurlHandle &h,
+                                    InboundConnection &inbound,
                                     const PeerMessage &message) {
   inbound.Vm = std::get<Hello>(message).Vm;
   inbound.CurrentStage = InboundConnection::Stage::Ready;
@@ -258,7 +260,7 @@
                    "replaced", ec);
 }
 
-void WebsocketAcceptor::onClose(const Handle &h) {
+void WebsocketAcceptor::onClose(const CurlHandle &h) {
   auto it = Connections.find(h);
   if (it == Connections.end())
     return;
@@ -279,7 +281,7 @@
     return;
   ++Stats.ConnectionsLost;
   auto current = NewestConnections.find(inbound.Vm.Id);
-  std::owner_less<Handle> less;
+  std::owner_less<CurlHandle> less;
   if (current != NewestConnections.end() && !less(current->second, h) &&
       !less(h, current->second))
     NewestConnections.erase(current);
--- a/Balsamrack/Peers/PeerDialer.cpp
+++ b/Balsamrack/Peers/PeerDialer.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 using Client = websocketpp::client<websocketpp::config::asio_client>;
-using Handle = websocketpp::connection_hdl;
+using CurlHandle = websocketpp::connection_hdl;
 using websocketpp::frame::opcode::binary;
 using websocketpp::frame::opcode::text;
 namespace close_code = websocketpp::close::status;
@@ -167,7 +167,7 @@
   // one arrives; that one must not be taken for an update of the later.
   auto ifCurrent = [this, channel,
                     id = std::weak_ptr<Client::connection_type>(c)](auto then) {
-    return [this, channel, id, then](const Handle &) {
+    return [this, channel, id, then](const CurlHandle &) {
       auto c = id.lock();
       if (c && c == channel->Connection)
         (this->*then)(channel);
@@ -178,7 +178,7 @@
   c->set_close_handler(ifCurrent(&WebsocketDialer::onClosed));
   c->set_message_handler(
       [this, channel, id = std::weak_ptr<Client::connection_type>(c)](
-          const Handle &, const Client::message_ptr &m) {
+          const CurlHandle &, const Client::message_ptr &m) {
         auto c = id.lock();
         if (c && c == channel->Connection)
           onMessage(channel, m->get_payload());
--- a/FailureTests/Fleet.cpp
+++ b/FailureTests/Fleet.cpp
@@ -346,18 +346,18 @@
   return s;
 }
 
-standins::LoadReport Fleet::judge(standins::Load &load,
+standins::LoadReport Fleet::judge(standins::LoadGenerator &load,
                                   const std::set<std::string> &outDomains) {
   load.stop();
   standins::LoadReport report = load.report();
   for (const ServerPlan &server : Plan.Servers) {
     absl::Status status =
-        report.addServer(local(Ports[server.Id]), server.Service);
+        report.addServerCounts(local(Ports[server.Id]), server.Service);
     if (!status.ok())
       report.addFault(absl::StrCat(server.Id, ": ", status.message()));
   }
-  report.judgeRuns();
-  report.judgeLostFlows(outDomains);
+  report.countRunViolations();
+  report.countLostFlows(outDomains);
   std::printf("%s\n", report.json().c_str());
   return report;
 }
--- a/FailureTests/Fleet.h
+++ b/FailureTests/Fleet.h
@@ -88,7 +88,7 @@
   /// Settings for callers of both services.
   standins::CallSettings calls() const;
   /// Ends \p load and compares what callers saw with the servers' counts.
-  standins::LoadReport judge(standins::Load &load,
+  standins::LoadReport judge(standins::LoadGenerator &load,
                              const std::set<std::string> &outDomains = {});
   /// Waits until the daemons \p among these see each other alive, and each
   /// server is owned by one of them.
--- a/FailureTests/FleetTest.cpp
+++ b/FailureTests/FleetTest.cpp
@@ -23,7 +23,7 @@
   Up = std::move(*fleet);
 }
 
-void FleetTest::awaitAnswers(standins::Load &load, uint64_t count) {
+void FleetTest::awaitAnswers(standins::LoadGenerator &load, uint64_t count) {
   uint64_t goal = load.report().Answered + count;
   ASSERT_TRUE(awaitUntil(AnswersLimit, [&] {
     return load.report().Answered >= goal;
@@ -35,8 +35,8 @@
   EXPECT_EQ(report.WrongService, 0U);
   EXPECT_EQ(report.WrongAnswer, 0U);
   EXPECT_EQ(report.RunTwice, 0U);
-  EXPECT_EQ(report.UntrueRefusals, 0U);
-  EXPECT_EQ(report.FellOver, 0U);
+  EXPECT_EQ(report.FalseRefusals, 0U);
+  EXPECT_EQ(report.Overloads, 0U);
   EXPECT_GE(static_cast<double>(report.Answered),
             share * static_cast<double>(report.Requests));
 }
--- a/FailureTests/FleetTest.h
+++ b/FailureTests/FleetTest.h
@@ -18,7 +18,7 @@
   /// Starts the fleet; use within ASSERT_NO_FATAL_FAILURE.
   void startFleet(const FleetPlan &plan);
   /// Waits until \p count more requests were answered.
-  void awaitAnswers(standins::Load &load, uint64_t count);
+  void awaitAnswers(standins::LoadGenerator &load, uint64_t count);
   /// Expects nothing that must never happen, no cold server that got more than
   /// it bears, and that \p share of the requests were answered.
   static void expectKept(const standins::LoadReport &report, double share);
--- a/FailureTests/GarbageTest.cpp
+++ b/FailureTests/GarbageTest.cpp
@@ -83,7 +83,7 @@
 // ever, and the daemon does not die.
 TEST_F(FleetTest, GarbageIntoEachPort) {
   ASSERT_NO_FATAL_FAILURE(startFleet(smallPlan()));
-  standins::Load load(Up->calls());
+  standins::LoadGenerator load(Up->calls());
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(load, 100));
   for (const std::string &bytes : garbage(testSeed()))
     for (const Address &port :
--- a/FailureTests/OwnerFailureTest.cpp
+++ b/FailureTests/OwnerFailureTest.cpp
@@ -18,8 +18,8 @@
   void startWithLoad(uint32_t longPercent) {
     ASSERT_NO_FATAL_FAILURE(startFleet(smallPlan()));
     standins::CallSettings calls = Up->calls();
-    calls.LongPercent = longPercent;
-    Load = std::make_unique<standins::Load>(calls);
+    calls.LongRunPercent = longPercent;
+    Load = std::make_unique<standins::LoadGenerator>(calls);
     ASSERT_NO_FATAL_FAILURE(awaitAnswers(*Load, 500));
     Owner = Up->ownerOf("booking-a1");
     ASSERT_LT(Owner, 2U);
@@ -36,8 +36,8 @@
     EXPECT_EQ(report.Sheds, 0U);
   }
 
-  std::unique_ptr<standins::Load> Load; ///< Both services.
-  size_t Owner = 0;                     ///< Of booking-a1; 1 - Owner is next.
+  std::unique_ptr<standins::LoadGenerator> Load; ///< Both services.
+  size_t Owner = 0; ///< Of booking-a1; 1 - Owner is next.
 };
 
 // Story: sellers hold flows at servers of domain a. The VM whose daemon owns
--- a/FailureTests/PlannedChangeTest.cpp
+++ b/FailureTests/PlannedChangeTest.cpp
@@ -27,7 +27,7 @@
 // end; new flows go elsewhere within seconds. No seller notices.
 TEST_F(PlannedChangeTest, DrainUnderLoad) {
   ASSERT_NO_FATAL_FAILURE(startFleet(smallPlan()));
-  standins::Load load(Up->calls());
+  standins::LoadGenerator load(Up->calls());
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(load, 500));
   ASSERT_GT(flowsAt("booking-a1"), 0U);
   uint64_t ticket = Up->drain("booking-a1");
@@ -48,7 +48,7 @@
 // others go on. Then it comes back, cold, and takes flows again.
 TEST_F(PlannedChangeTest, DomainOutAndBack) {
   ASSERT_NO_FATAL_FAILURE(startFleet(smallPlan()));
-  standins::Load load(Up->calls());
+  standins::LoadGenerator load(Up->calls());
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(load, 500));
   SystemClock clock;
   TimePoint out = clock.now();
@@ -75,8 +75,8 @@
 TEST_F(PlannedChangeTest, RollingRestart) {
   ASSERT_NO_FATAL_FAILURE(startFleet(smallPlan()));
   standins::CallSettings calls = Up->calls();
-  calls.LongPercent = 30;
-  standins::Load load(calls);
+  calls.LongRunPercent = 30;
+  standins::LoadGenerator load(calls);
   for (size_t i = 0; i < 3; ++i) {
     ASSERT_NO_FATAL_FAILURE(awaitAnswers(load, 200));
     std::set<size_t> others{0, 1, 2};
@@ -105,7 +105,7 @@
   FleetPlan plan = smallPlan();
   plan.PlatformRelays = true;
   ASSERT_NO_FATAL_FAILURE(startFleet(plan));
-  standins::Load before(Up->calls());
+  standins::LoadGenerator before(Up->calls());
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(before, 300));
   before.stop();
   Up->platformRelay(2).cut();
@@ -114,7 +114,7 @@
   Up->setFabric({2});
   standins::CallSettings calls = Up->calls();
   calls.Seed += 1;
-  standins::Load load(calls);
+  standins::LoadGenerator load(calls);
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(load, 300));
   EXPECT_LT(lastPacketMs("b"), 1000);
   uint64_t missed = Up->drain("booking-b1");
--- a/FailureTests/PlatformFailureTest.cpp
+++ b/FailureTests/PlatformFailureTest.cpp
@@ -34,7 +34,7 @@
   ASSERT_NO_FATAL_FAILURE(restart(0));
   EXPECT_TRUE(Up->awaitInForce(0, ticket, 6s));
   Up->setFabric({0});
-  standins::Load load(Up->calls());
+  standins::LoadGenerator load(Up->calls());
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(load, 200));
   expectKept(Up->judge(load), 0.5);
 }
--- a/FailureTests/StandInsTest.cpp
+++ b/FailureTests/StandInsTest.cpp
@@ -37,31 +37,32 @@
     }
     auto fabric =
         HttpServer::listen({"127.0.0.1", FabricPort}, [this](const Message &m) {
-          return Spray.pass(ServerPort, m);
+          return Spray.forward(ServerPort, m);
         });
     ASSERT_TRUE(fabric.ok()) << fabric.status();
     FabricHttp = std::move(*fabric);
   }
 
   void useServers(const std::string &list) {
-    Spray.control({"POST", "/daemons", {}, list});
+    Spray.handleControl({"POST", "/daemons", {}, list});
   }
 
   LoadReport runLoad(const std::string &service) {
     CallSettings s;
     s.Targets = {{service, {"127.0.0.1", FabricPort}}};
     s.Callers = 8;
-    s.Think = 1ms;
+    s.MaxThinkTime = 1ms;
     s.Seed = testSeed();
-    Load load(s);
+    LoadGenerator load(s);
     EXPECT_TRUE(awaitUntil(20s, [&] { return load.report().Requests > 200; }));
     load.stop();
     LoadReport report = load.report();
     for (int i = 1; i <= 2; ++i)
-      EXPECT_TRUE(
-          report.addServer({absl::StrCat("127.0.2.", i), ServerPort}, "booking")
-              .ok());
-    report.judgeRuns();
+      EXPECT_TRUE(report
+                      .addServerCounts(
+                          {absl::StrCat("127.0.2.", i), ServerPort}, "booking")
+                      .ok());
+    report.countRunViolations();
     return report;
   }
 
@@ -76,7 +77,7 @@
 TEST_F(StandInsTest, OneServerIsClean) {
   useServers(R"([{"ip":"127.0.2.1"}])");
   LoadReport report = runLoad("booking");
-  EXPECT_TRUE(report.clean()) << report.json();
+  EXPECT_TRUE(report.isClean()) << report.json();
   EXPECT_EQ(report.Answered, report.Requests) << report.json();
 }
 
@@ -107,18 +108,19 @@
                         {OutcomeKind::OutcomeUnknown, OutcomeKind::Answered}},
                        {"op2", "booking", true, {OutcomeKind::NotRun}},
                        {"op3", "booking", true, {OutcomeKind::NotRun}}};
-  ASSERT_TRUE(report.addServer({"127.0.2.1", ServerPort}, "booking").ok());
-  report.judgeRuns();
+  ASSERT_TRUE(
+      report.addServerCounts({"127.0.2.1", ServerPort}, "booking").ok());
+  report.countRunViolations();
   EXPECT_EQ(report.RunTwice, 1U);
-  EXPECT_EQ(report.UntrueRefusals, 1U);
+  EXPECT_EQ(report.FalseRefusals, 1U);
 }
 
 // Story: a cold server bears one run, and gets two at once: it falls over, and
 // a test can see that it did.
 TEST_F(StandInsTest, ColdServerFallsOver) {
   BackendServerSettings s;
-  s.Cold = 60s;
-  s.Work = 200ms;
+  s.WarmupTime = 60s;
+  s.RunTime = 200ms;
   BackendServer cold(s);
   std::thread first([&] { cold.serve({"GET", "/work", {}, ""}); });
   ASSERT_TRUE(awaitUntil(5s, [&] {
--- a/PerformanceTest/PathMeasure.cpp
+++ b/PerformanceTest/PathMeasure.cpp
@@ -22,22 +22,23 @@
   double MedianMs = 0;
 };
 
-Stretch measureLoad(standins::Load &load, std::chrono::seconds span) {
+Stretch measureLoad(standins::LoadGenerator &load, std::chrono::seconds span) {
   const standins::LoadReport before = load.report();
   const auto from = steady_clock::now();
   std::this_thread::sleep_for(span);
   standins::LoadReport after = load.report();
   const std::chrono::duration<double> took = steady_clock::now() - from;
-  after.Millis.erase(after.Millis.begin(),
-                     after.Millis.begin() +
-                         static_cast<int64_t>(before.Millis.size()));
+  after.AnswerMillis.erase(
+      after.AnswerMillis.begin(),
+      after.AnswerMillis.begin() +
+          static_cast<int64_t>(before.AnswerMillis.size()));
   return {static_cast<double>(after.Answered - before.Answered) / took.count(),
           static_cast<double>(after.quantile(0.5))};
 }
 
 standins::CallSettings busyCallers(standins::CallSettings calls) {
-  calls.Think = Duration(0);
-  calls.LongPercent = 0;
+  calls.MaxThinkTime = Duration(0);
+  calls.LongRunPercent = 0;
   return calls;
 }
 
@@ -58,7 +59,7 @@
   // Through the system.
   Stretch system;
   {
-    standins::Load load(busyCallers((*fleet)->calls()));
+    standins::LoadGenerator load(busyCallers((*fleet)->calls()));
     std::this_thread::sleep_for(WarmUp);
     system = measureLoad(load, span);
   }
@@ -70,7 +71,7 @@
     straight.Targets.push_back({it.Service, (*fleet)->serverAt(it.Id)});
   Stretch direct;
   {
-    standins::Load load(straight);
+    standins::LoadGenerator load(straight);
     std::this_thread::sleep_for(std::chrono::seconds(1));
     direct = measureLoad(load, span);
   }
--- a/Soak/CalmChecks.h
+++ b/Soak/CalmChecks.h
@@ -12,7 +12,7 @@
 /// as good as new, and that operators are obeyed in time: a dropped route is
 /// refused by each daemon, a draining server and a domain that was taken out
 /// get no new flows. Returns the broken promises. Takes some 15 s.
-std::vector<std::string> checkCalm(SoakFleet &fleet);
+std::vector<std::string> checkRecovery(SoakFleet &fleet);
 
 /// Checks that every line of the daemons' logs is a JSON object that names its
 /// part and event. Returns what is not.
--- a/Soak/FaultyLink.cpp
+++ b/Soak/FaultyLink.cpp
@@ -15,26 +15,26 @@
 
 namespace {
 
-constexpr int LoopMillis = 2;
-constexpr int BufferBytes = 1024 * 1024;
-constexpr uint64_t PerThousand = 1000;
-constexpr uint64_t MostLateMicros = 30'000;
+constexpr int PollTimeoutMillis = 2;
+constexpr int SocketBufferBytes = 1024 * 1024;
+constexpr uint64_t Thousand = 1000;
+constexpr uint64_t MaxDelayMicros = 30'000;
 
 } // namespace
 
 absl::StatusOr<std::unique_ptr<FaultyLink>>
-FaultyLink::create(const Address &at, const Address &to, bool takesTcp,
+FaultyLink::create(const Address &at, const Address &to, bool acceptsTcp,
                    uint64_t seed) {
-  auto fd = openDatagramSocket(at, BufferBytes);
+  auto fd = openDatagramSocket(at, SocketBufferBytes);
   if (!fd.ok())
     return fd.status();
   return std::unique_ptr<FaultyLink>(
-      new FaultyLink(*fd, at, to, takesTcp, seed));
+      new FaultyLink(*fd, at, to, acceptsTcp, seed));
 }
 
-FaultyLink::FaultyLink(int fd, Address at, const Address &to, bool takesTcp,
+FaultyLink::FaultyLink(int fd, Address at, const Address &to, bool acceptsTcp,
                        uint64_t seed)
-    : Fd(fd), At(std::move(at)), To(to), TakesTcp(takesTcp), Random(seed),
+    : Fd(fd), At(std::move(at)), To(to), AcceptsTcp(acceptsTcp), Random(seed),
       Loop([this] { run(); }) {}
 
 FaultyLink::~FaultyLink() {
@@ -43,37 +43,37 @@
   close(Fd);
 }
 
-void FaultyLink::setHarm(const LinkHarm &harm) {
+void FaultyLink::setFaults(const LinkFaults &faults) {
   std::lock_guard<std::mutex> hold(Lock);
-  Harm = harm;
+  Faults = faults;
 }
 
-void FaultyLink::setCutFrom(const std::string &ip, bool cut) {
+void FaultyLink::setSourceBlocked(const std::string &ip, bool blocked) {
   uint32_t source = Endpoint::of({ip, 1}).Ip;
   std::lock_guard<std::mutex> hold(Lock);
-  if (cut)
-    CutFrom.insert(source);
+  if (blocked)
+    BlockedSources.insert(source);
   else
-    CutFrom.erase(source);
+    BlockedSources.erase(source);
 }
 
 void FaultyLink::run() {
   SystemClock clock;
   while (!Stopping) {
-    takeConnections();
+    acceptConnections();
     pollfd polled{Fd, POLLIN, 0};
-    poll(&polled, 1, LoopMillis);
+    poll(&polled, 1, PollTimeoutMillis);
     TimePoint now = clock.now();
-    takeDatagrams(now);
-    while (!Later.empty() && Later.top().Due <= now) {
-      pass(Later.top().Bytes);
-      Later.pop();
+    receiveDatagrams(now);
+    while (!Delayed.empty() && Delayed.top().Due <= now) {
+      forward(Delayed.top().Bytes);
+      Delayed.pop();
     }
   }
 }
 
-void FaultyLink::takeConnections() {
-  if (!TakesTcp)
+void FaultyLink::acceptConnections() {
+  if (!AcceptsTcp)
     return;
   if (Silent) {
     Listener.reset();
@@ -95,7 +95,7 @@
   }
 }
 
-void FaultyLink::takeDatagrams(TimePoint now) {
+void FaultyLink::receiveDatagrams(TimePoint now) {
   std::array<uint8_t, 1500> buf{};
   sockaddr_in from{};
   socklen_t length = sizeof from;
@@ -104,30 +104,30 @@
                      reinterpret_cast<sockaddr *>(&from), &length)) > 0;
        length = sizeof from) {
     std::lock_guard<std::mutex> hold(Lock);
-    bool cut = CutFrom.count(ntohl(from.sin_addr.s_addr)) != 0;
-    if (Silent || cut || Random.below(PerThousand) < Harm.Lost)
+    bool blocked = BlockedSources.count(ntohl(from.sin_addr.s_addr)) != 0;
+    if (Silent || blocked || Random.below(Thousand) < Faults.LossPerThousand)
       continue;
     std::vector<uint8_t> bytes(buf.begin(), buf.begin() + n);
-    int copies = Random.below(PerThousand) < Harm.Doubled ? 2 : 1;
+    int copies = Random.below(Thousand) < Faults.DuplicatesPerThousand ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
-      if (Random.below(PerThousand) >= Harm.Late) {
-        pass(bytes);
+      if (Random.below(Thousand) >= Faults.DelaysPerThousand) {
+        forward(bytes);
         continue;
       }
-      Duration late(static_cast<int64_t>(Random.below(MostLateMicros)));
-      Later.push({now + late, bytes});
+      Duration delay(static_cast<int64_t>(Random.below(MaxDelayMicros)));
+      Delayed.push({now + delay, bytes});
     }
   }
 }
 
-void FaultyLink::pass(const std::vector<uint8_t> &bytes) const {
-  sockaddr_in end{};
-  end.sin_family = AF_INET;
-  end.sin_port = htons(To.Port);
-  inet_pton(AF_INET, To.Ip.c_str(), &end.sin_addr);
+void FaultyLink::forward(const std::vector<uint8_t> &bytes) const {
+  sockaddr_in destination{};
+  destination.sin_family = AF_INET;
+  destination.sin_port = htons(To.Port);
+  inet_pton(AF_INET, To.Ip.c_str(), &destination.sin_addr);
   // A datagram that is not taken is lost like any other.
   (void)sendto(Fd, bytes.data(), bytes.size(), 0,
-               reinterpret_cast<sockaddr *>(&end), sizeof end);
+               reinterpret_cast<sockaddr *>(&destination), sizeof destination);
 }
 
 } // namespace balsamrack::soak
--- a/Soak/FaultyLink.h
+++ b/Soak/FaultyLink.h
@@ -19,10 +19,10 @@
 namespace balsamrack::soak {
 
 /// How a link harms datagrams. Shares are per thousand.
-struct LinkHarm {
-  uint32_t Lost = 0;    ///< Vanish.
-  uint32_t Doubled = 0; ///< Come twice.
-  uint32_t Late = 0;    ///< Come up to 30 ms late, behind others.
+struct LinkFaults {
+  uint32_t LossPerThousand = 0;       ///< Vanish.
+  uint32_t DuplicatesPerThousand = 0; ///< Come twice.
+  uint32_t DelaysPerThousand = 0;     ///< Come up to 30 ms late, behind others.
 };
 
 /// A loopback proxy for datagrams in one direction, which is all that a packet
@@ -33,46 +33,47 @@
   /// Passes datagrams that come to \p at on to \p to; with \p takesTcp it also
   /// takes connections. Error (step listen) when the address is taken.
   static absl::StatusOr<std::unique_ptr<FaultyLink>>
-  create(const Address &at, const Address &to, bool takesTcp, uint64_t seed);
+  create(const Address &at, const Address &to, bool acceptsTcp, uint64_t seed);
   ~FaultyLink();
   FaultyLink(const FaultyLink &) = delete;
   FaultyLink &operator=(const FaultyLink &) = delete;
 
   /// Harms what comes from now on.
-  void setHarm(const LinkHarm &harm);
+  void setFaults(const LinkFaults &faults);
   /// Drops everything, and refuses connections, or no longer.
   void setSilent(bool silent) { Silent = silent; }
   /// Drops what comes from \p ip, or no longer.
-  void setCutFrom(const std::string &ip, bool cut);
+  void setSourceBlocked(const std::string &ip, bool blocked);
 
 private:
-  struct Waiting {
+  struct DelayedDatagram {
     TimePoint Due;
     std::vector<uint8_t> Bytes;
-    friend bool operator>(const Waiting &a, const Waiting &b) {
+    friend bool operator>(const DelayedDatagram &a, const DelayedDatagram &b) {
       return a.Due > b.Due;
     }
   };
 
-  FaultyLink(int fd, Address at, const Address &to, bool takesTcp,
+  FaultyLink(int fd, Address at, const Address &to, bool acceptsTcp,
              uint64_t seed);
   void run();
-  void takeDatagrams(TimePoint now);
-  void takeConnections();
-  void pass(const std::vector<uint8_t> &bytes) const;
+  void receiveDatagrams(TimePoint now);
+  void acceptConnections();
+  void forward(const std::vector<uint8_t> &bytes) const;
 
   const int Fd;
   const Address At;
   const Address To;
-  const bool TakesTcp;
+  const bool AcceptsTcp;
   std::atomic<bool> Silent{false};
   std::atomic<bool> Stopping{false};
   std::mutex Lock; ///< Guards what follows.
-  LinkHarm Harm;
-  std::set<uint32_t> CutFrom;
+  LinkFaults Faults;
+  std::set<uint32_t> BlockedSources;
   SeededRandom Random; ///< The thread's own, as all that follows.
-  std::priority_queue<Waiting, std::vector<Waiting>, std::greater<Waiting>>
-      Later;
+  std::priority_queue<DelayedDatagram, std::vector<DelayedDatagram>,
+                      std::greater<DelayedDatagram>>
+      Delayed;
   std::unique_ptr<ListenSocket> Listener; ///< Null while it refuses.
   std::thread Loop;
 };
--- a/Soak/SoakCallers.cpp
+++ b/Soak/SoakCallers.cpp
@@ -8,11 +8,11 @@
 
 constexpr size_t Callers = 8;
 /// Every fourth caller keeps its flow open for some requests.
-constexpr size_t SessionEvery = 4;
+constexpr size_t CallersPerSession = 4;
 constexpr int SessionRequests = 8;
 constexpr Duration SessionPause{200'000};
-constexpr Duration BetweenCalls{10'000};
-constexpr uint64_t PlansShare = 4;
+constexpr Duration PauseBetweenCalls{10'000};
+constexpr uint64_t CallsPerPlansCall = 4;
 
 } // namespace
 
@@ -25,9 +25,9 @@
 
 void SoakCallers::stop() {
   Stopping = true;
-  for (std::thread &it : Threads)
-    if (it.joinable())
-      it.join();
+  for (std::thread &thread : Threads)
+    if (thread.joinable())
+      thread.join();
 }
 
 CallCounts SoakCallers::counts() const {
@@ -35,36 +35,37 @@
   return Counts;
 }
 
-std::vector<std::string> SoakCallers::broken() const {
+std::vector<std::string> SoakCallers::violations() const {
   std::lock_guard<std::mutex> hold(Lock);
-  return Broken;
+  return Violations;
 }
 
 void SoakCallers::run(size_t caller, uint64_t seed) {
   SeededRandom random(seed);
-  auto mouth = platform::StandInCaller::create(
+  auto standIn = platform::StandInCaller::create(
       {absl::StrCat("127.1.5.", caller + 1), Fleet.callerPort()},
-      Fleet.fabric());
-  if (!mouth.ok()) {
+      Fleet.daemonsInRotation());
+  if (!standIn.ok()) {
     std::lock_guard<std::mutex> hold(Lock);
-    Broken.push_back("the soak itself: a caller can't start");
+    Violations.push_back("the soak itself: a caller can't start");
     return;
   }
-  (*mouth)->setFabric([this] { return Fleet.fabric(); });
+  (*standIn)->setFabric([this] { return Fleet.daemonsInRotation(); });
   platform::CallPlan plan;
   plan.Retransmit = true;
-  if (caller % SessionEvery == 0) {
+  if (caller % CallersPerSession == 0) {
     plan.Requests = SessionRequests;
     plan.Pause = SessionPause;
   }
   while (!Stopping) {
-    bool plans = random.below(PlansShare) == 0;
-    note(caller, (*mouth)->call(plans ? Plans : Booking, plan));
-    std::this_thread::sleep_for(BetweenCalls);
+    bool toPlans = random.below(CallsPerPlansCall) == 0;
+    recordCall(caller, (*standIn)->call(toPlans ? Plans : Booking, plan));
+    std::this_thread::sleep_for(PauseBetweenCalls);
   }
 }
 
-void SoakCallers::note(size_t caller, const platform::CallResult &result) {
+void SoakCallers::recordCall(size_t caller,
+                             const platform::CallResult &result) {
   using End = platform::CallResult::Kind;
   std::lock_guard<std::mutex> hold(Lock);
   ++Counts.Calls;
@@ -74,8 +75,8 @@
   // Both routes stay all the time, so no flow may be reset by a balancer once
   // it is open, whatever happens to servers, daemons, store and links.
   if (result.How == End::Reset && result.Opened && !result.ServerReset)
-    Broken.push_back(absl::StrCat("caller ", caller,
-                                  ": an open flow was reset by a balancer"));
+    Violations.push_back(absl::StrCat(
+        "caller ", caller, ": an open flow was reset by a balancer"));
 }
 
 } // namespace balsamrack::soak
--- a/Soak/SoakCallers.h
+++ b/Soak/SoakCallers.h
@@ -34,17 +34,17 @@
   /// What they saw so far.
   CallCounts counts() const;
   /// Broken promises.
-  std::vector<std::string> broken() const;
+  std::vector<std::string> violations() const;
 
 private:
   void run(size_t caller, uint64_t seed);
-  void note(size_t caller, const platform::CallResult &result);
+  void recordCall(size_t caller, const platform::CallResult &result);
 
   SoakFleet &Fleet;
   std::atomic<bool> Stopping{false};
   mutable std::mutex Lock; ///< Guards what follows.
   CallCounts Counts;
-  std::vector<std::string> Broken;
+  std::vector<std::string> Violations;
   std::vector<std::thread> Threads; ///< Last.
 };
 
--- a/Soak/SoakFaults.h
+++ b/Soak/SoakFaults.h
@@ -23,44 +23,46 @@
   /// How many of each kind began.
   const std::map<std::string, int> &counts() const { return Counts; }
   /// Broken promises that it saw itself: exits of daemons.
-  const std::vector<std::string> &broken() const { return Broken; }
+  const std::vector<std::string> &violations() const { return Violations; }
   /// Operators dropped the passing route at this time; zero: it is there.
-  TimePoint passingDroppedAt() const { return DroppedAt; }
+  TimePoint temporaryRouteDroppedAt() const { return DroppedAt; }
   /// Number of the present configuration.
   uint64_t configurations() const { return Configurations; }
 
 private:
-  using Work = std::function<void(TimePoint)>;
-  void at(TimePoint when, Work work) { Due.emplace(when, std::move(work)); }
-  void begin(TimePoint now);
-  Duration some(int64_t leastMillis, int64_t mostMillis);
-  void killSome(TimePoint now, size_t most);
-  void startLater(TimePoint now, size_t daemon);
-  void stopOne(TimePoint now, size_t daemon);
-  void awaitStopped(TimePoint now, size_t daemon, TimePoint sent);
-  void freezeOne(TimePoint now, size_t daemon);
-  void harmSettings(TimePoint now, size_t daemon);
-  void harmStore(TimePoint now);
-  void harmStoreRelay(TimePoint now, size_t daemon);
-  void harmLinks(TimePoint now);
-  void cutDomains(TimePoint now, size_t from);
-  void darkServer(TimePoint now, size_t place);
-  void replaceServer(TimePoint now, size_t place, bool drains);
+  using Action = std::function<void(TimePoint)>;
+  void schedule(TimePoint when, Action action) {
+    Scheduled.emplace(when, std::move(action));
+  }
+  void beginFault(TimePoint now);
+  Duration randomDuration(int64_t minMillis, int64_t maxMillis);
+  void killDaemons(TimePoint now, size_t maxDaemons);
+  void scheduleStart(TimePoint now, size_t daemon);
+  void stopDaemon(TimePoint now, size_t daemon);
+  void checkStoppedLater(TimePoint now, size_t daemon, TimePoint sent);
+  void freezeDaemon(TimePoint now, size_t daemon);
+  void breakSettings(TimePoint now, size_t daemon);
+  void failStore(TimePoint now);
+  void failStoreRelay(TimePoint now, size_t daemon);
+  void degradeLinks(TimePoint now);
+  void partitionDomain(TimePoint now, size_t domain);
+  void silenceServer(TimePoint now, size_t server);
+  void replaceServer(TimePoint now, size_t server, bool drains);
   void changeRoutes(TimePoint now);
   void takeDomainOut(TimePoint now, size_t domain);
-  bool lastOfItsService(size_t place) const;
-  void lookAtDaemons(TimePoint now);
+  bool isLastOfService(size_t server) const;
+  void checkDaemons(TimePoint now);
 
   SoakFleet &Fleet;
   SeededRandom Random;
-  std::multimap<TimePoint, Work> Due;
+  std::multimap<TimePoint, Action> Scheduled;
   std::map<std::string, int> Counts;
-  std::vector<std::string> Broken;
+  std::vector<std::string> Violations;
   std::vector<bool> Down;           ///< By daemon: ended by us, or ending.
   std::vector<TimePoint> StartedAt; ///< By daemon: of its last start.
   std::vector<bool> Replacing;      ///< By server place.
-  bool DomainIsOut = false;
-  bool HasPassing = false;
+  bool IsDomainOut = false;
+  bool HasTemporaryRoute = false;
   TimePoint DroppedAt;
   uint64_t Configurations = 1;
 };
--- a/Soak/SoakFleet.h
+++ b/Soak/SoakFleet.h
@@ -22,7 +22,7 @@
 extern const Endpoint Booking;
 extern const Endpoint Plans;
 /// A route to booking that operators add and drop.
-extern const Endpoint Passing;
+extern const Endpoint TemporaryRoute;
 
 /// Real daemons as processes on loopback addresses, behind links that can be
 /// harmed: two failure domains with two daemons each, four booking servers and
@@ -30,8 +30,8 @@
 /// who is ready. Its methods are called by one thread, but for fabric().
 class SoakFleet {
 public:
-  static constexpr size_t Daemons = 4;
-  static constexpr size_t ServerPlaces = 6;
+  static constexpr size_t DaemonCount = 4;
+  static constexpr size_t ServerCount = 6;
 
   /// Starts all of it; logs go to \p folder. Error when something can't start.
   static absl::StatusOr<std::unique_ptr<SoakFleet>>
@@ -39,9 +39,9 @@
   ~SoakFleet();
 
   /// Where routers send now. Thread-safe.
-  std::vector<Address> fabric() const;
+  std::vector<Address> daemonsInRotation() const;
   /// Daemon \p i behind its link.
-  Address daemonAt(size_t i) const;
+  Address daemonAddress(size_t i) const;
   /// The port that callers take packets at.
   uint16_t callerPort() const { return Ports.Packets; }
   /// All daemons answer that they are ready, within \p limit.
@@ -54,11 +54,11 @@
   /// Ends daemon \p i by SIGKILL.
   void killDaemon(size_t i);
   /// Forgets daemon \p i, which has ended by itself after SIGTERM.
-  void daemonEnded(size_t i) { Processes[i].reset(); }
+  void forgetDaemon(size_t i) { Processes[i].reset(); }
   /// How often daemon \p i was started.
-  uint64_t life(size_t i) const { return Lives[i]; }
+  uint64_t startCount(size_t i) const { return StartCounts[i]; }
   /// Writes the settings of daemon \p i; \p broken: as no settings.
-  void writeSettings(size_t i, bool broken);
+  void writeSettings(size_t i, bool invalid);
   /// Log file of daemon \p i.
   std::string logPath(size_t i) const;
 
@@ -66,7 +66,7 @@
   platform::StandInStore &store() { return *Store; }
   Relay &storeRelay(size_t i) { return *StoreRelays[i]; }
   /// Operators' words.
-  void publishRoutes(bool withPassing);
+  void publishRoutes(bool withTemporary);
   void setDomainOut(size_t domain, bool out);
 
   /// The server at place \p p, and the link to it.
@@ -74,22 +74,22 @@
   FaultyLink &serverLink(size_t p) { return *ServerLinks[p]; }
   FaultyLink &daemonLink(size_t i) { return *DaemonLinks[i]; }
   /// Cuts daemons of \p from off from servers of the other domain.
-  void setDomainCut(size_t from, bool cut);
+  void setDomainPartitioned(size_t domain, bool partitioned);
   /// Domain of the server at place \p p or of daemon \p p.
   static size_t domainOf(size_t p) { return p % 2; }
   /// Ends the server at place \p p; its entry stays.
-  void endServer(size_t p);
+  void stopServer(size_t p);
   /// Starts a new server with a new id there, for the place's own service, or
   /// for the other one: addresses are used again.
-  absl::Status newServer(size_t p, bool otherService);
+  absl::Status startServer(size_t p, bool otherService);
   /// Publishes the state of the server at place \p p, or removes its entry.
   void publishServer(size_t p, const std::string &state);
-  void removeEntry(size_t p);
+  void removeServerEntry(size_t p);
   /// True when a server lives at place \p p.
-  bool serverLives(size_t p) const { return Servers[p] != nullptr; }
+  bool isServerRunning(size_t p) const { return Servers[p] != nullptr; }
 
   /// Packets that reached servers of another service, ever.
-  uint64_t strangers() const;
+  uint64_t misroutedPackets() const;
 
 private:
   struct PortSet {
@@ -98,9 +98,9 @@
 
   SoakFleet(std::string folder, uint64_t seed);
   absl::Status startAll();
-  void askWhoIsReady();
+  void pollReadiness();
   bool isReady(size_t i);
-  std::string entryOf(size_t p) const;
+  std::string serverKey(size_t p) const;
 
   const std::string Folder;
   const uint64_t Seed;
@@ -110,18 +110,18 @@
   std::vector<std::unique_ptr<FaultyLink>> DaemonLinks;
   std::vector<std::unique_ptr<FaultyLink>> ServerLinks;
   std::vector<std::unique_ptr<platform::StandInServer>> Servers;
-  std::vector<uint64_t> ServerTags; ///< Of the server at a place.
-  std::vector<bool> ServesPlans;    ///< As above.
-  std::vector<uint64_t> Lives;      ///< By daemon.
+  std::vector<uint64_t> ServerTags;  ///< Of the server at a place.
+  std::vector<bool> ServesPlans;     ///< As above.
+  std::vector<uint64_t> StartCounts; ///< By daemon.
   std::vector<std::unique_ptr<Process>> Processes;
   uint64_t NextTag = 0x100;
-  uint64_t Version = 0;
-  uint64_t StrangersBefore = 0; ///< At servers that have ended.
+  uint64_t ConfigurationVersion = 0;
+  uint64_t MisroutedAtStoppedServers = 0; ///< At servers that have ended.
   std::unique_ptr<HttpClient> Client;
   mutable std::mutex Lock;       ///< Guards what follows.
   std::vector<Address> Rotation; ///< Where routers send.
   std::atomic<bool> Stopping{false};
-  std::thread Asking;
+  std::thread ReadinessThread;
 };
 
 } // namespace balsamrack::soak
--- a/Soak/packet-soakMain.cpp
+++ b/Soak/packet-soakMain.cpp
@@ -15,45 +15,45 @@
 namespace balsamrack::soak {
 namespace {
 
-constexpr int Good = 0;
-constexpr int BrokenPromise = 1;
-constexpr int WrongUsage = 2;
-constexpr Duration StartLimit{15'000'000};
-constexpr Duration Step{10'000};
+constexpr int SuccessExitCode = 0;
+constexpr int ViolationExitCode = 1;
+constexpr int UsageExitCode = 2;
+constexpr Duration StartTimeout{15'000'000};
+constexpr Duration StepPeriod{10'000};
 
-void addAll(std::vector<std::string> &to,
+void append(std::vector<std::string> &to,
             const std::vector<std::string> &from) {
   to.insert(to.end(), from.begin(), from.end());
 }
 
-std::vector<std::string> play(uint64_t seed, Duration length,
-                              const std::string &folder) {
+std::vector<std::string> runSeed(uint64_t seed, Duration length,
+                                 const std::string &folder) {
   auto fleet = SoakFleet::start(folder, seed);
   if (!fleet.ok())
     return {absl::StrCat("the soak itself: ",
                          std::string(fleet.status().message()))};
-  if (!(*fleet)->awaitAllReady(StartLimit))
+  if (!(*fleet)->awaitAllReady(StartTimeout))
     return {"the daemons don't get ready"};
   SystemClock clock;
   SoakCallers callers(**fleet, seed * 1000);
   SoakFaults faults(**fleet, seed, clock.now(), length);
   while (faults.step(clock.now()))
-    std::this_thread::sleep_for(Step);
-  std::vector<std::string> broken = checkCalm(**fleet);
+    std::this_thread::sleep_for(StepPeriod);
+  std::vector<std::string> violations = checkRecovery(**fleet);
   callers.stop();
-  addAll(broken, faults.broken());
-  addAll(broken, callers.broken());
-  if (uint64_t n = (*fleet)->strangers())
-    broken.push_back(absl::StrCat(n, " packets reached the wrong service"));
-  addAll(broken, checkLogs(**fleet));
-  CallCounts seen = callers.counts();
-  std::cout << "seed " << seed << ": calls " << seen.Calls << ", answered "
-            << seen.Answered << ", reset " << seen.Reset << ", timed out "
-            << seen.TimedOut << "; faults";
+  append(violations, faults.violations());
+  append(violations, callers.violations());
+  if (uint64_t n = (*fleet)->misroutedPackets())
+    violations.push_back(absl::StrCat(n, " packets reached the wrong service"));
+  append(violations, checkLogs(**fleet));
+  CallCounts calls = callers.counts();
+  std::cout << "seed " << seed << ": calls " << calls.Calls << ", answered "
+            << calls.Answered << ", reset " << calls.Reset << ", timed out "
+            << calls.TimedOut << "; faults";
   for (const auto &[kind, n] : faults.counts())
     std::cout << " " << kind << " " << n;
-  std::cout << "; broken promises " << broken.size() << "\n";
-  return broken;
+  std::cout << "; broken promises " << violations.size() << "\n";
+  return violations;
 }
 
 int run(int argc, char **argv) {
@@ -72,7 +72,7 @@
   const cxxopts::ParseResult parsed = options.parse(argc, argv);
   if (parsed.count("help")) {
     std::cout << options.help();
-    return Good;
+    return SuccessExitCode;
   }
   Duration length = std::chrono::seconds(parsed["seconds"].as<uint64_t>());
   auto first = parsed["seed"].as<uint64_t>();
@@ -83,18 +83,18 @@
         absl::StrCat(parsed["folder"].as<std::string>(), "/seed-", seed);
     std::filesystem::remove_all(folder);
     std::filesystem::create_directories(folder);
-    std::vector<std::string> broken = play(seed, length, folder);
-    for (const std::string &what : broken)
-      std::cout << "seed " << seed << ": BROKEN: " << what << "\n";
-    if (broken.empty() && parsed.count("keep") == 0)
+    std::vector<std::string> violations = runSeed(seed, length, folder);
+    for (const std::string &violation : violations)
+      std::cout << "seed " << seed << ": BROKEN: " << violation << "\n";
+    if (violations.empty() && parsed.count("keep") == 0)
       std::filesystem::remove_all(folder);
     else
       std::cout << "seed " << seed << ": logs are kept in " << folder << "\n";
-    failed += broken.empty() ? 0 : 1;
+    failed += violations.empty() ? 0 : 1;
   }
   std::cout << "soak: " << seeds - failed << " of " << seeds
             << " seeds kept all promises\n";
-  return failed == 0 ? Good : BrokenPromise;
+  return failed == 0 ? SuccessExitCode : ViolationExitCode;
 }
 
 } // namespace
@@ -106,6 +106,6 @@
     return balsamrack::soak::run(argc, argv);
   } catch (const std::exception &error) {
     std::cerr << "packet-soak: " << error.what() << "; see --help\n";
-    return balsamrack::soak::WrongUsage;
+    return balsamrack::soak::UsageExitCode;
   }
 }
--- a/StandIns/BackendServer.h
+++ b/StandIns/BackendServer.h
@@ -14,16 +14,16 @@
 
 /// What a backend server stand-in is, and what it can bear.
 struct BackendServerSettings {
-  std::string Id;              ///< Its id in tickets.
-  std::string Service;         ///< The service that it serves.
-  std::string Domain;          ///< Its failure domain, told in answers.
-  uint32_t Slots = 2;          ///< Runs at the same time; more are shed.
-  uint32_t Connections = 2000; ///< Flows that it holds; more are shed.
-  Duration Cold{0};            ///< Time from start until it is warm.
-  uint32_t ColdBears = 1;      ///< Runs at the same time that it bears cold.
-  Duration Fall{1'000'000};    ///< How long it fails once it got more.
-  Duration Work{10'000};       ///< Time of a run.
-  Duration LongWork{200'000};  ///< Time of a run with ?long=1.
+  std::string Id;                ///< Its id in tickets.
+  std::string Service;           ///< The service that it serves.
+  std::string Domain;            ///< Its failure domain, told in answers.
+  uint32_t Slots = 2;            ///< Runs at the same time; more are shed.
+  uint32_t MaxFlows = 2000;      ///< Flows that it holds; more are shed.
+  Duration WarmupTime{0};        ///< Time from start until it is warm.
+  uint32_t MaxRunsWhileCold = 1; ///< Runs at the same time that it bears cold.
+  Duration OverloadTime{1'000'000}; ///< How long it fails once it got more.
+  Duration RunTime{10'000};         ///< Time of a run.
+  Duration LongRunTime{200'000};    ///< Time of a run with ?long=1.
 };
 
 /// The stand-in backend server: runs requests in slots, is cold after its
@@ -38,30 +38,31 @@
 
 private:
   /// How a run ended.
-  enum class RunEnd { Done, Cancelled, Deadline, Fallen };
+  enum class RunOutcome { Completed, Cancelled, DeadlineExceeded, Overloaded };
   /// Flags that a control call sets.
-  struct Behaviour {
-    bool Shed = false;   ///< Refuse all work as not run.
-    bool Freeze = false; ///< Answer nothing.
-    bool Lie = false;    ///< Health says ready and idle, whatever is true.
-    Duration Slow{0};    ///< Added to each run.
+  struct InjectedFaults {
+    bool Shed = false;       ///< Refuse all work as not run.
+    bool Freeze = false;     ///< Answer nothing.
+    bool FakeHealth = false; ///< Health says ready and idle, whatever is true.
+    Duration ExtraTime{0};   ///< Added to each run.
   };
 
-  Answer work(const Message &message);
+  Answer handleWork(const Message &message);
   Answer shed();
-  Answer control(const std::string &text);
-  Answer cancel(const Message &message);
-  Answer health();
-  Answer counts();
-  Answer answered(const Message &message, uint64_t run, bool unknownFlow);
-  void notePacket(const Message &message);
-  bool noteFlow(const Message &message);
-  bool full(const std::string &flow) const;
+  Answer handleControl(const std::string &text);
+  Answer handleCancel(const Message &message);
+  Answer handleHealth();
+  Answer handleCounts();
+  Answer makeRunAnswer(const Message &message, uint64_t runs, bool unknownFlow);
+  void countPacket(const Message &message);
+  bool recordFlow(const Message &message);
+  bool isFull(const std::string &flow) const;
   /// Waits for the run's work. Precondition: \p lock is held.
-  RunEnd run(std::unique_lock<std::mutex> &lock, const Message &message);
-  Duration workTime(const std::string &target) const;
-  bool cold() const { return Time.now() < ColdUntil; }
-  bool fallen() const { return Time.now() < FallenUntil; }
+  RunOutcome simulateRun(std::unique_lock<std::mutex> &lock,
+                         const Message &message);
+  Duration runDuration(const std::string &target) const;
+  bool isCold() const { return Time.now() < ColdUntil; }
+  bool isOverloaded() const { return Time.now() < OverloadedUntil; }
 
   SystemClock Time;                     ///< For warmth and falling over.
   const BackendServerSettings Settings; ///< Fixed at start.
@@ -69,11 +70,11 @@
   std::mutex Lock;                      ///< Guards all that follows.
   std::condition_variable Changed;      ///< Cancel, fall, unfreeze.
   RunCounts Counts;                     ///< What it has seen.
-  Behaviour Told;                       ///< As the last control call asked.
-  std::multiset<std::string> Cancels;   ///< Requests nobody waits for.
-  TimePoint ColdUntil;                  ///< Warm after this.
-  TimePoint FallenUntil;                ///< Fails everything before this.
-  TimePoint LastPacket;                 ///< When work last came in.
+  InjectedFaults Faults;                ///< As the last control call asked.
+  std::multiset<std::string> CancelledRequests; ///< Requests nobody waits for.
+  TimePoint ColdUntil;                          ///< Warm after this.
+  TimePoint OverloadedUntil; ///< Fails everything before this.
+  TimePoint LastPacketAt;    ///< When work last came in.
 };
 
 } // namespace balsamrack::standins
--- a/StandIns/Fabric.cpp
+++ b/StandIns/Fabric.cpp
@@ -15,11 +15,11 @@
 using Json = nlohmann::json;
 
 /// Longer than any timeout of the system, so that it is never what ends a call.
-constexpr auto PassLimit = std::chrono::seconds(60);
+constexpr auto ForwardTimeout = std::chrono::seconds(60);
 constexpr const char *CallerAddressHeader = "X-Caller-Address";
 
 // Fields that belong to one connection and are not passed on.
-bool hopByHop(const std::string &name) {
+bool isHopByHop(const std::string &name) {
   for (const char *field : {"Connection", "Host", "Content-Length",
                             "Transfer-Encoding", "Keep-Alive", "Expect"})
     if (absl::EqualsIgnoreCase(name, field))
@@ -27,17 +27,17 @@
   return false;
 }
 
-HeaderList endToEnd(const HeaderList &headers) {
+HeaderList endToEndHeaders(const HeaderList &headers) {
   HeaderList kept;
   for (const auto &header : headers)
-    if (!hopByHop(header.first))
+    if (!isHopByHop(header.first))
       kept.push_back(header);
   return kept;
 }
 
 } // namespace
 
-std::vector<Fabric::Daemon> Fabric::shuffled() {
+std::vector<Fabric::Daemon> Fabric::shuffledDaemons() {
   std::lock_guard<std::mutex> guard(Lock);
   std::vector<Daemon> daemons = Daemons;
   for (size_t i = daemons.size(); i > 1; --i)
@@ -45,32 +45,32 @@
   return daemons;
 }
 
-Answer Fabric::pass(uint16_t servicePort, const Message &message) {
+Answer Fabric::forward(uint16_t servicePort, const Message &message) {
   Message m = message;
-  m.Headers = endToEnd(message.Headers);
+  m.Headers = endToEndHeaders(message.Headers);
   m.Headers.emplace_back(
       "Forwarded",
       absl::StrCat("for=\"", headerOf(m.Headers, CallerAddressHeader), "\""));
-  for (const Daemon &d : shuffled()) {
+  for (const Daemon &d : shuffledDaemons()) {
     Address to{d.Ip, static_cast<uint16_t>(servicePort + d.PortOffset)};
-    auto answer = sendHttp(to, m, PassLimit);
+    auto answer = sendHttp(to, m, ForwardTimeout);
     if (answer.ok()) {
-      answer->Headers = endToEnd(answer->Headers);
+      answer->Headers = endToEndHeaders(answer->Headers);
       return *std::move(answer);
     }
     // Only a packet that was not sent may go to another daemon.
     if (!absl::IsUnavailable(answer.status())) {
-      Answer lost = jsonAnswer(502, "{\"fabric\":\"no answer\"}");
-      lost.Headers.emplace_back("X-Fabric", "sent");
-      return lost;
+      Answer noAnswer = jsonAnswer(502, "{\"fabric\":\"no answer\"}");
+      noAnswer.Headers.emplace_back("X-Fabric", "sent");
+      return noAnswer;
     }
   }
-  Answer none = jsonAnswer(502, "{\"fabric\":\"no daemon\"}");
-  none.Headers.emplace_back("X-Fabric", "not-sent");
-  return none;
+  Answer noDaemon = jsonAnswer(502, "{\"fabric\":\"no daemon\"}");
+  noDaemon.Headers.emplace_back("X-Fabric", "not-sent");
+  return noDaemon;
 }
 
-Answer Fabric::control(const Message &message) {
+Answer Fabric::handleControl(const Message &message) {
   Json list = Json::parse(message.Body, nullptr, false);
   if (message.Method != "POST" || !list.is_array())
     return jsonAnswer(400, "{}");
--- a/StandIns/Fabric.h
+++ b/StandIns/Fabric.h
@@ -20,10 +20,10 @@
 
   /// Passes \p message, which came in for the service at \p servicePort, to a
   /// daemon. Tries another one only when no connection came about.
-  Answer pass(uint16_t servicePort, const Message &message);
+  Answer forward(uint16_t servicePort, const Message &message);
   /// Answers POST /daemons with a JSON array of {"vm", "ip", "port_offset"}:
   /// the list to choose from. VMs that are cut off are left out of it.
-  Answer control(const Message &message);
+  Answer handleControl(const Message &message);
 
 private:
   /// A daemon to choose.
@@ -31,7 +31,7 @@
     std::string Ip;          ///< Where its callers' ports are.
     uint16_t PortOffset = 0; ///< Added to the service's port.
   };
-  std::vector<Daemon> shuffled();
+  std::vector<Daemon> shuffledDaemons();
 
   std::mutex Lock;             ///< Guards all that follows.
   SeededRandom Random;         ///< Chooses.
--- a/StandIns/HttpClient.h
+++ b/StandIns/HttpClient.h
@@ -13,18 +13,18 @@
 /// answer. Error kUnavailable: no connection, so nothing was sent. Error
 /// kUnknown: it was sent, and no whole answer came. Thread-safe.
 absl::StatusOr<Answer> sendHttp(const Address &to, const Message &message,
-                                Duration limit);
+                                Duration timeout);
 
 /// Reads \p target at \p from: the body of a 200 answer, else an error.
 /// Thread-safe.
-absl::StatusOr<std::string> getHttp(const Address &from,
-                                    const std::string &target, Duration limit);
+absl::StatusOr<std::string>
+getHttp(const Address &from, const std::string &target, Duration timeout);
 
 /// Posts \p body to \p target at \p to: the body of a 200 answer, else an
 /// error. Thread-safe.
 absl::StatusOr<std::string> postHttp(const Address &to,
                                      const std::string &target,
-                                     const std::string &body, Duration limit);
+                                     const std::string &body, Duration timeout);
 
 } // namespace balsamrack::standins
 
--- a/StandIns/HttpServer.cpp
+++ b/StandIns/HttpServer.cpp
@@ -27,8 +27,8 @@
   return m;
 }
 
-int serveCall(const struct _u_request *request, struct _u_response *response,
-              void *data) {
+int handleRequest(const struct _u_request *request,
+                  struct _u_response *response, void *data) {
   const auto &handler = *static_cast<HttpHandler *>(data);
   Answer a = handler(messageOf(request));
   for (const auto &[name, value] : a.Headers)
@@ -44,24 +44,25 @@
   ~UlfiusServer() override {
     if (Started)
       ulfius_stop_framework(&Instance);
-    if (Ready)
+    if (Initialized)
       ulfius_clean_instance(&Instance);
   }
 
   absl::Status start(const Address &at) {
-    sockaddr_in where{};
-    where.sin_family = AF_INET;
-    where.sin_port = htons(at.Port);
-    inet_pton(AF_INET, at.Ip.c_str(), &where.sin_addr);
-    Ready = ulfius_init_instance(&Instance, at.Port, &where, nullptr) == U_OK;
-    if (!Ready)
+    sockaddr_in socketAddress{};
+    socketAddress.sin_family = AF_INET;
+    socketAddress.sin_port = htons(at.Port);
+    inet_pton(AF_INET, at.Ip.c_str(), &socketAddress.sin_addr);
+    Initialized = ulfius_init_instance(&Instance, at.Port, &socketAddress,
+                                       nullptr) == U_OK;
+    if (!Initialized)
       return makeError(absl::StatusCode::kInternal, Step::Listen, at.str(),
                        "no instance");
     Instance.check_utf8 = 0;
     Instance.allowed_post_processor = U_POST_PROCESS_NONE;
-    ulfius_add_endpoint_by_val(&Instance, "*", nullptr, "*", 0, &serveCall,
+    ulfius_add_endpoint_by_val(&Instance, "*", nullptr, "*", 0, &handleRequest,
                                &Handler);
-    ulfius_set_default_endpoint(&Instance, &serveCall, &Handler);
+    ulfius_set_default_endpoint(&Instance, &handleRequest, &Handler);
     Started = ulfius_start_framework(&Instance) == U_OK;
     return Started ? absl::OkStatus()
                    : makeError(absl::StatusCode::kUnavailable, Step::Listen,
@@ -71,7 +72,7 @@
 private:
   HttpHandler Handler;         ///< Serves every call.
   struct _u_instance Instance; ///< The library's server.
-  bool Ready = false;          ///< Instance was initialized.
+  bool Initialized = false;    ///< Instance was initialized.
   bool Started = false;        ///< Instance listens.
 };
 
@@ -93,8 +94,8 @@
   return "";
 }
 
-std::string queryOf(const std::string &target, const std::string &name,
-                    const std::string &fallback) {
+std::string queryParameter(const std::string &target, const std::string &name,
+                           const std::string &fallback) {
   size_t at = target.find('?');
   while (at != std::string::npos) {
     size_t end = target.find('&', at + 1);
@@ -107,10 +108,10 @@
   return fallback;
 }
 
-uint64_t numberOf(const std::string &target, const std::string &name,
-                  uint64_t fallback) {
+uint64_t numericQueryParameter(const std::string &target,
+                               const std::string &name, uint64_t fallback) {
   uint64_t n = 0;
-  return absl::SimpleAtoi(queryOf(target, name, ""), &n) ? n : fallback;
+  return absl::SimpleAtoi(queryParameter(target, name, ""), &n) ? n : fallback;
 }
 
 std::string pathOf(const std::string &target) {
--- a/StandIns/HttpServer.h
+++ b/StandIns/HttpServer.h
@@ -31,12 +31,12 @@
 
 /// The value of parameter \p name in the query of \p target, or \p fallback.
 /// Values are taken as they stand, without percent decoding. Thread-safe.
-std::string queryOf(const std::string &target, const std::string &name,
-                    const std::string &fallback);
+std::string queryParameter(const std::string &target, const std::string &name,
+                           const std::string &fallback);
 
 /// As queryOf, for numbers; \p fallback also when it is no number. Thread-safe.
-uint64_t numberOf(const std::string &target, const std::string &name,
-                  uint64_t fallback);
+uint64_t numericQueryParameter(const std::string &target,
+                               const std::string &name, uint64_t fallback);
 
 /// The path of \p target, without its query. Thread-safe.
 std::string pathOf(const std::string &target);
--- a/StandIns/Load.cpp
+++ b/StandIns/Load.cpp
@@ -4,23 +4,24 @@
 
 namespace balsamrack::standins {
 
-Load::Load(CallSettings settings) : Settings(std::move(settings)) {
+LoadGenerator::LoadGenerator(CallSettings settings)
+    : Settings(std::move(settings)) {
   for (uint32_t i = 0; i < Settings.Callers; ++i)
-    Threads.emplace_back([this, i] { Caller(Settings, Board, i).run(); });
+    Threads.emplace_back([this, i] { Caller(Settings, Shared, i).run(); });
 }
 
-Load::~Load() { stop(); }
+LoadGenerator::~LoadGenerator() { stop(); }
 
-void Load::stop() {
-  Board.Stop = true;
+void LoadGenerator::stop() {
+  Shared.Stop = true;
   for (std::thread &thread : Threads)
     thread.join();
   Threads.clear();
 }
 
-LoadReport Load::report() {
-  std::lock_guard<std::mutex> guard(Board.Lock);
-  return Board.Report;
+LoadReport LoadGenerator::report() {
+  std::lock_guard<std::mutex> guard(Shared.Lock);
+  return Shared.Report;
 }
 
 } // namespace balsamrack::standins
--- a/StandIns/Load.h
+++ b/StandIns/Load.h
@@ -10,12 +10,12 @@
 namespace balsamrack::standins {
 
 /// A run of many callers, one thread each.
-class Load {
+class LoadGenerator {
 public:
   /// Starts the callers. Precondition: \p settings has a target.
-  explicit Load(CallSettings settings);
+  explicit LoadGenerator(CallSettings settings);
   /// Stops the callers.
-  ~Load();
+  ~LoadGenerator();
   /// Tells the callers to stop and waits until each has its last ending.
   /// Idempotent. Not thread-safe.
   void stop();
@@ -24,7 +24,7 @@
 
 private:
   const CallSettings Settings;      ///< Shared by the callers.
-  CallBoard Board;                  ///< Shared by the callers.
+  SharedLoadState Shared;           ///< Shared by the callers.
   std::vector<std::thread> Threads; ///< One a caller.
 };
 
--- a/StandIns/LoadReport.cpp
+++ b/StandIns/LoadReport.cpp
@@ -14,9 +14,9 @@
 using Json = nlohmann::json;
 
 constexpr size_t MaxFaults = 20;
-constexpr auto ReadLimit = std::chrono::seconds(5);
+constexpr auto ReadTimeout = std::chrono::seconds(5);
 
-bool mayNotHaveRun(OutcomeKind how) {
+bool mustNotHaveRun(OutcomeKind how) {
   return how == OutcomeKind::NotRun || how == OutcomeKind::GivenUp;
 }
 
@@ -27,8 +27,8 @@
     Faults.push_back(text);
 }
 
-void LoadReport::countEnding(OutcomeKind how, const std::string &reason,
-                             const std::string &request) {
+void LoadReport::countOutcome(OutcomeKind how, const std::string &reason,
+                              const std::string &request) {
   ++Requests;
   Answered += how == OutcomeKind::Answered ? 1 : 0;
   Refused += how == OutcomeKind::NotRun ? 1 : 0;
@@ -42,45 +42,45 @@
     ++Reasons[absl::StrCat(outcomeKindName(how), " ", reason)];
 }
 
-void LoadReport::judgeLostFlows(const std::set<std::string> &outDomains) {
+void LoadReport::countLostFlows(const std::set<std::string> &domainsOut) {
   for (const auto &[domain, count] : LostFlows) {
-    if (domain.empty() || outDomains.count(domain) > 0)
+    if (domain.empty() || domainsOut.count(domain) > 0)
       continue;
     BrokenFlows += count;
     addFault(absl::StrCat(count, " flows given up in ", domain));
   }
 }
 
-absl::Status LoadReport::addServer(const Address &at,
-                                   const std::string &service) {
-  auto text = getHttp(at, "/balsamrack/counts", ReadLimit);
+absl::Status LoadReport::addServerCounts(const Address &at,
+                                         const std::string &service) {
+  auto text = getHttp(at, "/balsamrack/counts", ReadTimeout);
   if (!text.ok())
     return text.status();
   Json counts = Json::parse(*text, nullptr, false);
   if (!counts.is_object())
     return absl::InternalError("counts are no JSON");
   for (const auto &[attempt, runs] : counts["runs"].items())
-    Runs[attempt] += runs.get<uint64_t>();
+    RunsByAttempt[attempt] += runs.get<uint64_t>();
   for (const auto &[name, packets] : counts["services"].items())
     if (name != service)
       WrongService += packets.get<uint64_t>();
-  FellOver += counts["fell_over"].get<uint64_t>();
+  Overloads += counts["fell_over"].get<uint64_t>();
   Sheds += counts["sheds"].get<uint64_t>();
   return absl::OkStatus();
 }
 
-void LoadReport::judgeRuns() {
+void LoadReport::countRunViolations() {
   for (const Operation &op : Operations) {
     uint64_t total = 0;
-    for (size_t i = 0; i < op.Endings.size(); ++i) {
+    for (size_t i = 0; i < op.Outcomes.size(); ++i) {
       std::string attempt = absl::StrCat(op.Id, ".", i + 1);
-      auto it = Runs.find(attempt);
-      uint64_t runs = it == Runs.end() ? 0 : it->second;
+      auto it = RunsByAttempt.find(attempt);
+      uint64_t runs = it == RunsByAttempt.end() ? 0 : it->second;
       total += runs;
-      if (runs == 0 || !mayNotHaveRun(op.Endings[i]))
+      if (runs == 0 || !mustNotHaveRun(op.Outcomes[i]))
         continue;
-      ++UntrueRefusals;
-      addFault(absl::StrCat(attempt, " ", outcomeKindName(op.Endings[i]),
+      ++FalseRefusals;
+      addFault(absl::StrCat(attempt, " ", outcomeKindName(op.Outcomes[i]),
                             ", but ", runs, " runs"));
     }
     if (!op.RunOnce || total <= 1)
@@ -90,22 +90,22 @@
   }
 }
 
-uint32_t LoadReport::quantile(double share) const {
-  if (Millis.empty())
+uint32_t LoadReport::quantile(double fraction) const {
+  if (AnswerMillis.empty())
     return 0;
-  std::vector<uint32_t> sorted = Millis;
+  std::vector<uint32_t> sorted = AnswerMillis;
   std::sort(sorted.begin(), sorted.end());
   auto last = static_cast<double>(sorted.size() - 1);
-  return sorted[static_cast<size_t>(last * share)];
+  return sorted[static_cast<size_t>(last * fraction)];
 }
 
-std::string LoadReport::line() const {
+std::string LoadReport::summaryLine() const {
   return absl::StrCat("requests=", Requests, " answered=", Answered,
                       " refused=", Refused, " unknown=", Unknown,
                       " given_up=", GivenUp, " broken_flows=", BrokenFlows,
                       " wrong_service=", WrongService,
                       " wrong_answer=", WrongAnswer, " run_twice=", RunTwice,
-                      " untrue_refusals=", UntrueRefusals);
+                      " untrue_refusals=", FalseRefusals);
 }
 
 std::string LoadReport::json() const {
@@ -118,11 +118,11 @@
               {"wrong_service", WrongService},
               {"wrong_answer", WrongAnswer},
               {"run_twice", RunTwice},
-              {"untrue_refusals", UntrueRefusals},
+              {"untrue_refusals", FalseRefusals},
               {"flows", Flows},
               {"unanswered", Unanswered},
               {"server_errors", ServerErrors},
-              {"fell_over", FellOver},
+              {"fell_over", Overloads},
               {"sheds", Sheds},
               {"reasons", Reasons},
               {"lost_flows", LostFlows},
@@ -135,9 +135,9 @@
       .dump(1);
 }
 
-bool LoadReport::clean() const {
+bool LoadReport::isClean() const {
   return BrokenFlows == 0 && WrongService == 0 && WrongAnswer == 0 &&
-         RunTwice == 0 && UntrueRefusals == 0;
+         RunTwice == 0 && FalseRefusals == 0;
 }
 
 } // namespace balsamrack::standins
--- a/StandIns/Platform.cpp
+++ b/StandIns/Platform.cpp
@@ -14,9 +14,9 @@
 
 constexpr size_t MaxValueBytes = 1 << 20;
 constexpr uint64_t MaxWaitMs = 60'000;
-constexpr auto WaitStep = std::chrono::milliseconds(50);
+constexpr auto PollPeriod = std::chrono::milliseconds(50);
 
-Answer answerTo(const absl::Status &status) {
+Answer statusAnswer(const absl::Status &status) {
   if (status.ok())
     return jsonAnswer(200, "{}");
   return jsonAnswer(400, Json{{"error", status.message()}}.dump());
@@ -24,9 +24,9 @@
 
 } // namespace
 
-bool Platform::down() const {
+bool Platform::isDown() const {
   std::lock_guard<std::mutex> guard(Lock);
-  return Now == Mode::Down;
+  return CurrentMode == Mode::Down;
 }
 
 absl::Status Platform::addTicket(const std::string &text) {
@@ -44,10 +44,10 @@
                                  : "none");
   uint64_t number = ticket["ticket"];
   std::lock_guard<std::mutex> guard(Lock);
-  if (number <= Highest)
+  if (number <= HighestTicket)
     return absl::InvalidArgumentError(
-        absl::StrCat("ticket ", number, " is not above ", Highest));
-  Highest = number;
+        absl::StrCat("ticket ", number, " is not above ", HighestTicket));
+  HighestTicket = number;
   Tickets.emplace(number, std::move(stored));
   Changed.notify_all();
   return absl::OkStatus();
@@ -55,11 +55,11 @@
 
 // Of the tickets in view, one goes when each of its objects has a later state.
 // All are kept, so that an older view can be shown again.
-std::set<uint64_t> Platform::compacted() const {
+std::set<uint64_t> Platform::visibleTicketNumbers() const {
   std::set<uint64_t> kept;
   std::set<std::string> later;
   for (auto it = Tickets.rbegin(); it != Tickets.rend(); ++it) {
-    if (!visible(it->first, it->second))
+    if (!isVisible(it->first, it->second))
       continue;
     bool needed = it->second.Objects.empty();
     for (const auto &object : it->second.Objects)
@@ -75,8 +75,8 @@
   if (!list.is_array() || text.size() > MaxValueBytes)
     return absl::InvalidArgumentError("not a VM list");
   std::lock_guard<std::mutex> guard(Lock);
-  uint64_t version = Lists.empty() ? 1 : Lists.rbegin()->first + 1;
-  Lists.emplace(version, StoredList{list.dump(), Time.now()});
+  uint64_t version = VmLists.empty() ? 1 : VmLists.rbegin()->first + 1;
+  VmLists.emplace(version, StoredVmList{list.dump(), Time.now()});
   Changed.notify_all();
   return absl::OkStatus();
 }
@@ -88,59 +88,59 @@
   std::string name = mode.value("mode", "");
   std::lock_guard<std::mutex> guard(Lock);
   if (name == "up")
-    Now = Mode::Up;
+    CurrentMode = Mode::Up;
   else if (name == "down")
-    Now = Mode::Down;
+    CurrentMode = Mode::Down;
   else if (name == "stale")
-    Now = Mode::Stale;
+    CurrentMode = Mode::Stale;
   else if (name == "lag")
-    Now = Mode::Lag;
+    CurrentMode = Mode::Lag;
   else
     return absl::InvalidArgumentError("mode is up, down, stale or lag");
-  LagBy = std::chrono::milliseconds(mode.value("lag_ms", 0));
-  StaleAt = mode.value("stale_at", Highest);
-  StaleList = Lists.empty() ? 0 : Lists.rbegin()->first;
+  LagTime = std::chrono::milliseconds(mode.value("lag_ms", 0));
+  StaleTicket = mode.value("stale_at", HighestTicket);
+  StaleListVersion = VmLists.empty() ? 0 : VmLists.rbegin()->first;
   Changed.notify_all();
   return absl::OkStatus();
 }
 
-bool Platform::visible(uint64_t ticket, const StoredTicket &stored) const {
-  if (Now == Mode::Stale)
-    return ticket <= StaleAt;
-  return Now != Mode::Lag || stored.Since + LagBy <= Time.now();
+bool Platform::isVisible(uint64_t ticket, const StoredTicket &stored) const {
+  if (CurrentMode == Mode::Stale)
+    return ticket <= StaleTicket;
+  return CurrentMode != Mode::Lag || stored.StoredAt + LagTime <= Time.now();
 }
 
-uint64_t Platform::highestVisible() const {
+uint64_t Platform::highestVisibleTicket() const {
   for (auto it = Tickets.rbegin(); it != Tickets.rend(); ++it)
-    if (visible(it->first, it->second))
+    if (isVisible(it->first, it->second))
       return it->first;
   return 0;
 }
 
-uint64_t Platform::listVisible() const {
-  if (Now == Mode::Stale)
-    return StaleList;
-  for (auto it = Lists.rbegin(); it != Lists.rend(); ++it)
-    if (Now != Mode::Lag || it->second.Since + LagBy <= Time.now())
+uint64_t Platform::visibleListVersion() const {
+  if (CurrentMode == Mode::Stale)
+    return StaleListVersion;
+  for (auto it = VmLists.rbegin(); it != VmLists.rend(); ++it)
+    if (CurrentMode != Mode::Lag || it->second.StoredAt + LagTime <= Time.now())
       return it->first;
   return 0;
 }
 
 template <class Ready>
-void Platform::await(std::unique_lock<std::mutex> &lock, uint64_t waitMs,
-                     Ready ready) {
+void Platform::waitForChange(std::unique_lock<std::mutex> &lock,
+                             uint64_t waitMs, Ready ready) {
   auto until = std::chrono::steady_clock::now() +
                std::chrono::milliseconds(std::min(waitMs, MaxWaitMs));
   // A lagging view changes without being told, so it is looked at each step.
-  while (!ready() && Now != Mode::Down &&
+  while (!ready() && CurrentMode != Mode::Down &&
          std::chrono::steady_clock::now() < until)
-    Changed.wait_for(lock, WaitStep);
+    Changed.wait_for(lock, PollPeriod);
 }
 
 std::string Platform::ticketPage(uint64_t after) const {
-  Json page{{"highest", highestVisible()}, {"tickets", Json::array()}};
+  Json page{{"highest", highestVisibleTicket()}, {"tickets", Json::array()}};
   size_t bytes = 0;
-  for (uint64_t number : compacted()) {
+  for (uint64_t number : visibleTicketNumbers()) {
     const std::string &text = Tickets.at(number).Text;
     if (number <= after)
       continue;
@@ -153,26 +153,26 @@
 }
 
 Answer Platform::readTickets(const std::string &target) {
-  uint64_t after = numberOf(target, "after", 0);
+  uint64_t after = numericQueryParameter(target, "after", 0);
   std::unique_lock<std::mutex> lock(Lock);
   ++Calls.Tickets;
-  await(lock, numberOf(target, "wait_ms", 0),
-        [&] { return highestVisible() > after; });
-  if (Now == Mode::Down)
+  waitForChange(lock, numericQueryParameter(target, "wait_ms", 0),
+                [&] { return highestVisibleTicket() > after; });
+  if (CurrentMode == Mode::Down)
     return jsonAnswer(503, "{}");
   return jsonAnswer(200, ticketPage(after));
 }
 
 Answer Platform::readVms(const std::string &target) {
-  uint64_t after = numberOf(target, "after", 0);
+  uint64_t after = numericQueryParameter(target, "after", 0);
   std::unique_lock<std::mutex> lock(Lock);
   ++Calls.Vms;
-  await(lock, numberOf(target, "wait_ms", 0),
-        [&] { return listVisible() > after; });
-  if (Now == Mode::Down)
+  waitForChange(lock, numericQueryParameter(target, "wait_ms", 0),
+                [&] { return visibleListVersion() > after; });
+  if (CurrentMode == Mode::Down)
     return jsonAnswer(503, "{}");
-  uint64_t version = listVisible();
-  std::string vms = version == 0 ? "[]" : Lists.at(version).Text;
+  uint64_t version = visibleListVersion();
+  std::string vms = version == 0 ? "[]" : VmLists.at(version).Text;
   return jsonAnswer(
       200, absl::StrCat("{\"version\":", version, ",\"vms\":", vms, "}"));
 }
@@ -188,7 +188,7 @@
   return jsonAnswer(message.Method == "GET" ? 404 : 405, "{}");
 }
 
-std::string Platform::counts() const {
+std::string Platform::countsJson() const {
   std::lock_guard<std::mutex> guard(Lock);
   return Json{{"calls", Calls.Tickets + Calls.Vms + Calls.Others},
               {"tickets", Calls.Tickets},
@@ -200,13 +200,13 @@
 Answer Platform::serveOperator(const Message &message) {
   std::string path = pathOf(message.Target);
   if (message.Method == "GET" && (path == "/counts" || path == "/v1/counts"))
-    return jsonAnswer(200, counts());
+    return jsonAnswer(200, countsJson());
   if (message.Method == "POST" && path == "/tickets")
-    return answerTo(addTicket(message.Body));
+    return statusAnswer(addTicket(message.Body));
   if (message.Method == "POST" && path == "/vms")
-    return answerTo(setVms(message.Body));
+    return statusAnswer(setVms(message.Body));
   if (message.Method == "POST" && path == "/mode")
-    return answerTo(setMode(message.Body));
+    return statusAnswer(setMode(message.Body));
   return jsonAnswer(404, "{}");
 }
 
--- a/StandIns/Platform.h
+++ b/StandIns/Platform.h
@@ -32,7 +32,7 @@
   /// Takes the whole VM list as a JSON array. Error when it is none.
   absl::Status setVms(const std::string &text);
   /// True while the platform is told to be down.
-  bool down() const;
+  bool isDown() const;
 
 private:
   /// How the platform fails.
@@ -40,13 +40,13 @@
   /// A ticket, and when it came.
   struct StoredTicket {
     std::string Text;                 ///< As JSON.
-    TimePoint Since;                  ///< When it was taken.
+    TimePoint StoredAt;               ///< When it was taken.
     std::vector<std::string> Objects; ///< "kind/id" of each object it touches.
   };
   /// A version of the VM list, and when it came.
-  struct StoredList {
-    std::string Text; ///< As a JSON array.
-    TimePoint Since;  ///< When it was taken.
+  struct StoredVmList {
+    std::string Text;   ///< As a JSON array.
+    TimePoint StoredAt; ///< When it was taken.
   };
   /// Calls so far, by what was asked for.
   struct Counts {
@@ -58,26 +58,27 @@
   Answer readTickets(const std::string &target);
   Answer readVms(const std::string &target);
   absl::Status setMode(const std::string &text);
-  std::string counts() const;
-  bool visible(uint64_t ticket, const StoredTicket &stored) const;
-  uint64_t highestVisible() const;
-  uint64_t listVisible() const;
+  std::string countsJson() const;
+  bool isVisible(uint64_t ticket, const StoredTicket &stored) const;
+  uint64_t highestVisibleTicket() const;
+  uint64_t visibleListVersion() const;
   std::string ticketPage(uint64_t after) const;
-  std::set<uint64_t> compacted() const;
+  std::set<uint64_t> visibleTicketNumbers() const;
   /// Waits until \p ready or \p waitMs have passed or the platform goes down.
   template <class Ready>
-  void await(std::unique_lock<std::mutex> &lock, uint64_t waitMs, Ready ready);
+  void waitForChange(std::unique_lock<std::mutex> &lock, uint64_t waitMs,
+                     Ready ready);
 
   mutable std::mutex Lock;                  ///< Guards all that follows.
   std::condition_variable Changed;          ///< Told at each change.
   std::map<uint64_t, StoredTicket> Tickets; ///< By number.
-  std::map<uint64_t, StoredList> Lists;     ///< VM lists by version.
-  uint64_t Highest = 0;                     ///< Highest ticket ever taken.
+  std::map<uint64_t, StoredVmList> VmLists; ///< VM lists by version.
+  uint64_t HighestTicket = 0;               ///< Highest ticket ever taken.
   Counts Calls;                             ///< Calls so far.
-  Mode Now = Mode::Up;                      ///< How it fails.
-  Duration LagBy{0};                        ///< In mode lag.
-  uint64_t StaleAt = 0;                     ///< In mode stale: last ticket.
-  uint64_t StaleList = 0;                   ///< In mode stale: last VM list.
+  Mode CurrentMode = Mode::Up;              ///< How it fails.
+  Duration LagTime{0};                      ///< In mode lag.
+  uint64_t StaleTicket = 0;                 ///< In mode stale: last ticket.
+  uint64_t StaleListVersion = 0;            ///< In mode stale: last VM list.
   SystemClock Time;                         ///< For lag.
 };
 
--- a/StandIns/Program.cpp
+++ b/StandIns/Program.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-sigset_t endSignals() {
+sigset_t terminationSignals() {
   sigset_t set;
   sigemptyset(&set);
   sigaddset(&set, SIGINT);
@@ -23,13 +23,13 @@
 } // namespace
 
 void prepareSignals() {
-  sigset_t set = endSignals();
+  sigset_t set = terminationSignals();
   pthread_sigmask(SIG_BLOCK, &set, nullptr);
   signal(SIGPIPE, SIG_IGN);
 }
 
-void awaitEnd() {
-  sigset_t set = endSignals();
+void awaitTerminationSignal() {
+  sigset_t set = terminationSignals();
   int which = 0;
   sigwait(&set, &which);
 }
@@ -46,17 +46,17 @@
     std::exit(0);
   } catch (const cxxopts::exceptions::exception &e) {
     std::fprintf(stderr, "%s\n", e.what());
-    std::exit(UsageExit);
+    std::exit(UsageExitCode);
   }
 }
 
-Address loopback(uint16_t port) { return {"127.0.0.1", port}; }
+Address loopbackAddress(uint16_t port) { return {"127.0.0.1", port}; }
 
 void exitUnlessOk(const absl::Status &status) {
   if (status.ok())
     return;
   std::fprintf(stderr, "%s\n", describe(status).c_str());
-  std::exit(StartExit);
+  std::exit(StartExitCode);
 }
 
 std::string readFileOrExit(const std::string &name) {
--- a/StandIns/Program.h
+++ b/StandIns/Program.h
@@ -10,16 +10,16 @@
 namespace balsamrack::standins {
 
 /// Exit code for a bad command line.
-constexpr int UsageExit = 2;
+constexpr int UsageExitCode = 2;
 /// Exit code when a port can't be listened at or a file can't be read.
-constexpr int StartExit = 3;
+constexpr int StartExitCode = 3;
 
 /// Blocks SIGINT and SIGTERM, so that awaitEnd can take them, and ignores
 /// SIGPIPE. Precondition: no thread was started yet.
 void prepareSignals();
 
 /// Waits for SIGINT or SIGTERM. Precondition: prepareSignals was called.
-void awaitEnd();
+void awaitTerminationSignal();
 
 /// Parses the command line; prints help or what is wrong and ends the process
 /// when there is nothing to run. Precondition: no thread was started yet.
@@ -27,7 +27,7 @@
                                  char **argv);
 
 /// The loopback address with \p port. Thread-safe.
-Address loopback(uint16_t port);
+Address loopbackAddress(uint16_t port);
 
 /// Prints \p status to stderr and ends the process unless it is ok.
 void exitUnlessOk(const absl::Status &status);
--- a/StandIns/RunCounts.cpp
+++ b/StandIns/RunCounts.cpp
@@ -6,30 +6,30 @@
 
 namespace balsamrack::standins {
 
-uint64_t RunCounts::start(const std::string &id, bool cold) {
+uint64_t RunCounts::recordStart(const std::string &attemptId, bool cold) {
   ++InProgress;
   MaxInProgress = std::max(MaxInProgress, InProgress);
   if (cold)
     MaxInProgressCold = std::max(MaxInProgressCold, InProgress);
-  ++Runs[id];
+  ++Runs[attemptId];
   // Attempts of one operation share the text before the dot.
-  std::string operation = id.substr(0, id.find('.'));
-  uint64_t n = 0;
+  std::string operation = attemptId.substr(0, attemptId.find('.'));
+  uint64_t runs = 0;
   for (auto it = Runs.lower_bound(operation);
        it != Runs.end() &&
        it->first.compare(0, operation.size(), operation) == 0;
        ++it)
-    n += it->first.size() == operation.size() ||
-                 it->first[operation.size()] == '.'
-             ? it->second
-             : 0;
-  return n;
+    runs += it->first.size() == operation.size() ||
+                    it->first[operation.size()] == '.'
+                ? it->second
+                : 0;
+  return runs;
 }
 
 std::string RunCounts::json(int64_t lastPacketMs) const {
   return nlohmann::json{{"packets", Packets},
                         {"sheds", Sheds},
-                        {"fell_over", FellOver},
+                        {"fell_over", Overloads},
                         {"cancelled", Cancelled},
                         {"deadlines_missed", DeadlinesMissed},
                         {"unknown_flow_packets", UnknownFlowPackets},
--- a/StandIns/RunCounts.h
+++ b/StandIns/RunCounts.h
@@ -13,7 +13,7 @@
 struct RunCounts {
   uint64_t Packets = 0;            ///< All that came in for work.
   uint64_t Sheds = 0;              ///< Refused as not run.
-  uint64_t FellOver = 0;           ///< Times it got more than it bears.
+  uint64_t Overloads = 0;          ///< Times it got more than it bears.
   uint64_t Cancelled = 0;          ///< Runs stopped by a cancellation.
   uint64_t DeadlinesMissed = 0;    ///< Runs stopped by their deadline.
   uint64_t UnknownFlowPackets = 0; ///< Later packets of flows never seen.
@@ -26,7 +26,7 @@
 
   /// Notes that a run of attempt \p id starts, and returns how many runs its
   /// operation has had. An attempt is named OPERATION.NUMBER.
-  uint64_t start(const std::string &id, bool cold);
+  uint64_t recordStart(const std::string &attemptId, bool cold);
   /// All counts as JSON text, with \p lastPacketMs since the last packet.
   std::string json(int64_t lastPacketMs) const;
 };
--- a/StandIns/standin-callersMain.cpp
+++ b/StandIns/standin-callersMain.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-using Texts = std::vector<std::string>;
+using StringList = std::vector<std::string>;
 
 /// "NAME=IP:PORT" as a target; ends the process when it is none.
-CallTarget targetOf(const std::string &text) {
+CallTarget parseTarget(const std::string &text) {
   size_t equals = text.find('=');
   auto at = Address::parse(
       equals == std::string::npos ? "" : text.substr(equals + 1));
@@ -27,47 +27,47 @@
   return {text.substr(0, equals), *at};
 }
 
-std::vector<CallTarget> targetsOf(const cxxopts::ParseResult &args,
-                                  const char *name) {
+std::vector<CallTarget> parseTargets(const cxxopts::ParseResult &args,
+                                     const char *name) {
   std::vector<CallTarget> targets;
   if (args.count(name) > 0)
-    for (const auto &text : args[name].as<Texts>())
-      targets.push_back(targetOf(text));
+    for (const auto &text : args[name].as<StringList>())
+      targets.push_back(parseTarget(text));
   return targets;
 }
 
-CallSettings settingsOf(const cxxopts::ParseResult &args) {
+CallSettings parseSettings(const cxxopts::ParseResult &args) {
   CallSettings s;
-  s.Targets = targetsOf(args, "service");
+  s.Targets = parseTargets(args, "service");
   s.Seed = args["seed"].as<uint64_t>();
   s.Callers = args["callers"].as<uint32_t>();
-  s.Packets = args["packets"].as<uint32_t>();
-  s.Think = std::chrono::milliseconds(args["think-ms"].as<uint32_t>());
+  s.PacketsPerFlow = args["packets"].as<uint32_t>();
+  s.MaxThinkTime = std::chrono::milliseconds(args["think-ms"].as<uint32_t>());
   s.Timeout = std::chrono::milliseconds(args["timeout-ms"].as<uint32_t>());
-  s.Token = args.count("no-token") == 0;
+  s.ReturnsToken = args.count("no-token") == 0;
   return s;
 }
 
 /// Waits for the end that a control call asks for.
-class EndGate {
+class StopControl {
 public:
-  Answer control(const Message &message, Load &load) {
+  Answer handleControl(const Message &message, LoadGenerator &load) {
     if (pathOf(message.Target) == "/report")
       return jsonAnswer(200, load.report().json());
     std::lock_guard<std::mutex> guard(Lock);
-    Told = true;
+    Stopped = true;
     Changed.notify_all();
     return jsonAnswer(200, "{}");
   }
-  void await(std::chrono::seconds limit) {
+  void awaitStop(std::chrono::seconds limit) {
     std::unique_lock<std::mutex> lock(Lock);
-    Changed.wait_for(lock, limit, [&] { return Told; });
+    Changed.wait_for(lock, limit, [&] { return Stopped; });
   }
 
 private:
   std::mutex Lock;                 ///< Guards Told.
   std::condition_variable Changed; ///< Told is set.
-  bool Told = false;               ///< POST /stop came.
+  bool Stopped = false;            ///< POST /stop came.
 };
 
 } // namespace
@@ -79,11 +79,11 @@
     return cxxopts::value<uint32_t>()->default_value(fallback);
   };
   options.add_options()("service", "NAME=IP:PORT of the fabric, one or more",
-                        cxxopts::value<Texts>())(
+                        cxxopts::value<StringList>())(
       "server", "SERVICE=IP:PORT of each server, to compare run counts",
-      cxxopts::value<Texts>())("out-domain",
-                               "failure domain that was taken out",
-                               cxxopts::value<Texts>())(
+      cxxopts::value<StringList>())("out-domain",
+                                    "failure domain that was taken out",
+                                    cxxopts::value<StringList>())(
       "control-port", "GET /report, POST /stop", cxxopts::value<uint16_t>())(
       "seed", "of all choices", cxxopts::value<uint64_t>()->default_value("1"))(
       "callers", "flows open at the same time",
@@ -94,25 +94,25 @@
       "no-token", "don't return the flow token")(
       "report", "file for the report", cxxopts::value<std::string>());
   auto args = parseOrExit(options, argc, argv);
-  Load load(settingsOf(args));
-  EndGate gate;
+  LoadGenerator load(parseSettings(args));
+  StopControl stopControl;
   auto control = HttpServer::listen(
-      loopback(args["control-port"].as<uint16_t>()),
-      [&](const Message &m) { return gate.control(m, load); });
+      loopbackAddress(args["control-port"].as<uint16_t>()),
+      [&](const Message &m) { return stopControl.handleControl(m, load); });
   exitUnlessOk(control.status());
-  gate.await(std::chrono::seconds(args["seconds"].as<uint32_t>()));
+  stopControl.awaitStop(std::chrono::seconds(args["seconds"].as<uint32_t>()));
   load.stop();
   LoadReport report = load.report();
-  for (const CallTarget &server : targetsOf(args, "server"))
-    exitUnlessOk(report.addServer(server.At, server.Service));
-  report.judgeRuns();
-  std::set<std::string> out;
+  for (const CallTarget &server : parseTargets(args, "server"))
+    exitUnlessOk(report.addServerCounts(server.FabricAddress, server.Service));
+  report.countRunViolations();
+  std::set<std::string> domainsOut;
   if (args.count("out-domain") > 0)
-    for (const auto &domain : args["out-domain"].as<Texts>())
-      out.insert(domain);
-  report.judgeLostFlows(out);
+    for (const auto &domain : args["out-domain"].as<StringList>())
+      domainsOut.insert(domain);
+  report.countLostFlows(domainsOut);
   if (args.count("report") > 0)
     std::ofstream(args["report"].as<std::string>()) << report.json() << "\n";
-  std::printf("%s\n", report.line().c_str());
-  return report.clean() ? 0 : 1;
+  std::printf("%s\n", report.summaryLine().c_str());
+  return report.isClean() ? 0 : 1;
 }
--- a/StandIns/standin-fabricMain.cpp
+++ b/StandIns/standin-fabricMain.cpp
@@ -14,22 +14,24 @@
 using Servers = std::vector<std::unique_ptr<HttpServer>>;
 
 // One "PORT=SERVICEPORT" gives a port of the fabric's own.
-absl::Status listenFor(Fabric &fabric, const std::string &map, Servers &to) {
-  size_t equals = map.find('=');
-  uint32_t from = 0;
+absl::Status listenForService(Fabric &fabric, const std::string &mapping,
+                              Servers &servers) {
+  size_t equals = mapping.find('=');
+  uint32_t fabricPort = 0;
   uint32_t service = 0;
   if (equals == std::string::npos ||
-      !absl::SimpleAtoi(map.substr(0, equals), &from) ||
-      !absl::SimpleAtoi(map.substr(equals + 1), &service))
+      !absl::SimpleAtoi(mapping.substr(0, equals), &fabricPort) ||
+      !absl::SimpleAtoi(mapping.substr(equals + 1), &service))
     return makeError(absl::StatusCode::kInvalidArgument, Step::ReadSettings,
-                     map, "a map is PORT=SERVICEPORT");
+                     mapping, "a map is PORT=SERVICEPORT");
   auto servicePort = static_cast<uint16_t>(service);
-  auto server = HttpServer::listen(loopback(static_cast<uint16_t>(from)),
-                                   [&fabric, servicePort](const Message &m) {
-                                     return fabric.pass(servicePort, m);
-                                   });
+  auto server =
+      HttpServer::listen(loopbackAddress(static_cast<uint16_t>(fabricPort)),
+                         [&fabric, servicePort](const Message &m) {
+                           return fabric.forward(servicePort, m);
+                         });
   if (server.ok())
-    to.push_back(std::move(*server));
+    servers.push_back(std::move(*server));
   return server.status();
 }
 
@@ -47,12 +49,12 @@
   auto args = parseOrExit(options, argc, argv);
   Fabric fabric(args["seed"].as<uint64_t>());
   Servers servers;
-  for (const auto &map : args["map"].as<std::vector<std::string>>())
-    exitUnlessOk(listenFor(fabric, map, servers));
-  auto control =
-      HttpServer::listen(loopback(args["control-port"].as<uint16_t>()),
-                         [&](const Message &m) { return fabric.control(m); });
+  for (const auto &mapping : args["map"].as<std::vector<std::string>>())
+    exitUnlessOk(listenForService(fabric, mapping, servers));
+  auto control = HttpServer::listen(
+      loopbackAddress(args["control-port"].as<uint16_t>()),
+      [&](const Message &m) { return fabric.handleControl(m); });
   exitUnlessOk(control.status());
-  awaitEnd();
+  awaitTerminationSignal();
   return 0;
 }
--- a/StandIns/standin-platformMain.cpp
+++ b/StandIns/standin-platformMain.cpp
@@ -15,30 +15,30 @@
 class ReaderPort {
 public:
   ReaderPort(Platform &platform, Address at)
-      : Served(platform), At(std::move(at)) {}
+      : StandIn(platform), At(std::move(at)) {}
 
   /// Opens or closes the port as the platform's mode asks. Thread-safe.
-  absl::Status follow() {
+  absl::Status applyMode() {
     std::lock_guard<std::mutex> guard(Lock);
-    if (Served.down())
+    if (StandIn.isDown())
       Server = nullptr;
-    if (Served.down() || Server)
+    if (StandIn.isDown() || Server)
       return absl::OkStatus();
     auto server = HttpServer::listen(
-        At, [this](const Message &m) { return Served.serveReader(m); });
+        At, [this](const Message &m) { return StandIn.serveReader(m); });
     if (server.ok())
       Server = std::move(*server);
     return server.status();
   }
 
 private:
-  Platform &Served;                   ///< Answers the calls.
+  Platform &StandIn;                  ///< Answers the calls.
   const Address At;                   ///< Where to listen.
   std::mutex Lock;                    ///< Guards Server.
   std::unique_ptr<HttpServer> Server; ///< Null while down.
 };
 
-void load(Platform &platform, const cxxopts::ParseResult &args) {
+void loadFiles(Platform &platform, const cxxopts::ParseResult &args) {
   if (args.count("vms") > 0)
     exitUnlessOk(
         platform.setVms(readFileOrExit(args["vms"].as<std::string>())));
@@ -64,16 +64,17 @@
       "vms", "file with the VM list", cxxopts::value<std::string>());
   auto args = parseOrExit(options, argc, argv);
   Platform platform;
-  load(platform, args);
-  ReaderPort reader(platform, loopback(args["port"].as<uint16_t>()));
-  exitUnlessOk(reader.follow());
-  auto control = HttpServer::listen(
-      loopback(args["control-port"].as<uint16_t>()), [&](const Message &m) {
-        Answer a = platform.serveOperator(m);
-        exitUnlessOk(reader.follow());
-        return a;
-      });
+  loadFiles(platform, args);
+  ReaderPort reader(platform, loopbackAddress(args["port"].as<uint16_t>()));
+  exitUnlessOk(reader.applyMode());
+  auto control =
+      HttpServer::listen(loopbackAddress(args["control-port"].as<uint16_t>()),
+                         [&](const Message &m) {
+                           Answer a = platform.serveOperator(m);
+                           exitUnlessOk(reader.applyMode());
+                           return a;
+                         });
   exitUnlessOk(control.status());
-  awaitEnd();
+  awaitTerminationSignal();
   return 0;
 }
--- a/StandIns/standin-serverMain.cpp
+++ b/StandIns/standin-serverMain.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-BackendServerSettings settingsOf(const cxxopts::ParseResult &args) {
+BackendServerSettings parseSettings(const cxxopts::ParseResult &args) {
   auto millis = [&](const char *name) {
     return std::chrono::milliseconds(args[name].as<uint32_t>());
   };
@@ -17,12 +17,12 @@
   s.Service = args["service"].as<std::string>();
   s.Domain = args["domain"].as<std::string>();
   s.Slots = args["slots"].as<uint32_t>();
-  s.Connections = args["connections"].as<uint32_t>();
-  s.Cold = millis("cold-ms");
-  s.ColdBears = args["cold-bears"].as<uint32_t>();
-  s.Fall = millis("fall-ms");
-  s.Work = millis("work-ms");
-  s.LongWork = millis("long-work-ms");
+  s.MaxFlows = args["connections"].as<uint32_t>();
+  s.WarmupTime = millis("cold-ms");
+  s.MaxRunsWhileCold = args["cold-bears"].as<uint32_t>();
+  s.OverloadTime = millis("fall-ms");
+  s.RunTime = millis("work-ms");
+  s.LongRunTime = millis("long-work-ms");
   return s;
 }
 
@@ -49,11 +49,11 @@
                    number("1000"))("work-ms", "time of a run", number("10"))(
       "long-work-ms", "time of a run with ?long=1", number("200"));
   auto args = parseOrExit(options, argc, argv);
-  BackendServer server(settingsOf(args));
+  BackendServer server(parseSettings(args));
   auto port =
-      HttpServer::listen(loopback(args["port"].as<uint16_t>()),
+      HttpServer::listen(loopbackAddress(args["port"].as<uint16_t>()),
                          [&](const Message &m) { return server.serve(m); });
   exitUnlessOk(port.status());
-  awaitEnd();
+  awaitTerminationSignal();
   return 0;
 }
