--- a/FailureTests/Fleet.cpp
+++ b/FailureTests/Fleet.cpp
@@ -19,27 +19,27 @@
 
 namespace {
 
-constexpr auto CallLimit = std::chrono::seconds(5);
-constexpr auto StartLimit = std::chrono::seconds(20);
+constexpr auto HttpTimeout = std::chrono::seconds(5);
+constexpr auto StartTimeout = std::chrono::seconds(20);
 /// VM i has loopback address 127.0.1.(10 + i), as real VMs have their own.
-constexpr int FirstHost = 10;
+constexpr int FirstVmHostNumber = 10;
 /// Ports on which callers reach a service at each daemon.
-constexpr const char *Services[] = {"booking", "archive"};
+constexpr const char *ServiceNames[] = {"booking", "archive"};
 
-Address local(uint16_t port) { return {"127.0.0.1", port}; }
+Address loopbackAddress(uint16_t port) { return {"127.0.0.1", port}; }
 
-Address at(const std::string &ip, uint16_t port) { return {ip, port}; }
+Address makeAddress(const std::string &ip, uint16_t port) { return {ip, port}; }
 
-bool answers(const Address &where, const std::string &path) {
-  return getHttp(where, path, CallLimit).ok();
+bool answersHttp(const Address &address, const std::string &path) {
+  return getHttp(address, path, HttpTimeout).ok();
 }
 
 } // namespace
 
-FleetPlan smallPlan() {
+FleetPlan makeSmallPlan() {
   FleetPlan plan;
   plan.Daemons = {"a", "a", "b"};
-  for (const char *service : Services)
+  for (const char *service : ServiceNames)
     for (const char *domain : {"a", "b"})
       for (const char *n : {"1", "2"})
         plan.Servers.push_back(
@@ -54,15 +54,15 @@
   std::printf("logs: %s\n", Folder.c_str());
   for (const char *name :
        {"platform", "platform-control", "fabric-control", "peers", "operators"})
-    Ports[name] = freePort();
-  for (const char *service : Services) {
-    Ports[service] = freePort();
-    Ports[absl::StrCat("fabric-", service)] = freePort();
+    Ports[name] = findFreePort();
+  for (const char *service : ServiceNames) {
+    Ports[service] = findFreePort();
+    Ports[absl::StrCat("fabric-", service)] = findFreePort();
   }
   for (const ServerPlan &server : Plan.Servers)
-    Ports[server.Id] = freePort();
+    Ports[server.Id] = findFreePort();
   for (size_t i = 0; i < Plan.Daemons.size(); ++i)
-    Ports[absl::StrCat("relay-", i)] = freePort();
+    Ports[absl::StrCat("relay-", i)] = findFreePort();
 }
 
 absl::StatusOr<std::unique_ptr<Fleet>> Fleet::start(FleetPlan plan) {
@@ -73,13 +73,14 @@
   return fleet;
 }
 
-absl::Status Fleet::run(const std::string &name, const std::string &label,
-                        const std::vector<std::string> &args,
-                        std::unique_ptr<Process> &to) {
+absl::Status Fleet::startProcess(const std::string &name,
+                                 const std::string &label,
+                                 const std::vector<std::string> &args,
+                                 std::unique_ptr<Process> &started) {
   auto process =
       Process::start(name, args, absl::StrCat(Folder, "/", label, ".log"));
   if (process.ok())
-    to = std::move(*process);
+    started = std::move(*process);
   return process.status();
 }
 
@@ -87,18 +88,19 @@
   auto port = [this](const std::string &name) {
     return absl::StrCat(Ports.at(name));
   };
-  absl::Status status = run(
+  absl::Status status = startProcess(
       "standin-platform", "platform",
       {"--port", port("platform"), "--control-port", port("platform-control")},
       PlatformProcess);
   std::vector<std::string> fabric{"--control-port", port("fabric-control"),
                                   "--seed", absl::StrCat(Plan.Seed)};
-  for (const char *service : Services) {
+  for (const char *service : ServiceNames) {
     fabric.emplace_back("--map");
     fabric.push_back(absl::StrCat(port(absl::StrCat("fabric-", service)), "=",
                                   port(service)));
   }
-  status.Update(run("standin-fabric", "fabric", fabric, FabricProcess));
+  status.Update(
+      startProcess("standin-fabric", "fabric", fabric, FabricProcess));
   Servers.resize(Plan.Servers.size());
   for (size_t i = 0; i < Servers.size(); ++i)
     status.Update(startServer(i, 0));
@@ -107,12 +109,13 @@
 
 absl::Status Fleet::startServer(size_t i, uint32_t coldMs) {
   const ServerPlan &s = Plan.Servers[i];
-  return run("standin-server", s.Id,
-             {"--id", s.Id, "--service", s.Service, "--domain", s.Domain,
-              "--port", absl::StrCat(Ports.at(s.Id)), "--work-ms",
-              absl::StrCat(s.WorkMs), "--long-work-ms", absl::StrCat(s.LongMs),
-              "--cold-ms", absl::StrCat(coldMs)},
-             Servers[i]);
+  return startProcess("standin-server", s.Id,
+                      {"--id", s.Id, "--service", s.Service, "--domain",
+                       s.Domain, "--port", absl::StrCat(Ports.at(s.Id)),
+                       "--work-ms", absl::StrCat(s.WorkMs), "--long-work-ms",
+                       absl::StrCat(s.LongWorkMs), "--cold-ms",
+                       absl::StrCat(coldMs)},
+                      Servers[i]);
 }
 
 absl::Status Fleet::restartServer(const std::string &id, uint32_t coldMs) {
@@ -129,106 +132,112 @@
   absl::Status status = startStandIns();
   if (!status.ok())
     return status;
-  bool up = awaitUntil(StartLimit, [this] {
-    bool all = answers(local(Ports["platform-control"]), "/counts");
+  bool ready = awaitUntil(StartTimeout, [this] {
+    bool all =
+        answersHttp(loopbackAddress(Ports["platform-control"]), "/counts");
     for (const ServerPlan &s : Plan.Servers)
-      all = all && answers(local(Ports[s.Id]), "/balsamrack/health");
+      all = all &&
+            answersHttp(loopbackAddress(Ports[s.Id]), "/balsamrack/health");
     // The fabric answers no GET, so a list is posted until it is taken.
-    return all &&
-           postHttp(local(Ports["fabric-control"]), "/daemons", "[]", CallLimit)
-               .ok();
+    return all && postHttp(loopbackAddress(Ports["fabric-control"]), "/daemons",
+                           "[]", HttpTimeout)
+                      .ok();
   });
-  if (!up)
+  if (!ready)
     return absl::UnavailableError("stand-ins did not start");
   Json vms = Json::array();
   for (size_t i = 0; i < Plan.Daemons.size(); ++i)
     vms.push_back({{"id", absl::StrCat("vm-", i + 1)},
                    {"domain", Plan.Daemons[i]},
-                   {"peer_address", peersAt(i).str()},
+                   {"peer_address", peerAddress(i).str()},
                    {"state", "live"}});
-  (void)postHttp(local(Ports["platform-control"]), "/vms", vms.dump(),
-                 CallLimit);
-  uint64_t first = publish(firstObjects());
+  (void)postHttp(loopbackAddress(Ports["platform-control"]), "/vms", vms.dump(),
+                 HttpTimeout);
+  uint64_t firstTicket = publishTicket(initialObjects());
   std::set<size_t> all;
   for (size_t i = 0; i < Plan.Daemons.size(); ++i) {
     all.insert(i);
     Daemons.emplace_back();
     Relays.push_back(
-        Plan.PlatformRelays
-            ? std::make_unique<Relay>(local(Ports[absl::StrCat("relay-", i)]),
-                                      local(Ports["platform"]))
+        Plan.UsePlatformRelays
+            ? std::make_unique<Relay>(
+                  loopbackAddress(Ports[absl::StrCat("relay-", i)]),
+                  loopbackAddress(Ports["platform"]))
             : nullptr);
     status.Update(startDaemon(i));
   }
-  setFabric(all);
+  setFabricDaemons(all);
   for (size_t i : all)
-    if (status.ok() && !awaitInForce(i, first, StartLimit))
+    if (status.ok() && !awaitTicketInForce(i, firstTicket, StartTimeout))
       status = absl::UnavailableError(
           absl::StrCat("first ticket not in force at vm-", i + 1));
-  if (status.ok() && !awaitOwners(all, StartLimit))
+  if (status.ok() && !awaitOwners(all, StartTimeout))
     status = absl::UnavailableError("not every server has an owner");
   return status;
 }
 
-bool Fleet::seesAll(size_t i, size_t members) {
-  Json status = ask(i, "status");
+bool Fleet::seesAliveMembers(size_t i, size_t count) {
+  Json status = queryDaemon(i, "status");
   size_t alive = 0;
   if (status.is_object())
     for (const auto &member : status["members"])
       alive += member.value("state", "") == "alive" ? 1 : 0;
-  return alive >= members;
+  return alive >= count;
 }
 
-bool Fleet::awaitOwners(const std::set<size_t> &among, Duration limit) {
-  return awaitUntil(limit, [&] {
-    for (size_t i : among)
-      if (!seesAll(i, among.size()))
+bool Fleet::awaitOwners(const std::set<size_t> &daemons, Duration timeout) {
+  return awaitUntil(timeout, [&] {
+    for (size_t i : daemons)
+      if (!seesAliveMembers(i, daemons.size()))
         return false;
     for (const ServerPlan &server : Plan.Servers) {
-      auto it = std::find_if(among.begin(), among.end(),
-                             [&](size_t i) { return owns(i, server.Id); });
-      if (it == among.end())
+      auto it = std::find_if(daemons.begin(), daemons.end(), [&](size_t i) {
+        return ownsServer(i, server.Id);
+      });
+      if (it == daemons.end())
         return false;
     }
     return true;
   });
 }
 
-std::string Fleet::ip(size_t i) const {
-  return absl::StrCat("127.0.1.", FirstHost + i);
+std::string Fleet::daemonIp(size_t i) const {
+  return absl::StrCat("127.0.1.", FirstVmHostNumber + i);
 }
 
-Address Fleet::callersAt(size_t i, const std::string &service) const {
-  return at(ip(i), Ports.at(service));
+Address Fleet::callerAddress(size_t i, const std::string &service) const {
+  return makeAddress(daemonIp(i), Ports.at(service));
 }
 
-Address Fleet::peersAt(size_t i) const { return at(ip(i), Ports.at("peers")); }
+Address Fleet::peerAddress(size_t i) const {
+  return makeAddress(daemonIp(i), Ports.at("peers"));
+}
 
-Address Fleet::operatorsAt(size_t i) const {
-  return at(ip(i), Ports.at("operators"));
+Address Fleet::operatorAddress(size_t i) const {
+  return makeAddress(daemonIp(i), Ports.at("operators"));
 }
 
-Fleet::Json Fleet::settings(size_t i, bool firstStart) const {
+Fleet::Json Fleet::daemonSettings(size_t i, bool firstStart) const {
   Json seeds = Json::array();
   for (size_t j = 0; j < Plan.Daemons.size(); ++j)
     if (j != i)
       seeds.push_back({{"vm", absl::StrCat("vm-", j + 1)},
                        {"failure_domain", Plan.Daemons[j]},
-                       {"address", peersAt(j).str()}});
+                       {"address", peerAddress(j).str()}});
   std::string platform =
-      Plan.PlatformRelays ? absl::StrCat("relay-", i) : "platform";
+      Plan.UsePlatformRelays ? absl::StrCat("relay-", i) : "platform";
   return {
       {"vm", absl::StrCat("vm-", i + 1)},
       {"failure_domain", Plan.Daemons[i]},
-      {"callers", {{"ip", ip(i)}}},
+      {"callers", {{"ip", daemonIp(i)}}},
       {"peers",
-       {{"listen", peersAt(i).str()},
+       {{"listen", peerAddress(i).str()},
         {"fleet_key", "failure-tests"},
         {"allowed", {"127.0.0.0/8"}},
         {"seeds", seeds}}},
       {"operators",
-       {{"listen", operatorsAt(i).str()}, {"allowed", {"127.0.0.0/8"}}}},
-      {"platform", {{"address", local(Ports.at(platform)).str()}}},
+       {{"listen", operatorAddress(i).str()}, {"allowed", {"127.0.0.0/8"}}}},
+      {"platform", {{"address", loopbackAddress(Ports.at(platform)).str()}}},
       {"keys",
        {{"memory_s", 600}, {"assume_no_earlier_keys_at_start", firstStart}}},
       {"log", {{"level", "info"}}}};
@@ -237,19 +246,21 @@
 absl::Status Fleet::startDaemon(size_t i) {
   std::string name = absl::StrCat("vm-", i + 1);
   std::string file = absl::StrCat(Folder, "/", name, ".json");
-  std::ofstream(file) << settings(i, Daemons[i] == nullptr).dump(1) << "\n";
-  return run("balsamrackd", name, {"--settings", file}, Daemons[i]);
+  std::ofstream(file) << daemonSettings(i, Daemons[i] == nullptr).dump(1)
+                      << "\n";
+  return startProcess("balsamrackd", name, {"--settings", file}, Daemons[i]);
 }
 
 absl::Status Fleet::awaitReady(size_t i) {
-  bool ready =
-      awaitUntil(StartLimit, [&] { return !ask(i, "status").is_null(); });
+  bool ready = awaitUntil(StartTimeout,
+                          [&] { return !queryDaemon(i, "status").is_null(); });
   return ready ? absl::OkStatus()
                : absl::UnavailableError("daemon answers no operators");
 }
 
-Fleet::Json Fleet::ask(size_t i, const std::string &path) {
-  auto text = getHttp(operatorsAt(i), absl::StrCat("/v1/", path), CallLimit);
+Fleet::Json Fleet::queryDaemon(size_t i, const std::string &path) {
+  auto text =
+      getHttp(operatorAddress(i), absl::StrCat("/v1/", path), HttpTimeout);
   Json answer = text.ok() ? Json::parse(*text, nullptr, false) : Json();
   return answer.is_discarded() ? Json() : answer;
 }
@@ -261,19 +272,19 @@
           {"state",
            {{"service", server.Service},
             {"domain", server.Domain},
-            {"address", local(Ports.at(server.Id)).str()},
+            {"address", loopbackAddress(Ports.at(server.Id)).str()},
             {"slots", 2},
             {"mode", mode}}}};
 }
 
-Fleet::Json Fleet::firstObjects() const {
+Fleet::Json Fleet::initialObjects() const {
   Json objects = Json::array();
   std::set<std::string> domains(Plan.Daemons.begin(), Plan.Daemons.end());
   for (const auto &domain : domains)
     objects.push_back({{"kind", "domain"},
                        {"id", domain},
                        {"state", {{"region", "test"}, {"in_service", true}}}});
-  for (const char *service : Services)
+  for (const char *service : ServiceNames)
     objects.push_back({{"kind", "service"},
                        {"id", service},
                        {"state", {{"ports", {Ports.at(service)}}}}});
@@ -282,88 +293,91 @@
   return objects;
 }
 
-uint64_t Fleet::publish(const Json &objects) {
+uint64_t Fleet::publishTicket(const Json &objects) {
   Json ticket{{"ticket", ++LastTicket}, {"objects", objects}};
-  (void)postHttp(local(Ports["platform-control"]), "/tickets", ticket.dump(),
-                 CallLimit);
+  (void)postHttp(loopbackAddress(Ports["platform-control"]), "/tickets",
+                 ticket.dump(), HttpTimeout);
   return LastTicket;
 }
 
-uint64_t Fleet::drain(const std::string &id) {
+uint64_t Fleet::drainServer(const std::string &id) {
   for (const ServerPlan &server : Plan.Servers)
     if (server.Id == id)
-      return publish(Json::array({serverState(server, "draining")}));
+      return publishTicket(Json::array({serverState(server, "draining")}));
   return 0;
 }
 
-uint64_t Fleet::setDomain(const std::string &domain, bool inService) {
-  return publish(Json::array(
+uint64_t Fleet::setDomainInService(const std::string &domain, bool inService) {
+  return publishTicket(Json::array(
       {{{"kind", "domain"},
         {"id", domain},
         {"state", {{"region", "test"}, {"in_service", inService}}}}}));
 }
 
-bool Fleet::awaitInForce(size_t i, uint64_t number, Duration limit) {
-  return awaitUntil(limit, [&] {
-    Json answer = ask(i, absl::StrCat("tickets/in-force?number=", number));
+bool Fleet::awaitTicketInForce(size_t i, uint64_t number, Duration timeout) {
+  return awaitUntil(timeout, [&] {
+    Json answer =
+        queryDaemon(i, absl::StrCat("tickets/in-force?number=", number));
     return answer.is_object() && answer.value("in_force", false);
   });
 }
 
-void Fleet::platformMode(const Json &mode) {
-  (void)postHttp(local(Ports["platform-control"]), "/mode", mode.dump(),
-                 CallLimit);
+void Fleet::setPlatformMode(const Json &mode) {
+  (void)postHttp(loopbackAddress(Ports["platform-control"]), "/mode",
+                 mode.dump(), HttpTimeout);
 }
 
-void Fleet::setFabric(const std::set<size_t> &daemons) {
+void Fleet::setFabricDaemons(const std::set<size_t> &daemons) {
   Json list = Json::array();
   for (size_t i : daemons)
-    list.push_back({{"vm", absl::StrCat("vm-", i + 1)}, {"ip", ip(i)}});
-  (void)postHttp(local(Ports["fabric-control"]), "/daemons", list.dump(),
-                 CallLimit);
+    list.push_back({{"vm", absl::StrCat("vm-", i + 1)}, {"ip", daemonIp(i)}});
+  (void)postHttp(loopbackAddress(Ports["fabric-control"]), "/daemons",
+                 list.dump(), HttpTimeout);
 }
 
-Address Fleet::serverAt(const std::string &id) const {
-  return local(Ports.at(id));
+Address Fleet::serverAddress(const std::string &id) const {
+  return loopbackAddress(Ports.at(id));
 }
 
-Fleet::Json Fleet::counts(const std::string &id) {
-  auto text = getHttp(local(Ports[id]), "/balsamrack/counts", CallLimit);
+Fleet::Json Fleet::queryServerCounts(const std::string &id) {
+  auto text =
+      getHttp(loopbackAddress(Ports[id]), "/balsamrack/counts", HttpTimeout);
   return text.ok() ? Json::parse(*text, nullptr, false) : Json();
 }
 
-void Fleet::control(const std::string &id, const Json &told) {
-  (void)postHttp(local(Ports[id]), "/balsamrack/control", told.dump(),
-                 CallLimit);
+void Fleet::controlServer(const std::string &id, const Json &command) {
+  (void)postHttp(loopbackAddress(Ports[id]), "/balsamrack/control",
+                 command.dump(), HttpTimeout);
 }
 
-standins::CallSettings Fleet::calls() const {
+standins::CallSettings Fleet::makeCallSettings() const {
   standins::CallSettings s;
-  for (const char *service : Services)
+  for (const char *service : ServiceNames)
     s.Targets.push_back(
-        {service, local(Ports.at(absl::StrCat("fabric-", service)))});
+        {service, loopbackAddress(Ports.at(absl::StrCat("fabric-", service)))});
   s.Seed = Plan.Seed;
   return s;
 }
 
-standins::LoadReport Fleet::judge(standins::LoadGenerator &load,
-                                  const std::set<std::string> &outDomains) {
+standins::LoadReport
+Fleet::stopAndVerify(standins::LoadGenerator &load,
+                     const std::set<std::string> &outOfServiceDomains) {
   load.stop();
   standins::LoadReport report = load.report();
   for (const ServerPlan &server : Plan.Servers) {
-    absl::Status status =
-        report.addServerCounts(local(Ports[server.Id]), server.Service);
+    absl::Status status = report.addServerCounts(
+        loopbackAddress(Ports[server.Id]), server.Service);
     if (!status.ok())
       report.addFault(absl::StrCat(server.Id, ": ", status.message()));
   }
   report.countRunViolations();
-  report.countLostFlows(outDomains);
+  report.countLostFlows(outOfServiceDomains);
   std::printf("%s\n", report.json().c_str());
   return report;
 }
 
-bool Fleet::owns(size_t i, const std::string &id) {
-  Json answer = ask(i, "servers");
+bool Fleet::ownsServer(size_t i, const std::string &id) {
+  Json answer = queryDaemon(i, "servers");
   if (!answer.is_object())
     return false;
   for (const auto &server : answer["servers"])
@@ -374,7 +388,7 @@
 
 size_t Fleet::ownerOf(const std::string &id) {
   size_t i = 0;
-  while (i < Daemons.size() && !owns(i, id))
+  while (i < Daemons.size() && !ownsServer(i, id))
     ++i;
   return i;
 }
--- a/FailureTests/Fleet.h
+++ b/FailureTests/Fleet.h
@@ -17,11 +17,11 @@
 
 /// A backend server of a test.
 struct ServerPlan {
-  std::string Id;        ///< In tickets.
-  std::string Service;   ///< That it serves.
-  std::string Domain;    ///< Where it stands.
-  uint32_t WorkMs = 10;  ///< Time of a run.
-  uint32_t LongMs = 200; ///< Time of a long run.
+  std::string Id;            ///< In tickets.
+  std::string Service;       ///< That it serves.
+  std::string Domain;        ///< Where it stands.
+  uint32_t WorkMs = 10;      ///< Time of a run.
+  uint32_t LongWorkMs = 200; ///< Time of a long run.
 };
 
 /// What a test starts.
@@ -29,12 +29,12 @@
   std::vector<std::string> Daemons; ///< The failure domain of vm-1, vm-2, ...
   std::vector<ServerPlan> Servers;  ///< Backend servers.
   uint64_t Seed = 1;                ///< Of the fabric and the callers.
-  bool PlatformRelays = false;      ///< Each daemon reads through a relay.
+  bool UsePlatformRelays = false;   ///< Each daemon reads through a relay.
 };
 
 /// Three daemons, two in domain "a" and one in "b"; two services with two
 /// servers in each domain.
-FleetPlan smallPlan();
+FleetPlan makeSmallPlan();
 
 /// Daemons and stand-ins of one test as separate processes. Ends them all with
 /// itself. Not thread-safe.
@@ -57,44 +57,45 @@
   /// Waits until daemon \p i answers its operators.
   absl::Status awaitReady(size_t i);
   /// What daemon \p i answers its operators below /v1/; null when it doesn't.
-  Json ask(size_t i, const std::string &path);
+  Json queryDaemon(size_t i, const std::string &path);
   /// Where daemon \p i listens for callers of \p service.
-  Address callersAt(size_t i, const std::string &service) const;
+  Address callerAddress(size_t i, const std::string &service) const;
   /// Where daemon \p i listens for peers and for operators.
-  Address peersAt(size_t i) const;
-  Address operatorsAt(size_t i) const;
+  Address peerAddress(size_t i) const;
+  Address operatorAddress(size_t i) const;
   /// The relay between daemon \p i and the platform. Precondition: planned.
   Relay &platformRelay(size_t i) { return *Relays[i]; }
 
   /// Publishes a ticket with the whole state of some objects.
-  uint64_t publish(const Json &objects);
+  uint64_t publishTicket(const Json &objects);
   /// Publishes a ticket that drains server \p id.
-  uint64_t drain(const std::string &id);
+  uint64_t drainServer(const std::string &id);
   /// Publishes a ticket that takes \p domain out of service or back.
-  uint64_t setDomain(const std::string &domain, bool inService);
+  uint64_t setDomainInService(const std::string &domain, bool inService);
   /// Waits until ticket \p number is in force at daemon \p i.
-  bool awaitInForce(size_t i, uint64_t number, Duration limit);
+  bool awaitTicketInForce(size_t i, uint64_t number, Duration timeout);
   /// Tells the platform how to fail.
-  void platformMode(const Json &mode);
+  void setPlatformMode(const Json &mode);
   /// Tells the fabric which daemons to choose from.
-  void setFabric(const std::set<size_t> &daemons);
+  void setFabricDaemons(const std::set<size_t> &daemons);
 
   /// Where stand-in server \p id listens.
-  Address serverAt(const std::string &id) const;
+  Address serverAddress(const std::string &id) const;
   /// The counts of stand-in server \p id.
-  Json counts(const std::string &id);
+  Json queryServerCounts(const std::string &id);
   /// Tells stand-in server \p id how to behave.
-  void control(const std::string &id, const Json &told);
+  void controlServer(const std::string &id, const Json &command);
   /// Settings for callers of both services.
-  standins::CallSettings calls() const;
+  standins::CallSettings makeCallSettings() const;
   /// Ends \p load and compares what callers saw with the servers' counts.
-  standins::LoadReport judge(standins::LoadGenerator &load,
-                             const std::set<std::string> &outDomains = {});
+  standins::LoadReport
+  stopAndVerify(standins::LoadGenerator &load,
+                const std::set<std::string> &outOfServiceDomains = {});
   /// Waits until the daemons \p among these see each other alive, and each
   /// server is owned by one of them.
-  bool awaitOwners(const std::set<size_t> &among, Duration limit);
+  bool awaitOwners(const std::set<size_t> &daemons, Duration timeout);
   /// True when daemon \p i says that it owns server \p id.
-  bool owns(size_t i, const std::string &id);
+  bool ownsServer(size_t i, const std::string &id);
   /// The daemon that owns server \p id, or the number of daemons when there is
   /// none.
   size_t ownerOf(const std::string &id);
@@ -104,14 +105,14 @@
   absl::Status startAll();
   absl::Status startStandIns();
   absl::Status startServer(size_t i, uint32_t coldMs);
-  absl::Status run(const std::string &name, const std::string &label,
-                   const std::vector<std::string> &args,
-                   std::unique_ptr<Process> &to);
-  bool seesAll(size_t i, size_t members);
-  Json settings(size_t i, bool firstStart) const;
+  absl::Status startProcess(const std::string &name, const std::string &label,
+                            const std::vector<std::string> &args,
+                            std::unique_ptr<Process> &started);
+  bool seesAliveMembers(size_t i, size_t count);
+  Json daemonSettings(size_t i, bool firstStart) const;
   Json serverState(const ServerPlan &server, const char *mode) const;
-  Json firstObjects() const;
-  std::string ip(size_t i) const;
+  Json initialObjects() const;
+  std::string daemonIp(size_t i) const;
 
   const FleetPlan Plan;                     ///< What to start.
   std::string Folder;                       ///< For settings and logs.
--- a/FailureTests/FleetTest.cpp
+++ b/FailureTests/FleetTest.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr auto AnswersLimit = std::chrono::seconds(20);
-constexpr auto PostLimit = std::chrono::seconds(15);
+constexpr auto AnswersTimeout = std::chrono::seconds(20);
+constexpr auto PostTimeout = std::chrono::seconds(15);
 
 } // namespace
 
@@ -20,17 +20,18 @@
   Plan = plan;
   auto fleet = Fleet::start(plan);
   ASSERT_TRUE(fleet.ok()) << fleet.status();
-  Up = std::move(*fleet);
+  TestFleet = std::move(*fleet);
 }
 
 void FleetTest::awaitAnswers(standins::LoadGenerator &load, uint64_t count) {
   uint64_t goal = load.report().Answered + count;
-  ASSERT_TRUE(awaitUntil(AnswersLimit, [&] {
+  ASSERT_TRUE(awaitUntil(AnswersTimeout, [&] {
     return load.report().Answered >= goal;
   })) << load.report().json();
 }
 
-void FleetTest::expectKept(const standins::LoadReport &report, double share) {
+void FleetTest::expectNoViolations(const standins::LoadReport &report,
+                                   double minAnsweredFraction) {
   EXPECT_EQ(report.BrokenFlows, 0U);
   EXPECT_EQ(report.WrongService, 0U);
   EXPECT_EQ(report.WrongAnswer, 0U);
@@ -38,12 +39,13 @@
   EXPECT_EQ(report.FalseRefusals, 0U);
   EXPECT_EQ(report.Overloads, 0U);
   EXPECT_GE(static_cast<double>(report.Answered),
-            share * static_cast<double>(report.Requests));
+            minAnsweredFraction * static_cast<double>(report.Requests));
 }
 
-absl::StatusOr<Answer> FleetTest::post(size_t i, const std::string &target,
-                                       const std::string &key,
-                                       const std::string &attempt) {
+absl::StatusOr<Answer> FleetTest::postBooking(size_t i,
+                                              const std::string &target,
+                                              const std::string &key,
+                                              const std::string &attempt) {
   Message m{"POST", target, {}, "deposit"};
   m.Headers = {{"Forwarded",
                 absl::StrCat("for=\"10.1.1.1:", 10'000 + ++FlowsOpened, "\"")},
@@ -52,13 +54,14 @@
                {"Request-Timeout", "8000"},
                {"X-Caller-Service", "booking"},
                {"X-Caller-Request", attempt}};
-  return standins::sendHttp(Up->callersAt(i, "booking"), m, PostLimit);
+  return standins::sendHttp(TestFleet->callerAddress(i, "booking"), m,
+                            PostTimeout);
 }
 
-uint64_t FleetTest::runsOf(const std::string &operation) {
+uint64_t FleetTest::countRuns(const std::string &operation) {
   uint64_t n = 0;
   for (const ServerPlan &server : Plan.Servers) {
-    const Json counts = Up->counts(server.Id);
+    const Json counts = TestFleet->queryServerCounts(server.Id);
     for (const auto &[attempt, runs] : counts["runs"].items())
       if (absl::StartsWith(attempt, operation + "."))
         n += runs.get<uint64_t>();
@@ -66,15 +69,16 @@
   return n;
 }
 
-uint64_t FleetTest::bookingInProgress() {
+uint64_t FleetTest::countBookingInProgress() {
   uint64_t n = 0;
   for (const ServerPlan &server : Plan.Servers)
     if (server.Service == "booking")
-      n += Up->counts(server.Id)["in_progress"].get<uint64_t>();
+      n += TestFleet->queryServerCounts(server.Id)["in_progress"]
+               .get<uint64_t>();
   return n;
 }
 
-std::string endingOf(const absl::StatusOr<Answer> &answer) {
+std::string outcomeOf(const absl::StatusOr<Answer> &answer) {
   if (!answer.ok())
     return absl::StatusCodeToString(answer.status().code());
   return standins::headerOf(answer->Headers, "Balsamrack-Ending");
--- a/FailureTests/GarbageTest.cpp
+++ b/FailureTests/GarbageTest.cpp
@@ -13,23 +13,24 @@
 using namespace std::chrono_literals;
 
 /// Waits at most this long for what a port answers to garbage.
-constexpr time_t AnswerSeconds = 1;
-constexpr size_t RandomBytes = 4096;
-constexpr size_t HugeBytes = 8 << 20;
+constexpr time_t ReplyTimeoutSeconds = 1;
+constexpr size_t RandomInputBytes = 4096;
+constexpr size_t HugeBodyBytes = 8 << 20;
 
 /// Sends \p bytes to \p to and reads what comes back, until the peer closes or
 /// a second has passed.
-void throwAt(const Address &to, const std::string &bytes) {
+void sendGarbage(const Address &to, const std::string &bytes) {
   int fd = socket(AF_INET, SOCK_STREAM, 0);
-  timeval limit{AnswerSeconds, 0};
-  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
-  setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof(limit));
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  at.sin_port = htons(to.Port);
-  inet_pton(AF_INET, to.Ip.c_str(), &at.sin_addr);
+  timeval timeout{ReplyTimeoutSeconds, 0};
+  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
+  setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof(timeout));
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(to.Port);
+  inet_pton(AF_INET, to.Ip.c_str(), &address.sin_addr);
   char buf[4096];
-  if (connect(fd, reinterpret_cast<sockaddr *>(&at), sizeof(at)) == 0 &&
+  if (connect(fd, reinterpret_cast<sockaddr *>(&address), sizeof(address)) ==
+          0 &&
       send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) >= 0) {
     shutdown(fd, SHUT_WR);
     while (recv(fd, buf, sizeof(buf), 0) > 0) {
@@ -46,7 +47,7 @@
   return bytes;
 }
 
-std::vector<std::string> garbage(uint64_t seed) {
+std::vector<std::string> makeGarbageInputs(uint64_t seed) {
   const std::string upgrade =
       "GET / HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: "
       "Upgrade\r\nSec-WebSocket-Version: 13\r\nSec-WebSocket-Key: "
@@ -68,12 +69,12 @@
       badEnvelope,
       "GET / HTTP/1.1\r\nX: " + std::string(100'000, 'h') + "\r\n\r\n",
       "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 8388608\r\n\r\n" +
-          std::string(HugeBytes, 'b'),
+          std::string(HugeBodyBytes, 'b'),
       upgrade + frame + "\xff\xff\xff\xff",
       upgrade + frame + std::string(4, '\x81'),
       upgrade + std::string("\x82\xff\x7f\xff\xff\xff\xff\xff\xff\xff", 10),
-      upgrade + randomBytes(seed + 1, RandomBytes),
-      randomBytes(seed + 2, RandomBytes),
+      upgrade + randomBytes(seed + 1, RandomInputBytes),
+      randomBytes(seed + 2, RandomInputBytes),
   };
 }
 
@@ -82,18 +83,19 @@
 // deep nesting, random bytes. Sellers' requests next to it are answered as
 // ever, and the daemon does not die.
 TEST_F(FleetTest, GarbageIntoEachPort) {
-  ASSERT_NO_FATAL_FAILURE(startFleet(smallPlan()));
-  standins::LoadGenerator load(Up->calls());
+  ASSERT_NO_FATAL_FAILURE(startFleet(makeSmallPlan()));
+  standins::LoadGenerator load(TestFleet->makeCallSettings());
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(load, 100));
-  for (const std::string &bytes : garbage(testSeed()))
+  for (const std::string &bytes : makeGarbageInputs(testSeed()))
     for (const Address &port :
-         {Up->callersAt(0, "booking"), Up->peersAt(0), Up->operatorsAt(0)})
-      throwAt(port, bytes);
-  ASSERT_TRUE(Up->daemon(0).running());
-  EXPECT_TRUE(Up->awaitReady(0).ok());
+         {TestFleet->callerAddress(0, "booking"), TestFleet->peerAddress(0),
+          TestFleet->operatorAddress(0)})
+      sendGarbage(port, bytes);
+  ASSERT_TRUE(TestFleet->daemon(0).isRunning());
+  EXPECT_TRUE(TestFleet->awaitReady(0).ok());
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(load, 100));
-  standins::LoadReport report = Up->judge(load);
-  expectKept(report, 0.9);
+  standins::LoadReport report = TestFleet->stopAndVerify(load);
+  expectNoViolations(report, 0.9);
   EXPECT_EQ(report.Unknown, 0U);
 }
 
--- a/FailureTests/OwnerFailureTest.cpp
+++ b/FailureTests/OwnerFailureTest.cpp
@@ -16,23 +16,23 @@
 protected:
   /// Starts the fleet and load, and finds the owner of booking-a1.
   void startWithLoad(uint32_t longPercent) {
-    ASSERT_NO_FATAL_FAILURE(startFleet(smallPlan()));
-    standins::CallSettings calls = Up->calls();
+    ASSERT_NO_FATAL_FAILURE(startFleet(makeSmallPlan()));
+    standins::CallSettings calls = TestFleet->makeCallSettings();
     calls.LongRunPercent = longPercent;
     Load = std::make_unique<standins::LoadGenerator>(calls);
     ASSERT_NO_FATAL_FAILURE(awaitAnswers(*Load, 500));
-    Owner = Up->ownerOf("booking-a1");
+    Owner = TestFleet->ownerOf("booking-a1");
     ASSERT_LT(Owner, 2U);
   }
   void awaitTakeover() {
-    ASSERT_TRUE(
-        awaitUntil(20s, [&] { return Up->owns(1 - Owner, "booking-a1"); }));
+    ASSERT_TRUE(awaitUntil(
+        20s, [&] { return TestFleet->ownsServer(1 - Owner, "booking-a1"); }));
   }
   /// Ends the load. More than the slots of a server shows as a shed: two
   /// daemons took themselves for its owner.
   void expectOneOwnerAtATime() {
-    standins::LoadReport report = Up->judge(*Load);
-    expectKept(report, 0.5);
+    standins::LoadReport report = TestFleet->stopAndVerify(*Load);
+    expectNoViolations(report, 0.5);
     EXPECT_EQ(report.Sheds, 0U);
   }
 
@@ -46,7 +46,7 @@
 // wrong: the new owner can't know what is in progress.
 TEST_F(OwnerFailureTest, KilledUnderLoad) {
   ASSERT_NO_FATAL_FAILURE(startWithLoad(5));
-  Up->daemon(Owner).signal(SIGKILL);
+  TestFleet->daemon(Owner).signal(SIGKILL);
   ASSERT_NO_FATAL_FAILURE(awaitTakeover());
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(*Load, 1000));
   expectOneOwnerAtATime();
@@ -59,11 +59,11 @@
   ASSERT_NO_FATAL_FAILURE(startWithLoad(0));
   std::vector<std::string> owned;
   for (const ServerPlan &server : Plan.Servers)
-    if (Up->owns(Owner, server.Id))
+    if (TestFleet->ownsServer(Owner, server.Id))
       owned.push_back(server.Id);
-  Up->daemon(Owner).signal(SIGKILL);
+  TestFleet->daemon(Owner).signal(SIGKILL);
   for (const std::string &id : owned)
-    Up->control(id, {{"cold_ms", ColdMs}});
+    TestFleet->controlServer(id, {{"cold_ms", ColdMs}});
   ASSERT_NO_FATAL_FAILURE(awaitTakeover());
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(*Load, 1000));
   expectOneOwnerAtATime();
@@ -74,10 +74,10 @@
 // over while it is slow.
 TEST_F(OwnerFailureTest, ServerComesBackCold) {
   ASSERT_NO_FATAL_FAILURE(startWithLoad(0));
-  ASSERT_TRUE(Up->restartServer("booking-a1", ColdMs).ok());
+  ASSERT_TRUE(TestFleet->restartServer("booking-a1", ColdMs).ok());
   Json counts;
   ASSERT_TRUE(awaitUntil(20s, [&] {
-    counts = Up->counts("booking-a1");
+    counts = TestFleet->queryServerCounts("booking-a1");
     return counts.is_object() && counts["packets"] > 150;
   }));
   Load->stop();
@@ -90,16 +90,16 @@
 // dispatch: deposits would run twice, and servers get double load.
 TEST_F(OwnerFailureTest, PausedInTheMiddleOfDispatch) {
   ASSERT_NO_FATAL_FAILURE(startWithLoad(30));
-  Up->daemon(Owner).signal(SIGSTOP);
+  TestFleet->daemon(Owner).signal(SIGSTOP);
   // What it has taken in stays there; the fabric sends it nothing more.
-  Up->setFabric({1 - Owner, 2});
+  TestFleet->setFabricDaemons({1 - Owner, 2});
   // Longer than any timeout: until the other daemon has long taken over.
   ASSERT_NO_FATAL_FAILURE(awaitTakeover());
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(*Load, 1000));
-  Up->daemon(Owner).signal(SIGCONT);
-  Up->setFabric({0, 1, 2});
+  TestFleet->daemon(Owner).signal(SIGCONT);
+  TestFleet->setFabricDaemons({0, 1, 2});
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(*Load, 500));
-  ASSERT_TRUE(Up->awaitReady(Owner).ok());
+  ASSERT_TRUE(TestFleet->awaitReady(Owner).ok());
   expectOneOwnerAtATime();
 }
 
@@ -108,11 +108,11 @@
 TEST_F(OwnerFailureTest, KilledTwiceAndBack) {
   ASSERT_NO_FATAL_FAILURE(startWithLoad(5));
   for (int round = 0; round < 2; ++round) {
-    Up->daemon(0).signal(SIGKILL);
-    ASSERT_TRUE(Up->daemon(0).awaitEnd(5s).ok());
+    TestFleet->daemon(0).signal(SIGKILL);
+    ASSERT_TRUE(TestFleet->daemon(0).awaitExit(5s).ok());
     ASSERT_NO_FATAL_FAILURE(awaitAnswers(*Load, 300));
-    ASSERT_TRUE(Up->startDaemon(0).ok());
-    ASSERT_TRUE(Up->awaitInForce(0, 1, 15s));
+    ASSERT_TRUE(TestFleet->startDaemon(0).ok());
+    ASSERT_TRUE(TestFleet->awaitTicketInForce(0, 1, 15s));
     ASSERT_NO_FATAL_FAILURE(awaitAnswers(*Load, 300));
   }
   expectOneOwnerAtATime();
--- a/FailureTests/PacketFleetTest.cpp
+++ b/FailureTests/PacketFleetTest.cpp
@@ -24,45 +24,46 @@
 using platform::StandInStore;
 
 constexpr Duration Second{1'000'000};
-const Endpoint Booking{0xc6120001, 443}; // 198.18.0.1:443
+const Endpoint BookingEndpoint{0xc6120001, 443}; // 198.18.0.1:443
 
 /// Real daemons of the packet carrier as processes on loopback addresses, with
 /// a store, four backend servers and a caller of the users' protocol.
 class PacketFleetTest : public testing::Test {
 protected:
-  static constexpr size_t Daemons = 3;
+  static constexpr size_t DaemonCount = 3;
   static constexpr size_t ServerCount = 4;
 
   void SetUp() override {
-    Ports = {freePort(), freePort(), freePort(), freePort(), freePort()};
+    Ports = {findFreePort(), findFreePort(), findFreePort(), findFreePort(),
+             findFreePort()};
     auto store = StandInStore::create({"127.0.0.1", Ports[0]});
     ASSERT_TRUE(store.ok()) << store.status();
     Store = *std::move(store);
     for (size_t i = 1; i <= ServerCount; ++i) {
-      auto server = StandInServer::create(serverAt(i), i, Ports[1]);
+      auto server = StandInServer::create(serverAddress(i), i, Ports[1]);
       ASSERT_TRUE(server.ok()) << server.status();
       Servers.push_back(*std::move(server));
       publishServer(i, "ready");
     }
     publishRoutes(1, {443});
-    for (size_t i = 0; i < Daemons; ++i)
+    for (size_t i = 0; i < DaemonCount; ++i)
       startDaemon(i);
     auto caller =
         StandInCaller::create({"127.0.7.1", Ports[1]}, packetAddresses());
     ASSERT_TRUE(caller.ok()) << caller.status();
     Caller = *std::move(caller);
-    for (size_t i = 0; i < Daemons; ++i)
+    for (size_t i = 0; i < DaemonCount; ++i)
       ASSERT_TRUE(awaitUntil(Second * 10, [&] { return isReady(i); }))
           << "daemon " << i;
   }
 
   static std::string vmIp(size_t i) { return absl::StrCat("127.0.8.", i + 1); }
-  Address serverAt(size_t i) const {
+  Address serverAddress(size_t i) const {
     return {absl::StrCat("127.0.9.", i), Ports[2]};
   }
   std::vector<Address> packetAddresses() const {
     std::vector<Address> all;
-    for (size_t i = 0; i < Daemons; ++i)
+    for (size_t i = 0; i < DaemonCount; ++i)
       all.push_back({vmIp(i), Ports[1]});
     return all;
   }
@@ -93,7 +94,7 @@
   void publishServer(size_t i, const std::string &state) {
     Store->put(absl::StrCat("servers/i-", i),
                absl::StrCat(R"({"service":"booking","address":")",
-                            serverAt(i).str(), R"(","zone":"d)", i % 2,
+                            serverAddress(i).str(), R"(","zone":"d)", i % 2,
                             R"(","version":"v1","slots":2,"state":")", state,
                             R"(","coldLeftMs":0,"seq":1})"));
   }
@@ -115,15 +116,15 @@
   CallResult::Kind call(int moveTo = -1) {
     platform::CallPlan plan;
     plan.MoveToDaemon = moveTo;
-    return Caller->call(Booking, plan).How;
+    return Caller->call(BookingEndpoint, plan).How;
   }
-  std::string logOf(size_t i) const {
+  std::string readLog(size_t i) const {
     std::ifstream file(settingsPath(i) + ".log");
     return {std::istreambuf_iterator<char>(file), {}};
   }
-  bool logHas(size_t i, const std::string &text) const {
-    return awaitUntil(Second * 5,
-                      [&] { return logOf(i).find(text) != std::string::npos; });
+  bool awaitLogText(size_t i, const std::string &text) const {
+    return awaitUntil(
+        Second * 5, [&] { return readLog(i).find(text) != std::string::npos; });
   }
 
   std::vector<uint16_t> Ports;
@@ -135,14 +136,14 @@
 
 bool PacketFleetTest::isReady(size_t i) const {
   auto client = HttpClient::create();
-  HttpCall ask;
-  ask.To = {vmIp(i), Ports[3]};
-  ask.Content.Method = "GET";
-  ask.Content.Target = "/-/ready";
-  ask.Timeout = Second;
+  HttpCall request;
+  request.To = {vmIp(i), Ports[3]};
+  request.Content.Method = "GET";
+  request.Content.Target = "/-/ready";
+  request.Timeout = Second;
   std::atomic<unsigned> status{0};
   std::atomic<bool> done{false};
-  (*client)->start(ask, [&](const HttpCallResult &result) {
+  (*client)->start(request, [&](const HttpCallResult &result) {
     status =
         result.How == HttpCallOutcome::Answered ? result.Content.Status : 0;
     done = true;
@@ -168,7 +169,7 @@
   Servers[0]->setSilent(true);
   int late = 0;
   for (int i = 0; i < 60; ++i) {
-    CallResult result = Caller->call(Booking);
+    CallResult result = Caller->call(BookingEndpoint);
     EXPECT_EQ(result.How, CallResult::Kind::Answered) << i;
     late += result.Took > Duration(190'000) ? 1 : 0;
   }
@@ -180,7 +181,7 @@
 TEST_F(PacketFleetTest, AFreshDaemonLearnsFromPeersWhileTheStoreIsSilent) {
   Store->setMode(StandInStore::Mode::Silent);
   Processes[2]->signal(SIGKILL);
-  ASSERT_TRUE(Processes[2]->awaitEnd(Second * 5).ok());
+  ASSERT_TRUE(Processes[2]->awaitExit(Second * 5).ok());
   startDaemon(2);
   ASSERT_TRUE(awaitUntil(Second * 10, [&] { return isReady(2); }));
   for (int i = 0; i < 20; ++i)
@@ -191,8 +192,9 @@
 TEST_F(PacketFleetTest, ADroppedRouteIsRefusedEverywhereInTime) {
   publishRoutes(2, {444});
   ASSERT_TRUE(awaitUntil(Second * 3, [&] {
-    for (size_t i = 0; i < Daemons; ++i)
-      if (logOf(i).find("\"configuration\":2,\"routes\"") == std::string::npos)
+    for (size_t i = 0; i < DaemonCount; ++i)
+      if (readLog(i).find("\"configuration\":2,\"routes\"") ==
+          std::string::npos)
         return false;
     return true;
   }));
@@ -209,10 +211,10 @@
   for (int i = 0; i < 10; ++i)
     EXPECT_EQ(call(), CallResult::Kind::Answered) << i;
   Caller->setDaemons({packetAddresses()[1], packetAddresses()[2]});
-  auto code = Processes[0]->awaitEnd(Second * 6);
+  auto code = Processes[0]->awaitExit(Second * 6);
   ASSERT_TRUE(code.ok()) << code.status();
   EXPECT_EQ(*code, 0);
-  EXPECT_TRUE(logHas(0, "\"event\":\"stopped\""));
+  EXPECT_TRUE(awaitLogText(0, "\"event\":\"stopped\""));
   for (int i = 0; i < 10; ++i)
     EXPECT_EQ(call(), CallResult::Kind::Answered) << i;
 }
@@ -222,11 +224,11 @@
 TEST_F(PacketFleetTest, ABrokenSettingsFileChangesNothing) {
   std::ofstream(settingsPath(1)) << "{\"vm\": 7}";
   Processes[1]->signal(SIGHUP);
-  EXPECT_TRUE(logHas(1, "\"event\":\"bad-settings\""));
-  EXPECT_TRUE(Processes[1]->running());
+  EXPECT_TRUE(awaitLogText(1, "\"event\":\"bad-settings\""));
+  EXPECT_TRUE(Processes[1]->isRunning());
   EXPECT_EQ(call(), CallResult::Kind::Answered);
   writeSettings(1, absl::StrCat("\"", vmIp(2), ":1\""));
-  EXPECT_TRUE(logHas(1, "\"event\":\"reloaded\"")) << "without a signal";
+  EXPECT_TRUE(awaitLogText(1, "\"event\":\"reloaded\"")) << "without a signal";
   EXPECT_EQ(call(), CallResult::Kind::Answered);
 }
 
@@ -234,13 +236,13 @@
 // says so, and starts once the address is free, without ending in between.
 TEST_F(PacketFleetTest, AHeldAddressIsWaitedFor) {
   Processes[2]->signal(SIGKILL);
-  ASSERT_TRUE(Processes[2]->awaitEnd(Second * 5).ok());
+  ASSERT_TRUE(Processes[2]->awaitExit(Second * 5).ok());
   {
     auto holder = ListenSocket::open({vmIp(2), Ports[3]});
     ASSERT_TRUE(holder.ok()) << holder.status();
     startDaemon(2);
-    EXPECT_TRUE(logHas(2, "\"event\":\"not-started\""));
-    EXPECT_TRUE(Processes[2]->running());
+    EXPECT_TRUE(awaitLogText(2, "\"event\":\"not-started\""));
+    EXPECT_TRUE(Processes[2]->isRunning());
   }
   EXPECT_TRUE(awaitUntil(Second * 10, [&] { return isReady(2); }));
 }
@@ -253,13 +255,13 @@
   Store->setMode(StandInStore::Mode::Silent);
   for (auto &process : Processes) {
     process->signal(SIGKILL);
-    ASSERT_TRUE(process->awaitEnd(Second * 5).ok());
+    ASSERT_TRUE(process->awaitExit(Second * 5).ok());
   }
   startDaemon(0);
-  ASSERT_TRUE(logHas(0, "\"event\":\"started\""));
-  Duration before = Processes[0]->processorTime();
+  ASSERT_TRUE(awaitLogText(0, "\"event\":\"started\""));
+  Duration before = Processes[0]->cpuTime();
   std::this_thread::sleep_for(Second * 2);
-  Duration used = Processes[0]->processorTime() - before;
+  Duration used = Processes[0]->cpuTime() - before;
   EXPECT_FALSE(isReady(0));
   EXPECT_LT(used, Second / 5) << used.count() << " us of two seconds";
 }
@@ -268,33 +270,37 @@
 // it with the operators' client: where it is, and where a new one would go.
 TEST_F(PacketFleetTest, OperatorsAskAboutAFlow) {
   platform::CallPlan plan;
-  ASSERT_EQ(Caller->call(Booking, plan).How, CallResult::Kind::Answered);
+  ASSERT_EQ(Caller->call(BookingEndpoint, plan).How,
+            CallResult::Kind::Answered);
   std::vector<Address> ports;
-  for (size_t i = 0; i < Daemons; ++i)
+  for (size_t i = 0; i < DaemonCount; ++i)
     ports.push_back({vmIp(i), Ports[2]});
   auto client = OperatorClient::create(ports, Second);
   ASSERT_TRUE(client.ok()) << client.status();
-  auto ask = [&](const std::string &path, const OperatorClient::Query &query) {
+  auto queryDaemons = [&](const std::string &path,
+                          const OperatorClient::Query &query) {
     auto replies = client->askAll(path, query);
     return reportDecisions(replies, OutputFormat::Text);
   };
   // The caller's first flow comes from port 1001.
-  Report flow = ask(
+  Report flow = queryDaemons(
       "explain", {{"kind", "flow"}, {"id", "127.0.7.1:1001>198.18.0.1:443"}});
   EXPECT_EQ(flow.ExitCode, ExitCodes::Good) << flow.Notes;
   EXPECT_NE(flow.Text.find("the flow is ending at i-"), std::string::npos)
       << flow.Text;
-  Report where =
-      ask("where", {{"service", "198.18.0.1:443"}, {"flow", "127.0.7.1:2000"}});
-  EXPECT_NE(where.Text.find("would go to i-"), std::string::npos) << where.Text;
-  Report nowhere =
-      ask("where", {{"service", "198.18.0.1:444"}, {"flow", "127.0.7.1:2000"}});
-  EXPECT_NE(nowhere.Text.find("no-route"), std::string::npos) << nowhere.Text;
+  Report placement = queryDaemons(
+      "where", {{"service", "198.18.0.1:443"}, {"flow", "127.0.7.1:2000"}});
+  EXPECT_NE(placement.Text.find("would go to i-"), std::string::npos)
+      << placement.Text;
+  Report noRoute = queryDaemons(
+      "where", {{"service", "198.18.0.1:444"}, {"flow", "127.0.7.1:2000"}});
+  EXPECT_NE(noRoute.Text.find("no-route"), std::string::npos) << noRoute.Text;
   Report servers =
       reportServers(client->askAll("servers", {}), OutputFormat::Text);
   EXPECT_NE(servers.Text.find("i-4"), std::string::npos) << servers.Text;
-  Report wrong = ask("explain", {{"kind", "flow"}, {"id", "nonsense"}});
-  EXPECT_NE(wrong.ExitCode, ExitCodes::Good);
+  Report badId =
+      queryDaemons("explain", {{"kind", "flow"}, {"id", "nonsense"}});
+  EXPECT_NE(badId.ExitCode, ExitCodes::Good);
   Report metrics =
       reportMetrics(client->askAll("metrics", {}), OutputFormat::Text);
   EXPECT_NE(metrics.Text.find("balsamrack_flow_events_total"),
@@ -305,8 +311,8 @@
 TEST_F(PacketFleetTest, AllDaemonsComeBackTogether) {
   for (auto &process : Processes)
     process->signal(SIGKILL);
-  for (size_t i = 0; i < Daemons; ++i) {
-    ASSERT_TRUE(Processes[i]->awaitEnd(Second * 5).ok());
+  for (size_t i = 0; i < DaemonCount; ++i) {
+    ASSERT_TRUE(Processes[i]->awaitExit(Second * 5).ok());
     startDaemon(i);
   }
   EXPECT_EQ(call(), CallResult::Kind::Answered);
--- a/FailureTests/PlatformFailureTest.cpp
+++ b/FailureTests/PlatformFailureTest.cpp
@@ -11,14 +11,14 @@
 class PlatformFailureTest : public FleetTest {
 protected:
   /// Kills daemon \p i and starts it again.
-  void restart(size_t i) {
-    Up->daemon(i).signal(SIGKILL);
-    ASSERT_TRUE(Up->daemon(i).awaitEnd(5s).ok());
-    ASSERT_TRUE(Up->startDaemon(i).ok());
-    ASSERT_TRUE(Up->awaitReady(i).ok());
+  void killAndRestart(size_t i) {
+    TestFleet->daemon(i).signal(SIGKILL);
+    ASSERT_TRUE(TestFleet->daemon(i).awaitExit(5s).ok());
+    ASSERT_TRUE(TestFleet->startDaemon(i).ok());
+    ASSERT_TRUE(TestFleet->awaitReady(i).ok());
   }
-  uint64_t ticketAt(size_t i) {
-    return Up->ask(i, "status").value("ticket", 0);
+  uint64_t ticketInForceAt(size_t i) {
+    return TestFleet->queryDaemon(i, "status").value("ticket", 0);
   }
 };
 
@@ -26,50 +26,51 @@
 // nothing and can't read the platform; it must get the state from its peers and
 // serve.
 TEST_F(PlatformFailureTest, DownAtStart) {
-  ASSERT_NO_FATAL_FAILURE(startFleet(smallPlan()));
-  uint64_t ticket = Up->drain("booking-a1");
+  ASSERT_NO_FATAL_FAILURE(startFleet(makeSmallPlan()));
+  uint64_t ticket = TestFleet->drainServer("booking-a1");
   for (size_t i = 0; i < 3; ++i)
-    ASSERT_TRUE(Up->awaitInForce(i, ticket, 6s));
-  Up->platformMode({{"mode", "down"}});
-  ASSERT_NO_FATAL_FAILURE(restart(0));
-  EXPECT_TRUE(Up->awaitInForce(0, ticket, 6s));
-  Up->setFabric({0});
-  standins::LoadGenerator load(Up->calls());
+    ASSERT_TRUE(TestFleet->awaitTicketInForce(i, ticket, 6s));
+  TestFleet->setPlatformMode({{"mode", "down"}});
+  ASSERT_NO_FATAL_FAILURE(killAndRestart(0));
+  EXPECT_TRUE(TestFleet->awaitTicketInForce(0, ticket, 6s));
+  TestFleet->setFabricDaemons({0});
+  standins::LoadGenerator load(TestFleet->makeCallSettings());
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(load, 200));
-  expectKept(Up->judge(load), 0.5);
+  expectNoViolations(TestFleet->stopAndVerify(load), 0.5);
 }
 
 // Story: a drain is in force. The platform fails over to a replica that doesn't
 // know its ticket, and a daemon restarts next to live peers. No daemon may go
 // back to the state before the drain, nor may the restarted one.
 TEST_F(PlatformFailureTest, StaleAnswersRevertNothing) {
-  ASSERT_NO_FATAL_FAILURE(startFleet(smallPlan()));
-  uint64_t ticket = Up->drain("booking-b1");
+  ASSERT_NO_FATAL_FAILURE(startFleet(makeSmallPlan()));
+  uint64_t ticket = TestFleet->drainServer("booking-b1");
   for (size_t i = 0; i < 3; ++i)
-    ASSERT_TRUE(Up->awaitInForce(i, ticket, 6s));
-  Up->platformMode({{"mode", "stale"}, {"stale_at", ticket - 1}});
-  ASSERT_NO_FATAL_FAILURE(restart(1));
-  EXPECT_TRUE(Up->awaitInForce(1, ticket, 6s));
+    ASSERT_TRUE(TestFleet->awaitTicketInForce(i, ticket, 6s));
+  TestFleet->setPlatformMode({{"mode", "stale"}, {"stale_at", ticket - 1}});
+  ASSERT_NO_FATAL_FAILURE(killAndRestart(1));
+  EXPECT_TRUE(TestFleet->awaitTicketInForce(1, ticket, 6s));
   for (size_t i = 0; i < 3; ++i)
-    EXPECT_EQ(ticketAt(i), ticket) << "at daemon " << i;
+    EXPECT_EQ(ticketInForceAt(i), ticket) << "at daemon " << i;
   // Back to the newest replica: a later ticket comes into force as ever.
-  Up->platformMode({{"mode", "up"}});
-  uint64_t next = Up->drain("booking-a1");
+  TestFleet->setPlatformMode({{"mode", "up"}});
+  uint64_t next = TestFleet->drainServer("booking-a1");
   for (size_t i = 0; i < 3; ++i)
-    EXPECT_TRUE(Up->awaitInForce(i, next, 15s));
+    EXPECT_TRUE(TestFleet->awaitTicketInForce(i, next, 15s));
 }
 
 // Story: only one daemon can reach the platform; the links of the others are
 // cut. A ticket must still be in force everywhere within 6 s, through the one.
 TEST_F(PlatformFailureTest, OneReaderIsEnough) {
-  FleetPlan plan = smallPlan();
-  plan.PlatformRelays = true;
+  FleetPlan plan = makeSmallPlan();
+  plan.UsePlatformRelays = true;
   ASSERT_NO_FATAL_FAILURE(startFleet(plan));
-  Up->platformRelay(1).cut();
-  Up->platformRelay(2).cut();
-  uint64_t ticket = Up->drain("booking-a1");
+  TestFleet->platformRelay(1).cut();
+  TestFleet->platformRelay(2).cut();
+  uint64_t ticket = TestFleet->drainServer("booking-a1");
   for (size_t i = 0; i < 3; ++i)
-    EXPECT_TRUE(Up->awaitInForce(i, ticket, 6s)) << "at daemon " << i;
+    EXPECT_TRUE(TestFleet->awaitTicketInForce(i, ticket, 6s))
+        << "at daemon " << i;
 }
 
 } // namespace
--- a/FailureTests/Process.cpp
+++ b/FailureTests/Process.cpp
@@ -18,31 +18,32 @@
 
 namespace {
 
-constexpr auto LookPeriod = std::chrono::milliseconds(20);
+constexpr auto PollPeriod = std::chrono::milliseconds(20);
 /// Below 32768, where the ports of outgoing connections begin.
 constexpr uint16_t FirstPort = 12'000;
 constexpr uint16_t PortCount = 18'000;
 
 // Runs in the child; must only call what is safe after fork.
-[[noreturn]] void runChild(const char *path, char *const *argv, int log) {
+[[noreturn]] void execChild(const char *path, char *const *argv, int logFd) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
-  dup2(log, STDOUT_FILENO);
-  dup2(log, STDERR_FILENO);
-  sigset_t none;
-  sigemptyset(&none);
-  sigprocmask(SIG_SETMASK, &none, nullptr);
+  dup2(logFd, STDOUT_FILENO);
+  dup2(logFd, STDERR_FILENO);
+  sigset_t emptyMask;
+  sigemptyset(&emptyMask);
+  sigprocmask(SIG_SETMASK, &emptyMask, nullptr);
   execv(path, argv);
   _exit(127);
 }
 
 bool canListen(uint16_t port) {
   int fd = socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  at.sin_port = htons(port);
-  int yes = 1;
-  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof(yes));
-  bool ok = bind(fd, reinterpret_cast<sockaddr *>(&at), sizeof(at)) == 0;
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(port);
+  int enable = 1;
+  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof(enable));
+  bool ok =
+      bind(fd, reinterpret_cast<sockaddr *>(&address), sizeof(address)) == 0;
   close(fd);
   return ok;
 }
@@ -51,7 +52,7 @@
 
 absl::StatusOr<std::unique_ptr<Process>>
 Process::start(const std::string &name, const std::vector<std::string> &args,
-               const std::string &log) {
+               const std::string &logPath) {
   std::string path = std::string(BALSAMRACK_BINARY_DIR) + "/" + name;
   if (access(path.c_str(), X_OK) != 0)
     return absl::NotFoundError(path + " is not built");
@@ -59,10 +60,11 @@
   for (const auto &arg : args)
     argv.push_back(const_cast<char *>(arg.c_str()));
   argv.push_back(nullptr);
-  int fd = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
+  int fd =
+      open(logPath.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
   pid_t pid = fork();
   if (pid == 0)
-    runChild(path.c_str(), argv.data(), fd);
+    execChild(path.c_str(), argv.data(), fd);
   close(fd);
   if (pid < 0)
     return absl::InternalError("fork failed");
@@ -70,7 +72,7 @@
 }
 
 Process::~Process() {
-  if (!running())
+  if (!isRunning())
     return;
   signal(SIGKILL);
   waitpid(Pid, nullptr, 0);
@@ -78,32 +80,32 @@
 
 void Process::signal(int signal) const { kill(Pid, signal); }
 
-bool Process::running() {
+bool Process::isRunning() {
   int status = 0;
-  if (Ended || waitpid(Pid, &status, WNOHANG) != Pid)
-    return !Ended;
-  Ended = true;
-  Code = WIFSIGNALED(status) ? -WTERMSIG(status) : WEXITSTATUS(status);
+  if (Exited || waitpid(Pid, &status, WNOHANG) != Pid)
+    return !Exited;
+  Exited = true;
+  ExitCode = WIFSIGNALED(status) ? -WTERMSIG(status) : WEXITSTATUS(status);
   return false;
 }
 
-absl::StatusOr<int> Process::awaitEnd(Duration limit) {
-  if (!awaitUntil(limit, [this] { return !running(); }))
+absl::StatusOr<int> Process::awaitExit(Duration timeout) {
+  if (!awaitUntil(timeout, [this] { return !isRunning(); }))
     return absl::DeadlineExceededError("still running");
-  return Code;
+  return ExitCode;
 }
 
-Duration Process::processorTime() const {
+Duration Process::cpuTime() const {
   clockid_t clock;
   timespec used{};
   if (clock_getcpuclockid(Pid, &clock) != 0 || clock_gettime(clock, &used) != 0)
     return Duration{0};
-  auto whole = std::chrono::seconds(used.tv_sec) +
+  auto total = std::chrono::seconds(used.tv_sec) +
                std::chrono::nanoseconds(used.tv_nsec);
-  return std::chrono::duration_cast<Duration>(whole);
+  return std::chrono::duration_cast<Duration>(total);
 }
 
-uint16_t freePort() {
+uint16_t findFreePort() {
   // Each test process begins elsewhere, so that two don't take one port.
   static uint16_t next = static_cast<uint16_t>(getpid() * 97 % PortCount);
   for (uint16_t tries = 0; tries < PortCount; ++tries) {
@@ -123,6 +125,6 @@
   return seed;
 }
 
-void shortPause() { std::this_thread::sleep_for(LookPeriod); }
+void sleepForPollPeriod() { std::this_thread::sleep_for(PollPeriod); }
 
 } // namespace balsamrack
--- a/FailureTests/Relay.cpp
+++ b/FailureTests/Relay.cpp
@@ -15,20 +15,20 @@
 
 namespace {
 
-constexpr int PollMs = 20;
+constexpr int PollTimeoutMs = 20;
 constexpr int Backlog = 64;
-constexpr std::chrono::milliseconds AnswerDelay{100};
+constexpr std::chrono::milliseconds ReplyDelay{100};
 
-sockaddr_in rawAddress(const Address &at) {
+sockaddr_in toSockaddr(const Address &address) {
   sockaddr_in raw{};
   raw.sin_family = AF_INET;
-  raw.sin_port = htons(at.Port);
-  inet_pton(AF_INET, at.Ip.c_str(), &raw.sin_addr);
+  raw.sin_port = htons(address.Port);
+  inet_pton(AF_INET, address.Ip.c_str(), &raw.sin_addr);
   return raw;
 }
 
 // Passes on what has come, or drops it; false when either side has closed.
-bool passSome(int from, int to, bool drop) {
+bool forwardBytes(int from, int to, bool drop) {
   std::array<char, 16384> buf{};
   ssize_t n = recv(from, buf.data(), buf.size(), MSG_DONTWAIT);
   if (drop)
@@ -43,71 +43,73 @@
 }
 
 // Closes \p fd so that its peer sees a reset.
-void closeByReset(int fd) {
-  linger now{1, 0};
-  setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+void closeWithReset(int fd) {
+  linger resetOnClose{1, 0};
+  setsockopt(fd, SOL_SOCKET, SO_LINGER, &resetOnClose, sizeof(resetOnClose));
   close(fd);
 }
 
 } // namespace
 
-Relay::Relay(const Address &listen, Address to) : To(std::move(to)) {
+Relay::Relay(const Address &listen, Address target)
+    : Target(std::move(target)) {
   Listener = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  int yes = 1;
-  setsockopt(Listener, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof(yes));
-  sockaddr_in at = rawAddress(listen);
+  int enable = 1;
+  setsockopt(Listener, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof(enable));
+  sockaddr_in address = toSockaddr(listen);
   // The port is free; were it taken, nothing would pass, and the test fail.
-  (void)bind(Listener, reinterpret_cast<sockaddr *>(&at), sizeof(at));
+  (void)bind(Listener, reinterpret_cast<sockaddr *>(&address), sizeof(address));
   (void)::listen(Listener, Backlog);
-  Accepting = std::thread([this] { accept(); });
+  AcceptThread = std::thread([this] { acceptConnections(); });
 }
 
 Relay::~Relay() {
   Stopped = true;
-  Accepting.join();
-  std::lock_guard<std::mutex> guard(Lock);
-  for (auto &thread : Passing)
+  AcceptThread.join();
+  std::lock_guard<std::mutex> guard(ThreadsLock);
+  for (auto &thread : ConnectionThreads)
     thread.join();
   close(Listener);
 }
 
-void Relay::accept() {
+void Relay::acceptConnections() {
   pollfd ready{Listener, POLLIN, 0};
   while (!Stopped) {
-    if (Now == Mode::Cut) {
-      shortPause();
+    if (CurrentMode == Mode::Cut) {
+      sleepForPollPeriod();
       continue;
     }
-    if (poll(&ready, 1, PollMs) <= 0)
+    if (poll(&ready, 1, PollTimeoutMs) <= 0)
       continue;
     int from = accept4(Listener, nullptr, nullptr, SOCK_CLOEXEC);
-    std::lock_guard<std::mutex> guard(Lock);
+    std::lock_guard<std::mutex> guard(ThreadsLock);
     if (from >= 0)
-      Passing.emplace_back([this, from] { pass(from); });
+      ConnectionThreads.emplace_back([this, from] { relayConnection(from); });
   }
 }
 
-void Relay::pass(int from) {
+void Relay::relayConnection(int from) {
   int to = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  sockaddr_in at = rawAddress(To);
-  bool open = connect(to, reinterpret_cast<sockaddr *>(&at), sizeof(at)) == 0;
-  while (open && !Stopped && Now != Mode::Resets) {
-    if (Now == Mode::Cut) {
-      shortPause();
+  sockaddr_in address = toSockaddr(Target);
+  bool open =
+      connect(to, reinterpret_cast<sockaddr *>(&address), sizeof(address)) == 0;
+  while (open && !Stopped && CurrentMode != Mode::Resetting) {
+    if (CurrentMode == Mode::Cut) {
+      sleepForPollPeriod();
       continue;
     }
     std::array<pollfd, 2> ready{{{from, POLLIN, 0}, {to, POLLIN, 0}}};
-    poll(ready.data(), ready.size(), PollMs);
+    poll(ready.data(), ready.size(), PollTimeoutMs);
     if (ready[0].revents != 0)
-      open = passSome(from, to, false);
+      open = forwardBytes(from, to, false);
     if (open && ready[1].revents != 0) {
-      if (Now == Mode::Delayed)
-        std::this_thread::sleep_for(AnswerDelay);
-      open = passSome(to, from, Now == Mode::AnswersLost);
+      if (CurrentMode == Mode::RepliesDelayed)
+        std::this_thread::sleep_for(ReplyDelay);
+      open = forwardBytes(to, from, CurrentMode == Mode::RepliesLost);
     }
   }
-  if (Now == Mode::Resets)
-    closeByReset(from);
+  if (CurrentMode == Mode::Resetting)
+    closeWithReset(from);
   else
     close(from);
   close(to);
--- a/FailureTests/StandInsTest.cpp
+++ b/FailureTests/StandInsTest.cpp
@@ -29,22 +29,22 @@
       s.Slots = 100;
       Servers[i] = std::make_unique<BackendServer>(s);
       // One port on two loopback addresses, as on two entry VMs.
-      auto at = HttpServer::listen(
+      auto http = HttpServer::listen(
           {absl::StrCat("127.0.2.", i + 1), ServerPort},
           [this, i](const Message &m) { return Servers[i]->serve(m); });
-      ASSERT_TRUE(at.ok()) << at.status();
-      ServerHttp[i] = std::move(*at);
+      ASSERT_TRUE(http.ok()) << http.status();
+      ServerHttp[i] = std::move(*http);
     }
     auto fabric =
         HttpServer::listen({"127.0.0.1", FabricPort}, [this](const Message &m) {
-          return Spray.forward(ServerPort, m);
+          return TestFabric.forward(ServerPort, m);
         });
     ASSERT_TRUE(fabric.ok()) << fabric.status();
     FabricHttp = std::move(*fabric);
   }
 
-  void useServers(const std::string &list) {
-    Spray.handleControl({"POST", "/daemons", {}, list});
+  void setFabricServers(const std::string &list) {
+    TestFabric.handleControl({"POST", "/daemons", {}, list});
   }
 
   LoadReport runLoad(const std::string &service) {
@@ -66,16 +66,16 @@
     return report;
   }
 
-  const uint16_t ServerPort = freePort();
-  const uint16_t FabricPort = freePort();
-  Fabric Spray{testSeed()};
+  const uint16_t ServerPort = findFreePort();
+  const uint16_t FabricPort = findFreePort();
+  Fabric TestFabric{testSeed()};
   std::unique_ptr<BackendServer> Servers[2];
   std::unique_ptr<HttpServer> ServerHttp[2];
   std::unique_ptr<HttpServer> FabricHttp;
 };
 
 TEST_F(StandInsTest, OneServerIsClean) {
-  useServers(R"([{"ip":"127.0.2.1"}])");
+  setFabricServers(R"([{"ip":"127.0.2.1"}])");
   LoadReport report = runLoad("booking");
   EXPECT_TRUE(report.isClean()) << report.json();
   EXPECT_EQ(report.Answered, report.Requests) << report.json();
@@ -84,14 +84,14 @@
 // Story: the fabric sprays a flow's packets and nothing keeps them together.
 // The second server never saw the flow open. The callers must notice.
 TEST_F(StandInsTest, CallersNoticeBrokenFlows) {
-  useServers(R"([{"ip":"127.0.2.1"},{"ip":"127.0.2.2"}])");
+  setFabricServers(R"([{"ip":"127.0.2.1"},{"ip":"127.0.2.2"}])");
   EXPECT_GT(runLoad("booking").BrokenFlows, 0U);
 }
 
 // Story: packets for the archive end at booking servers. Both the answers and
 // the servers' counts must show it.
 TEST_F(StandInsTest, CallersNoticeTheWrongService) {
-  useServers(R"([{"ip":"127.0.2.1"}])");
+  setFabricServers(R"([{"ip":"127.0.2.1"}])");
   LoadReport report = runLoad("archive");
   EXPECT_GE(report.WrongService, 2 * report.Answered);
 }
--- a/PerformanceTest/ControlMeasure.cpp
+++ b/PerformanceTest/ControlMeasure.cpp
@@ -15,52 +15,52 @@
 namespace {
 
 constexpr Duration Second{1'000'000};
-constexpr size_t Domains = 5;
+constexpr size_t DomainCount = 5;
 constexpr size_t ServersPerDaemon = 9;
 /// WebSocket header and mask, TCP and IP headers, and the acknowledgement that
 /// the other side sends: reckoned, not measured.
-constexpr size_t FrameBytes = 90;
-constexpr Duration Settle = 40 * Second;
-constexpr Duration Calm = 20 * Second;
+constexpr size_t FrameOverheadBytes = 90;
+constexpr Duration SettleTime = 40 * Second;
+constexpr Duration SteadyTime = 20 * Second;
 
 /// What was measured so far, and whom to tell.
-struct Figures {
+struct FigureCollector {
   std::function<void(const Figure &)> OnFigure; ///< Called with each.
   std::vector<Figure> All;                      ///< All so far.
 };
 
 std::string vmName(size_t i) { return "vm-" + std::to_string(i); }
 std::string domainName(size_t i) {
-  return "domain-" + std::to_string(i % Domains);
+  return "domain-" + std::to_string(i % DomainCount);
 }
 
 /// A settled fleet of \p count daemons.
 std::unique_ptr<FleetSimulation> makeFleet(size_t count, double loss) {
-  FleetSimulation::Options how;
-  how.Loss = loss;
-  how.Tick = Duration(100'000);
-  auto fleet = std::make_unique<FleetSimulation>(how);
+  FleetSimulation::Options options;
+  options.Loss = loss;
+  options.Tick = Duration(100'000);
+  auto fleet = std::make_unique<FleetSimulation>(options);
   std::vector<EntryVm> vms;
   for (size_t i = 0; i < count; ++i)
     vms.push_back({VmId(vmName(i)), DomainId(domainName(i)),
                    Address{"10.0.0.1", static_cast<uint16_t>(i + 1)}, false});
   fleet->list(vms);
-  for (size_t d = 0; d < Domains; ++d) {
+  for (size_t d = 0; d < DomainCount; ++d) {
     std::vector<std::string> servers;
-    for (size_t i = 0; i < count * ServersPerDaemon / Domains; ++i)
+    for (size_t i = 0; i < count * ServersPerDaemon / DomainCount; ++i)
       servers.push_back("server-" + std::to_string(d) + "-" +
                         std::to_string(i));
     fleet->setServers("domain-" + std::to_string(d), servers);
   }
   for (const EntryVm &vm : vms)
     fleet->start(vm.Id.str(), vm.Domain.str());
-  fleet->run(Settle);
+  fleet->run(SettleTime);
   return fleet;
 }
 
-void countBytes(FleetSimulation &fleet) {
+void enableByteCounting(FleetSimulation &fleet) {
   fleet.setSizeOf([](const PeerMessage &message) {
-    return encodePeerMessage(message).size() + FrameBytes;
+    return encodePeerMessage(message).size() + FrameOverheadBytes;
   });
 }
 
@@ -70,24 +70,24 @@
 
 double heapBytes() { return static_cast<double>(mallinfo2().uordblks); }
 
-double seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
+double toSeconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
 
-double worstSecond(FleetSimulation &fleet, TimePoint from) {
-  uint64_t worst = 0;
+double maxBytesPerSecond(FleetSimulation &fleet, TimePoint start) {
+  uint64_t maxBytes = 0;
   for (const auto &node : fleet.nodes())
     for (const auto &[second, bytes] : node->BytesOfSecond)
-      if (second >= from.time_since_epoch().count() / 1'000'000)
-        worst = std::max(worst, bytes);
-  return static_cast<double>(worst);
+      if (second >= start.time_since_epoch().count() / 1'000'000)
+        maxBytes = std::max(maxBytes, bytes);
+  return static_cast<double>(maxBytes);
 }
 
-struct Slope {
-  double At0 = 0;      ///< Value at size zero.
-  double PerOne = 0;   ///< Growth for each daemon.
-  double Residual = 0; ///< Root of the mean squared distance from the line.
+struct LinearFit {
+  double Intercept = 0; ///< Value at size zero.
+  double PerOne = 0;    ///< Growth for each daemon.
+  double Residual = 0;  ///< Root of the mean squared distance from the line.
 };
 
-Slope fit(const std::vector<std::pair<double, double>> &points) {
+LinearFit fitLine(const std::vector<std::pair<double, double>> &points) {
   double n = static_cast<double>(points.size()), sx = 0, sy = 0, sxx = 0,
          sxy = 0;
   for (const auto &[x, y] : points) {
@@ -96,42 +96,42 @@
     sxx += x * x;
     sxy += x * y;
   }
-  Slope line;
+  LinearFit line;
   line.PerOne = (n * sxy - sx * sy) / (n * sxx - sx * sx);
-  line.At0 = (sy - line.PerOne * sx) / n;
+  line.Intercept = (sy - line.PerOne * sx) / n;
   for (const auto &[x, y] : points)
-    line.Residual += std::pow(y - line.At0 - line.PerOne * x, 2) / n;
+    line.Residual += std::pow(y - line.Intercept - line.PerOne * x, 2) / n;
   line.Residual = std::sqrt(line.Residual);
   return line;
 }
 
-void add(Figures &figures, const std::string &name, double value,
-         const std::string &unit) {
+void addFigure(FigureCollector &figures, const std::string &name, double value,
+               const std::string &unit) {
   figures.All.push_back({name, value, unit, 0, "none"});
   figures.OnFigure(figures.All.back());
 }
 
-void addSlope(Figures &figures, const std::string &name,
-              const std::vector<std::pair<double, double>> &points,
-              const std::string &unit) {
-  Slope line = fit(points);
-  add(figures, name + "_slope_per_daemon", line.PerOne, unit);
-  add(figures, name + "_at_zero", line.At0, unit);
-  add(figures, name + "_residual", line.Residual, unit);
+void addLinearFit(FigureCollector &figures, const std::string &name,
+                  const std::vector<std::pair<double, double>> &points,
+                  const std::string &unit) {
+  LinearFit line = fitLine(points);
+  addFigure(figures, name + "_slope_per_daemon", line.PerOne, unit);
+  addFigure(figures, name + "_at_zero", line.Intercept, unit);
+  addFigure(figures, name + "_residual", line.Residual, unit);
 }
 
 /// Time until a ticket, read by one daemon, is in force at all that run.
-void measureTicket(FleetSimulation &fleet, const std::string &name,
-                   double paused, Figures &figures) {
+void measureTicketPropagation(FleetSimulation &fleet, const std::string &name,
+                              double pausedFraction, FigureCollector &figures) {
   auto &nodes = fleet.nodes();
-  size_t asleep =
-      static_cast<size_t>(paused * static_cast<double>(nodes.size()));
-  for (size_t i = 1; i <= asleep; ++i)
-    fleet.pause(i * (nodes.size() / (asleep + 1)));
+  size_t pausedCount =
+      static_cast<size_t>(pausedFraction * static_cast<double>(nodes.size()));
+  for (size_t i = 1; i <= pausedCount; ++i)
+    fleet.pause(i * (nodes.size() / (pausedCount + 1)));
   ObjectState object{{ObjectKind::Domain, "domain-0"},
                      {1},
                      FailureDomain{DomainId("domain-0"), RegionId("r"), true}};
-  TimePoint from = fleet.now();
+  TimePoint start = fleet.now();
   fleet.merge(0, {object});
   std::vector<double> times(nodes.size(), -1);
   fleet.runUntil(
@@ -139,26 +139,28 @@
         bool all = true;
         for (size_t i = 0; i < nodes.size(); ++i) {
           if (times[i] < 0 && nodes[i]->Store->isInForce({1}))
-            times[i] = seconds(fleet.now() - from);
+            times[i] = toSeconds(fleet.now() - start);
           all = all && (times[i] >= 0 || nodes[i]->Paused);
         }
         return all;
       },
       60 * Second);
-  std::vector<double> reached;
+  std::vector<double> sortedTimes;
   for (size_t i = 0; i < nodes.size(); ++i)
     if (!nodes[i]->Paused)
-      reached.push_back(times[i] < 0 ? 60 : times[i]);
-  std::sort(reached.begin(), reached.end());
-  add(figures, name + "_median", reached[reached.size() / 2], "s");
-  add(figures, name + "_p99", reached[reached.size() * 99 / 100], "s");
-  add(figures, name + "_max", reached.back(), "s");
+      sortedTimes.push_back(times[i] < 0 ? 60 : times[i]);
+  std::sort(sortedTimes.begin(), sortedTimes.end());
+  addFigure(figures, name + "_median", sortedTimes[sortedTimes.size() / 2],
+            "s");
+  addFigure(figures, name + "_p99", sortedTimes[sortedTimes.size() * 99 / 100],
+            "s");
+  addFigure(figures, name + "_max", sortedTimes.back(), "s");
   for (size_t i = 0; i < nodes.size(); ++i)
     if (nodes[i]->Paused)
       fleet.resume(i);
 }
 
-size_t ownedCount(FleetSimulation &fleet, const std::string &domain) {
+size_t countOwnedServers(FleetSimulation &fleet, const std::string &domain) {
   size_t owned = 0;
   for (const auto &node : fleet.nodes())
     if (node->Running && node->Vm.Domain.str() == domain)
@@ -167,98 +169,105 @@
 }
 
 /// Kills \p count daemons of one domain at once.
-void measureDeaths(size_t size, size_t count, Figures &figures) {
+void measureDaemonDeaths(size_t size, size_t count, FigureCollector &figures) {
   auto fleet = makeFleet(size, 0);
-  countBytes(*fleet);
-  TimePoint from = fleet->now();
-  size_t all = ownedCount(*fleet, "domain-0");
+  enableByteCounting(*fleet);
+  TimePoint start = fleet->now();
+  size_t ownedBefore = countOwnedServers(*fleet, "domain-0");
   for (size_t i = 0; i < count; ++i)
-    fleet->kill(i * Domains);
+    fleet->kill(i * DomainCount);
   std::string name = "deaths_" + std::to_string(count);
-  TimePoint until = from + 60 * Second;
+  TimePoint deadline = start + 60 * Second;
   // Ownership is looked at once a virtual second only, since it is costly.
-  while (fleet->now() < until && count * Domains < size &&
-         ownedCount(*fleet, "domain-0") < all)
+  while (fleet->now() < deadline && count * DomainCount < size &&
+         countOwnedServers(*fleet, "domain-0") < ownedBefore)
     fleet->run(Second);
-  double settled = seconds(fleet->now() - from);
+  double settled = toSeconds(fleet->now() - start);
   fleet->run(20 * Second);
-  add(figures, name + "_worst_second", worstSecond(*fleet, from), "B");
-  if (count * Domains < size)
-    add(figures, name + "_owners_settled_after", settled, "s");
+  addFigure(figures, name + "_worst_second", maxBytesPerSecond(*fleet, start),
+            "B");
+  if (count * DomainCount < size)
+    addFigure(figures, name + "_owners_settled_after", settled, "s");
 }
 
-void measureRegionCut(size_t size, Figures &figures) {
+void measureRegionPartition(size_t size, FigureCollector &figures) {
   auto fleet = makeFleet(size, 0);
-  countBytes(*fleet);
-  auto region = [](const EntryVm &vm) {
+  enableByteCounting(*fleet);
+  auto inRegion = [](const EntryVm &vm) {
     return vm.Domain.str() == "domain-0" || vm.Domain.str() == "domain-1";
   };
-  TimePoint from = fleet->now();
+  TimePoint start = fleet->now();
   fleet->setCut([&](const EntryVm &a, const EntryVm &b) {
-    return region(a) != region(b);
+    return inRegion(a) != inRegion(b);
   });
   fleet->run(60 * Second);
-  add(figures, "region_cut_worst_second", worstSecond(*fleet, from), "B");
+  addFigure(figures, "region_cut_worst_second",
+            maxBytesPerSecond(*fleet, start), "B");
   TimePoint healed = fleet->now();
   fleet->setCut({});
-  auto whole = [&] {
+  auto allMembersLive = [&] {
     for (const auto &node : fleet->nodes())
       for (const auto &[id, member] : node->Members->members())
         if (!member.live())
           return false;
     return true;
   };
-  while (!whole() && fleet->now() - healed < 120 * Second)
+  while (!allMembersLive() && fleet->now() - healed < 120 * Second)
     fleet->run(Second);
-  add(figures, "region_heal_seconds", seconds(fleet->now() - healed), "s");
-  add(figures, "region_heal_worst_second", worstSecond(*fleet, healed), "B");
+  addFigure(figures, "region_heal_seconds", toSeconds(fleet->now() - healed),
+            "s");
+  addFigure(figures, "region_heal_worst_second",
+            maxBytesPerSecond(*fleet, healed), "B");
 }
 
 } // namespace
 
 std::vector<Figure>
-measureControl(size_t largest,
-               const std::function<void(const Figure &)> &onFigure) {
-  Figures figures{onFigure, {}};
+measureControlPlane(size_t maxDaemons,
+                    const std::function<void(const Figure &)> &onFigure) {
+  FigureCollector figures{onFigure, {}};
   std::vector<std::pair<double, double>> bytes, cpu, memory;
   for (size_t size :
-       {size_t(9), size_t(60), size_t(150), size_t(300), largest}) {
-    if (size > largest)
+       {size_t(9), size_t(60), size_t(150), size_t(300), maxDaemons}) {
+    if (size > maxDaemons)
       continue;
     double heap = heapBytes();
     auto fleet = makeFleet(size, 0);
     double count = static_cast<double>(size);
-    double each = (heapBytes() - heap) / count;
-    double started = cpuSeconds();
-    fleet->run(Calm);
-    double micros = (cpuSeconds() - started) * 1e6 / seconds(Calm) / count;
-    countBytes(*fleet);
+    double bytesPerDaemon = (heapBytes() - heap) / count;
+    double cpuBefore = cpuSeconds();
+    fleet->run(SteadyTime);
+    double cpuMicros =
+        (cpuSeconds() - cpuBefore) * 1e6 / toSeconds(SteadyTime) / count;
+    enableByteCounting(*fleet);
     uint64_t before = 0, after = 0;
     for (const auto &node : fleet->nodes())
       before += node->SentBytes;
-    fleet->run(Calm);
+    fleet->run(SteadyTime);
     for (const auto &node : fleet->nodes())
       after += node->SentBytes;
-    double rate = static_cast<double>(after - before) / seconds(Calm) / count;
-    std::string at = "_at_" + std::to_string(size);
-    add(figures, "control_bytes_per_second" + at, rate, "B/s");
-    add(figures, "control_cpu" + at, micros, "us/s");
-    add(figures, "control_memory" + at, each, "B");
+    double rate =
+        static_cast<double>(after - before) / toSeconds(SteadyTime) / count;
+    std::string suffix = "_at_" + std::to_string(size);
+    addFigure(figures, "control_bytes_per_second" + suffix, rate, "B/s");
+    addFigure(figures, "control_cpu" + suffix, cpuMicros, "us/s");
+    addFigure(figures, "control_memory" + suffix, bytesPerDaemon, "B");
     bytes.emplace_back(count, rate);
-    cpu.emplace_back(count, micros);
-    memory.emplace_back(count, each);
+    cpu.emplace_back(count, cpuMicros);
+    memory.emplace_back(count, bytesPerDaemon);
     fleet.reset();
-    if (size == 9 || size == 60 || size == largest) {
+    if (size == 9 || size == 60 || size == maxDaemons) {
       auto lossy = makeFleet(size, 0.02);
-      measureTicket(*lossy, "ticket_in_force" + at, 0.05, figures);
+      measureTicketPropagation(*lossy, "ticket_in_force" + suffix, 0.05,
+                               figures);
     }
   }
-  addSlope(figures, "control_bytes_per_second", bytes, "B/s");
-  addSlope(figures, "control_cpu", cpu, "us/s");
-  addSlope(figures, "control_memory", memory, "B");
-  measureDeaths(largest, largest / 20, figures);
-  measureDeaths(largest, largest / Domains, figures);
-  measureRegionCut(largest, figures);
+  addLinearFit(figures, "control_bytes_per_second", bytes, "B/s");
+  addLinearFit(figures, "control_cpu", cpu, "us/s");
+  addLinearFit(figures, "control_memory", memory, "B");
+  measureDaemonDeaths(maxDaemons, maxDaemons / 20, figures);
+  measureDaemonDeaths(maxDaemons, maxDaemons / DomainCount, figures);
+  measureRegionPartition(maxDaemons, figures);
   return figures.All;
 }
 
--- a/PerformanceTest/ControlMeasure.h
+++ b/PerformanceTest/ControlMeasure.h
@@ -14,8 +14,8 @@
 /// there. Bytes are those of the real codec plus a constant for the frames
 /// below it. Not thread-safe.
 std::vector<Figure>
-measureControl(size_t largest,
-               const std::function<void(const Figure &)> &onFigure);
+measureControlPlane(size_t maxDaemons,
+                    const std::function<void(const Figure &)> &onFigure);
 
 } // namespace balsamrack
 
--- a/PerformanceTest/FlowBaselines.cpp
+++ b/PerformanceTest/FlowBaselines.cpp
@@ -16,20 +16,20 @@
 
 namespace {
 
-constexpr size_t Servers = 14;
-constexpr size_t Daemons = 8;
-constexpr size_t Drained = 3;
+constexpr size_t ServerCount = 14;
+constexpr size_t DaemonCount = 8;
+constexpr size_t DrainedServer = 3;
 
-std::vector<RankedServer> rankedServers(size_t count, bool drained) {
+std::vector<RankedServer> rankedServers(size_t count, bool skipDrained) {
   std::vector<RankedServer> list;
   for (size_t i = 0; i < count; ++i)
-    if (!drained || i != Drained)
+    if (!skipDrained || i != DrainedServer)
       list.push_back({ServerId(absl::StrCat("booking-", i)), 100});
   return list;
 }
 
 /// hash(flow) mod n over the servers that take flows.
-double moduloBroken(size_t before, size_t after, size_t flows) {
+double moduloBrokenPercent(size_t before, size_t after, size_t flows) {
   size_t moved = 0;
   for (uint64_t f = 1; f <= flows; ++f) {
     uint64_t hash = combineHash(f, 1);
@@ -40,9 +40,9 @@
 
 /// Rendezvous over the servers that take flows, without any memory, while half
 /// of the daemons have the new list.
-double rendezvousBroken(size_t flows) {
-  auto oldList = rankedServers(Servers, false);
-  auto newList = rankedServers(Servers + 1, true);
+double rendezvousBrokenPercent(size_t flows) {
+  auto oldList = rankedServers(ServerCount, false);
+  auto newList = rankedServers(ServerCount + 1, true);
   FlowRank before(oldList);
   FlowRank after(newList);
   size_t moved = 0;
@@ -56,19 +56,19 @@
 
 /// Each daemon remembers the flows that it saw and sends others to the server
 /// with the fewest. Packets are sprayed over the daemons.
-double tableAloneBroken(size_t flows) {
+double flowTableBrokenPercent(size_t flows) {
   SeededRandom random(1);
-  std::vector<std::map<uint64_t, size_t>> tables(Daemons);
-  auto packet = [&](uint64_t f) {
-    auto &table = tables[random.below(Daemons)];
-    return table.try_emplace(f, random.below(Servers)).first->second;
+  std::vector<std::map<uint64_t, size_t>> tables(DaemonCount);
+  auto routePacket = [&](uint64_t f) {
+    auto &table = tables[random.below(DaemonCount)];
+    return table.try_emplace(f, random.below(ServerCount)).first->second;
   };
   size_t broken = 0;
   for (uint64_t f = 1; f <= flows; ++f) {
-    size_t home = packet(f);
+    size_t home = routePacket(f);
     bool moved = false;
     for (int i = 0; i < 3; ++i)
-      moved = packet(f) != home || moved;
+      moved = routePacket(f) != home || moved;
     broken += moved ? 1 : 0;
   }
   return 100.0 * static_cast<double>(broken) / static_cast<double>(flows);
@@ -78,18 +78,20 @@
 
 BaselineResult baselineFor(const std::string &change, size_t flows) {
   if (change == "server_join")
-    return {"modulo_hashing", moduloBroken(Servers, Servers + 1, flows)};
+    return {"modulo_hashing",
+            moduloBrokenPercent(ServerCount, ServerCount + 1, flows)};
   if (change == "server_drain")
-    return {"modulo_hashing", moduloBroken(Servers, Servers - 1, flows)};
+    return {"modulo_hashing",
+            moduloBrokenPercent(ServerCount, ServerCount - 1, flows)};
   if (change == "ticket_skew")
-    return {"rendezvous_without_memory", rendezvousBroken(flows)};
-  return {"flow_table_alone", tableAloneBroken(flows)};
+    return {"rendezvous_without_memory", rendezvousBrokenPercent(flows)};
+  return {"flow_table_alone", flowTableBrokenPercent(flows)};
 }
 
-std::vector<uint32_t> moduloCounts(size_t flows, uint64_t from) {
-  std::vector<uint32_t> counts(Servers);
-  for (uint64_t f = from + 1; f <= from + flows; ++f)
-    ++counts[combineHash(f, 1) % Servers];
+std::vector<uint32_t> moduloFlowsPerServer(size_t flows, uint64_t firstId) {
+  std::vector<uint32_t> counts(ServerCount);
+  for (uint64_t f = firstId + 1; f <= firstId + flows; ++f)
+    ++counts[combineHash(f, 1) % ServerCount];
   return counts;
 }
 
--- a/PerformanceTest/FlowBaselines.h
+++ b/PerformanceTest/FlowBaselines.h
@@ -20,7 +20,7 @@
 BaselineResult baselineFor(const std::string &change, size_t flows);
 
 /// Flows on each of the servers by modulo hashing; ids from + 1 on.
-std::vector<uint32_t> moduloCounts(size_t flows, uint64_t from);
+std::vector<uint32_t> moduloFlowsPerServer(size_t flows, uint64_t firstId);
 
 /// Lookups a second by \p threads in one hash map behind one mutex.
 double lockedMapLookups(uint64_t flows, size_t threads, double seconds);
--- a/PerformanceTest/FlowFleet.cpp
+++ b/PerformanceTest/FlowFleet.cpp
@@ -8,21 +8,22 @@
 
 const ServiceId Booking("booking");
 constexpr size_t QuestionBytes = 64; ///< As CBOR, with frame and header.
-constexpr size_t FlowBytes = 25;     ///< An exception with its server's name.
-constexpr Duration PacketTime = std::chrono::seconds(10);
+constexpr size_t ExceptionFlowBytes =
+    25; ///< An exception with its server's name.
+constexpr Duration PacketTimeout = std::chrono::seconds(10);
 
 DomainId domainId(size_t i) { return DomainId(absl::StrCat("domain-", i)); }
 
 } // namespace
 
-FlowFleet::FlowFleet(const FleetSettings &settings)
+FlowFleet::FlowFleet(const FlowFleetSettings &settings)
     : Settings(settings), Random(settings.Seed),
       DomainInService(settings.Domains, true) {
   for (size_t i = 0; i < settings.Servers; ++i)
     addServer();
   for (size_t i = 0; i < settings.Daemons; ++i)
     addDaemon();
-  apply();
+  applyTicket();
 }
 
 void FlowFleet::addServer() {
@@ -38,7 +39,7 @@
   Servers[server].Server.Mode = ServerMode::Draining;
 }
 
-void FlowFleet::returnServer(size_t server) {
+void FlowFleet::reactivateServer(size_t server) {
   Servers[server].Server.Mode = ServerMode::Active;
 }
 
@@ -62,12 +63,12 @@
 
 void FlowFleet::killDaemon(size_t daemon) { Daemons[daemon]->Alive = false; }
 
-void FlowFleet::leaveDaemon(size_t daemon) {
+void FlowFleet::stopDaemon(size_t daemon) {
   // It Announces that it leaves: its servers pass on with what their next
   // owners need.
   Daemon &leaver = *Daemons[daemon];
   leaver.Alive = false;
-  moveServers(leaver, makeView(leaver));
+  handOverServers(leaver, makeView(leaver));
 }
 
 const FlowFleet::Daemon *FlowFleet::ownerOf(const ServerState &server) const {
@@ -106,7 +107,7 @@
   return v;
 }
 
-void FlowFleet::moveServers(Daemon &daemon, const RoutingView &next) {
+void FlowFleet::handOverServers(Daemon &daemon, const RoutingView &next) {
   if (!daemon.View)
     return;
   // What was ours and is another's is handed over, if that one is there.
@@ -115,20 +116,20 @@
     if (!before || before->Owner.Id != daemon.Vm.Id ||
         it.Owner.Id == daemon.Vm.Id)
       continue;
-    FlowExceptions left = daemon.Owner->exportFlows(Now, it.Server.Id);
-    ControlBytes += left.Flows.size() * FlowBytes;
-    if (Daemon *to = find(it.Owner.Id)) {
+    FlowExceptions exceptions = daemon.Owner->exportFlows(Now, it.Server.Id);
+    ControlBytes += exceptions.Flows.size() * ExceptionFlowBytes;
+    if (Daemon *to = findLiveDaemon(it.Owner.Id)) {
       to->Owner->setView(*RoutingView::create(makeView(*to)));
-      to->Owner->addFlows(Now, left);
+      to->Owner->addFlows(Now, exceptions);
       to->Owner->markTakenOver(Now, it.Server.Id);
     }
     daemon.Owner->removeServer(it.Server.Id);
   }
 }
 
-void FlowFleet::applyAt(Daemon &daemon) {
+void FlowFleet::applyTicketAt(Daemon &daemon) {
   RoutingView next = makeView(daemon);
-  moveServers(daemon, next);
+  handOverServers(daemon, next);
   // Servers whose old owner died come to us blindly.
   for (const RoutedServer &it : next.Services.at(Booking).Servers) {
     const RoutedServer *before =
@@ -144,22 +145,22 @@
   daemon.Router->step(Now, ViewChanged{view});
 }
 
-void FlowFleet::apply(size_t daemons) {
+void FlowFleet::applyTicket(size_t daemonCount) {
   ++Ticket;
   size_t done = 0;
   for (const auto &it : Daemons)
-    if (it->Alive && done++ < daemons)
-      applyAt(*it);
+    if (it->Alive && done++ < daemonCount)
+      applyTicketAt(*it);
 }
 
-FlowFleet::Daemon *FlowFleet::find(const VmId &vm) {
+FlowFleet::Daemon *FlowFleet::findLiveDaemon(const VmId &vm) {
   for (const auto &it : Daemons)
     if (it->Vm.Id == vm)
       return it->Alive ? it.get() : nullptr;
   return nullptr;
 }
 
-FlowFleet::Daemon &FlowFleet::anyDaemon() {
+FlowFleet::Daemon &FlowFleet::pickLiveDaemon() {
   for (;;) {
     Daemon &d = *Daemons[Random.below(Daemons.size())];
     if (d.Alive && d.View)
@@ -167,39 +168,42 @@
   }
 }
 
-FleetResult FlowFleet::send(FlowId flow, bool first, const std::string &token) {
-  Daemon &entry = anyDaemon();
+FlowPacketResult FlowFleet::sendPacket(FlowId flow, bool first,
+                                       const std::string &token) {
+  Daemon &entry = pickLiveDaemon();
   Envelope head;
   head.Request = RequestId{NextRequest++};
   head.Flow = flow;
   head.Service = Booking;
   head.FirstOfFlow = first;
-  head.Remaining = PacketTime;
-  FleetResult result;
+  head.Remaining = PacketTimeout;
+  FlowPacketResult result;
   std::deque<EntryEvent> events{PacketArrived{head, token}};
   while (!events.empty()) {
     EntryEvent event = std::move(events.front());
     events.pop_front();
-    size_t asked = result.Questions;
+    size_t questionsBefore = result.Questions;
     for (const EntryAction &it : entry.Router->step(Now, event))
-      carry(head, it, events, result);
-    result.Rounds += result.Questions > asked ? 1 : 0;
+      performAction(head, it, events, result);
+    result.Rounds += result.Questions > questionsBefore ? 1 : 0;
   }
   return result;
 }
 
-void FlowFleet::carry(const Envelope &head, const EntryAction &action,
-                      std::deque<EntryEvent> &events, FleetResult &result) {
+void FlowFleet::performAction(const Envelope &head, const EntryAction &action,
+                              std::deque<EntryEvent> &events,
+                              FlowPacketResult &result) {
   if (const auto *f = std::get_if<SendForward>(&action)) {
     ++result.Forwards;
-    if (Daemon *owner = find(f->To.Id))
-      events.push_back(OwnerReplied{f->To.Id, serve(*owner, head, *f)});
+    if (Daemon *owner = findLiveDaemon(f->To.Id))
+      events.push_back(OwnerReplied{f->To.Id, handleForward(*owner, head, *f)});
     else
       events.push_back(SendFailed{head.Request, f->To.Id});
   } else if (const auto *q = std::get_if<SendQuestion>(&action)) {
     ++result.Questions;
-    if (Daemon *owner = find(q->To.Id))
-      events.push_back(FlowReplied{q->To.Id, ask(*owner, q->Question)});
+    if (Daemon *owner = findLiveDaemon(q->To.Id))
+      events.push_back(
+          FlowReplied{q->To.Id, answerQuestion(*owner, q->Question)});
     else
       events.push_back(SendFailed{head.Request, q->To.Id});
   } else if (const auto *e = std::get_if<EndPacket>(&action)) {
@@ -208,13 +212,14 @@
   }
 }
 
-FlowReply FlowFleet::ask(Daemon &owner, const FlowQuestion &question) {
+FlowReply FlowFleet::answerQuestion(Daemon &owner,
+                                    const FlowQuestion &question) {
   ControlBytes += 2 * QuestionBytes;
   return owner.Owner->answerQuestion(Now, question);
 }
 
-Outcome FlowFleet::serve(Daemon &owner, const Envelope &head,
-                         const SendForward &f) {
+Outcome FlowFleet::handleForward(Daemon &owner, const Envelope &head,
+                                 const SendForward &f) {
   Outcome o;
   o.Request = head.Request;
   o.Server = f.Server;
@@ -242,15 +247,15 @@
   return o;
 }
 
-void FlowFleet::second() {
+void FlowFleet::advanceOneSecond() {
   Now += std::chrono::seconds(1);
   for (const auto &it : Daemons) {
     if (!it->Alive)
       continue;
     for (const ExceptionBatch &batch :
-         it->Owner->dequeueBatches(Now, Settings.ExceptionBytes)) {
-      ControlBytes += batch.Batch.Flows.size() * FlowBytes;
-      if (Daemon *to = find(batch.To.Id))
+         it->Owner->dequeueBatches(Now, Settings.ExceptionBytesPerSecond)) {
+      ControlBytes += batch.Batch.Flows.size() * ExceptionFlowBytes;
+      if (Daemon *to = findLiveDaemon(batch.To.Id))
         to->Owner->addFlows(Now, batch.Batch);
     }
   }
@@ -270,14 +275,14 @@
   return counts;
 }
 
-size_t FlowFleet::busiestDaemon(size_t skipDomain) const {
+size_t FlowFleet::busiestDaemon(size_t excludedDomain) const {
   std::map<VmId, size_t> owned;
   for (const ServerState &it : Servers)
     if (const Daemon *owner = it.Deleted ? nullptr : ownerOf(it))
       ++owned[owner->Vm.Id];
   size_t best = 0;
   for (size_t i = 0; i < Daemons.size(); ++i)
-    if (Daemons[i]->Alive && Daemons[i]->Domain != skipDomain &&
+    if (Daemons[i]->Alive && Daemons[i]->Domain != excludedDomain &&
         owned[Daemons[i]->Vm.Id] > owned[Daemons[best]->Vm.Id])
       best = i;
   return best;
--- a/PerformanceTest/FlowFleet.h
+++ b/PerformanceTest/FlowFleet.h
@@ -15,19 +15,19 @@
 namespace balsamrack {
 
 /// What a FlowFleet is made of.
-struct FleetSettings {
+struct FlowFleetSettings {
   size_t Daemons = 8;             ///< Spread evenly over the domains.
   size_t Domains = 4;             ///< Failure domains.
   size_t Servers = 14;            ///< Spread evenly over the domains.
   uint32_t FlowsPerServer = 2000; ///< A server with so many takes no new ones.
-  size_t ExceptionBytes = 4096;   ///< A second and daemon.
-  EntrySettings Entry;            ///< Of each daemon.
-  OwnerFlowsSettings Owner;       ///< Of each daemon.
-  uint64_t Seed = 1;              ///< Chooses which daemon gets a packet.
+  size_t ExceptionBytesPerSecond = 4096; ///< A second and daemon.
+  EntrySettings Entry;                   ///< Of each daemon.
+  OwnerFlowsSettings Owner;              ///< Of each daemon.
+  uint64_t Seed = 1; ///< Chooses which daemon gets a packet.
 };
 
 /// How a packet ended, and what it cost.
-struct FleetResult {
+struct FlowPacketResult {
   Outcome Result;       ///< Its ending.
   std::string Token;    ///< Of the answer.
   size_t Forwards = 0;  ///< Hand-overs to owners.
@@ -40,24 +40,25 @@
 /// Not thread-safe.
 class FlowFleet {
 public:
-  explicit FlowFleet(const FleetSettings &settings);
+  explicit FlowFleet(const FlowFleetSettings &settings);
 
   /// Sends a packet in at a daemon chosen at random among the live ones.
-  FleetResult send(FlowId flow, bool first, const std::string &token);
+  FlowPacketResult sendPacket(FlowId flow, bool first,
+                              const std::string &token);
   /// Lets a second pass: exceptions are carried within the byte budget.
-  void second();
+  void advanceOneSecond();
 
   /// Changes of the world; none is in force until apply().
   void addServer();
   void drainServer(size_t server);
-  void returnServer(size_t server);
+  void reactivateServer(size_t server);
   void deleteServer(size_t server);
   void setDomainInService(size_t domain, bool inService);
   void killDaemon(size_t daemon);
-  void leaveDaemon(size_t daemon);
+  void stopDaemon(size_t daemon);
   void joinDaemon();
   /// Puts the world into force at the first \p daemons of the live ones.
-  void apply(size_t daemons = SIZE_MAX);
+  void applyTicket(size_t daemonCount = SIZE_MAX);
 
   /// Bytes of questions, replies and exceptions sent so far.
   size_t controlBytes() const { return ControlBytes; }
@@ -66,7 +67,7 @@
   /// The live daemon that owns the most servers; of equal ones the first. Its
   /// death is the worst, as it may own a flow's first candidate and its home.
   /// \p skipDomain, if any, is left out.
-  size_t busiestDaemon(size_t skipDomain = SIZE_MAX) const;
+  size_t busiestDaemon(size_t excludedDomain = SIZE_MAX) const;
   /// The domain of a daemon.
   size_t domainOfDaemon(size_t daemon) const { return Daemons[daemon]->Domain; }
 
@@ -88,16 +89,17 @@
   void addDaemon();
   const Daemon *ownerOf(const ServerState &server) const;
   RoutingView makeView(const Daemon &daemon) const;
-  void applyAt(Daemon &daemon);
-  void moveServers(Daemon &daemon, const RoutingView &next);
-  Daemon *find(const VmId &vm);
-  Daemon &anyDaemon();
-  Outcome serve(Daemon &owner, const Envelope &head, const SendForward &f);
-  void carry(const Envelope &head, const EntryAction &action,
-             std::deque<EntryEvent> &events, FleetResult &result);
-  FlowReply ask(Daemon &owner, const FlowQuestion &question);
+  void applyTicketAt(Daemon &daemon);
+  void handOverServers(Daemon &daemon, const RoutingView &next);
+  Daemon *findLiveDaemon(const VmId &vm);
+  Daemon &pickLiveDaemon();
+  Outcome handleForward(Daemon &owner, const Envelope &head,
+                        const SendForward &f);
+  void performAction(const Envelope &head, const EntryAction &action,
+                     std::deque<EntryEvent> &events, FlowPacketResult &result);
+  FlowReply answerQuestion(Daemon &owner, const FlowQuestion &question);
 
-  const FleetSettings Settings;
+  const FlowFleetSettings Settings;
   SeededRandom Random;
   TimePoint Now{std::chrono::hours(1)};
   uint64_t Ticket = 1;
--- a/PerformanceTest/FlowsMeasure.cpp
+++ b/PerformanceTest/FlowsMeasure.cpp
@@ -18,13 +18,15 @@
 
 using WallClock = std::chrono::steady_clock;
 
-constexpr size_t FullFlows = 20'000;
-constexpr size_t QuickFlows = 5'000;
-constexpr size_t Rounds = 3;           ///< Packets of each flow after a change.
-constexpr double Headroom = 1.03;      ///< Flows a server holds, over the mean.
-constexpr size_t Returned = 1;         ///< A server back from its drain.
-constexpr uint32_t Connections = 2000; ///< Of a server, by the brief.
-constexpr size_t Threads = 12;
+constexpr size_t FullFlowCount = 20'000;
+constexpr size_t QuickFlowCount = 5'000;
+constexpr size_t RoundsAfterChange =
+    3; ///< Packets of each flow after a change.
+constexpr double FlowCapacityFactor =
+    1.03; ///< Flows a server holds, over the mean.
+constexpr size_t ReactivatedServer = 1; ///< A server back from its drain.
+constexpr uint32_t MaxServerConnections = 2000; ///< Of a server, by the brief.
+constexpr size_t ThreadCount = 12;
 
 /// Which layers a run has.
 struct Layers {
@@ -43,11 +45,12 @@
 };
 
 /// What a run came to.
-struct Broken {
-  double Percent = 0;        ///< Flows that moved or were given up.
+struct ChangeResult {
+  double BrokenPercent = 0;  ///< Flows that moved or were given up.
   double RefusedPercent = 0; ///< Packets refused with a time to come back.
-  double Hops = 0;           ///< Hand-overs and question rounds a packet.
-  double BytesPerSecond = 0; ///< Control bytes, a daemon, after the change.
+  double HopsPerPacket = 0;  ///< Hand-overs and question rounds a packet.
+  double ControlBytesPerSecond =
+      0; ///< Control bytes, a daemon, after the change.
 };
 
 struct Flow {
@@ -56,10 +59,10 @@
   bool Broken = false;
 };
 
-FleetSettings fleetFor(const Layers &layers, size_t flows) {
-  FleetSettings s;
+FlowFleetSettings makeFleetSettings(const Layers &layers, size_t flows) {
+  FlowFleetSettings s;
   s.FlowsPerServer =
-      static_cast<uint32_t>(Headroom * static_cast<double>(flows) /
+      static_cast<uint32_t>(FlowCapacityFactor * static_cast<double>(flows) /
                             static_cast<double>(s.Servers - 1));
   s.Entry.TokenKey = layers.Token ? "fleet" : "";
   s.Entry.UseRank = layers.Rank;
@@ -74,141 +77,150 @@
 }
 
 /// Opens flows; with the load bound some end up off their first candidate.
-std::vector<Flow> openFlows(FlowFleet &fleet, size_t count, size_t from) {
+std::vector<Flow> openFlows(FlowFleet &fleet, size_t count, size_t firstId) {
   std::vector<Flow> flows(count);
   for (size_t i = 0; i < count; ++i) {
-    FleetResult r = fleet.send(FlowId{from + i + 1}, true, "");
+    FlowPacketResult r = fleet.sendPacket(FlowId{firstId + i + 1}, true, "");
     if (r.Result.Kind == OutcomeKind::Answered)
       flows[i] = {r.Result.Server, r.Token, false};
   }
   return flows;
 }
 
-struct Sums {
+struct RoundTotals {
   size_t Packets = 0, Refused = 0, Hops = 0;
 };
 
 /// One packet of each flow. A flow is broken when another server answers it or
 /// it is given up; a truthful refusal with a time to come back is not.
-void sendRound(FlowFleet &fleet, std::vector<Flow> &flows, size_t from,
-               Sums &sums) {
+void sendRound(FlowFleet &fleet, std::vector<Flow> &flows, size_t firstId,
+               RoundTotals &totals) {
   for (size_t i = 0; i < flows.size(); ++i) {
     Flow &it = flows[i];
     if (it.Home.empty())
       continue;
-    FleetResult r = fleet.send(FlowId{from + i + 1}, false, it.Token);
-    ++sums.Packets;
-    sums.Hops += r.Forwards + r.Rounds;
+    FlowPacketResult r =
+        fleet.sendPacket(FlowId{firstId + i + 1}, false, it.Token);
+    ++totals.Packets;
+    totals.Hops += r.Forwards + r.Rounds;
     if (r.Result.Kind == OutcomeKind::NotRun)
-      ++sums.Refused;
+      ++totals.Refused;
     else
       it.Broken = it.Broken || r.Result.Server != it.Home ||
                   r.Result.Kind == OutcomeKind::GivenUp;
   }
 }
 
-size_t countBroken(const std::vector<Flow> &flows) {
+size_t countBrokenFlows(const std::vector<Flow> &flows) {
   return static_cast<size_t>(std::count_if(
       flows.begin(), flows.end(), [](const Flow &it) { return it.Broken; }));
 }
 
-Broken measureChange(const Change &change, const Layers &layers, size_t count) {
-  FleetSettings settings = fleetFor(layers, count);
+ChangeResult measureChange(const Change &change, const Layers &layers,
+                           size_t count) {
+  FlowFleetSettings settings = makeFleetSettings(layers, count);
   FlowFleet fleet(settings);
-  Sums before;
+  RoundTotals totalsBefore;
   // The flows are opened while a server drains; then it returns. So all that
   // rank it first live elsewhere, beside those that found a full server.
-  fleet.drainServer(Returned);
-  fleet.apply();
+  fleet.drainServer(ReactivatedServer);
+  fleet.applyTicket();
   std::vector<Flow> flows = openFlows(fleet, count, 0);
-  fleet.returnServer(Returned);
-  fleet.apply();
-  sendRound(fleet, flows, 0, before);
-  constexpr size_t Settle = 10;
-  for (size_t i = 0; i < Settle; ++i)
-    fleet.second();
+  fleet.reactivateServer(ReactivatedServer);
+  fleet.applyTicket();
+  sendRound(fleet, flows, 0, totalsBefore);
+  constexpr size_t SettleSeconds = 10;
+  for (size_t i = 0; i < SettleSeconds; ++i)
+    fleet.advanceOneSecond();
   // The change, with new flows opened while it spreads.
   size_t bytesBefore = fleet.controlBytes();
-  Sums sums;
+  RoundTotals totals;
   change.Begin(fleet);
-  size_t more = count / 10;
-  std::vector<Flow> late = openFlows(fleet, more, count);
-  sendRound(fleet, flows, 0, sums);
-  sendRound(fleet, late, count, sums);
+  size_t newFlowCount = count / 10;
+  std::vector<Flow> newFlows = openFlows(fleet, newFlowCount, count);
+  sendRound(fleet, flows, 0, totals);
+  sendRound(fleet, newFlows, count, totals);
   change.Finish(fleet);
-  for (size_t i = 1; i < Rounds; ++i) {
-    fleet.second();
-    sendRound(fleet, flows, 0, sums);
-    sendRound(fleet, late, count, sums);
+  for (size_t i = 1; i < RoundsAfterChange; ++i) {
+    fleet.advanceOneSecond();
+    sendRound(fleet, flows, 0, totals);
+    sendRound(fleet, newFlows, count, totals);
   }
-  Broken b;
-  auto all = static_cast<double>(count + more);
-  auto packets = static_cast<double>(sums.Packets);
-  b.Percent =
-      100.0 * static_cast<double>(countBroken(flows) + countBroken(late)) / all;
-  b.RefusedPercent = 100.0 * static_cast<double>(sums.Refused) / packets;
-  b.Hops = static_cast<double>(sums.Hops) / packets;
+  ChangeResult b;
+  auto all = static_cast<double>(count + newFlowCount);
+  auto packets = static_cast<double>(totals.Packets);
+  b.BrokenPercent = 100.0 *
+                    static_cast<double>(countBrokenFlows(flows) +
+                                        countBrokenFlows(newFlows)) /
+                    all;
+  b.RefusedPercent = 100.0 * static_cast<double>(totals.Refused) / packets;
+  b.HopsPerPacket = static_cast<double>(totals.Hops) / packets;
   // Each flow sends a packet every ten seconds; Rounds of them were sent.
   constexpr double SecondsPerRound = 10;
-  b.BytesPerSecond = static_cast<double>(fleet.controlBytes() - bytesBefore) /
-                     (Rounds * SecondsPerRound) /
-                     static_cast<double>(settings.Daemons);
+  b.ControlBytesPerSecond =
+      static_cast<double>(fleet.controlBytes() - bytesBefore) /
+      (RoundsAfterChange * SecondsPerRound) /
+      static_cast<double>(settings.Daemons);
   return b;
 }
 
 std::vector<Change> allChanges() {
-  auto nothing = [](FlowFleet &) {};
-  auto now = [](void (*edit)(FlowFleet &)) {
+  auto doNothing = [](FlowFleet &) {};
+  auto applyToAll = [](void (*edit)(FlowFleet &)) {
     return [edit](FlowFleet &f) {
       edit(f);
-      f.apply();
+      f.applyTicket();
     };
   };
   return {
-      {"server_join", now([](FlowFleet &f) { f.addServer(); }), nothing},
-      {"server_drain", now([](FlowFleet &f) { f.drainServer(3); }), nothing},
+      {"server_join", applyToAll([](FlowFleet &f) { f.addServer(); }),
+       doNothing},
+      {"server_drain", applyToAll([](FlowFleet &f) { f.drainServer(3); }),
+       doNothing},
       {"ticket_skew",
        [](FlowFleet &f) {
          f.addServer();
          f.drainServer(3);
-         f.apply(4);
+         f.applyTicket(4);
        },
-       [](FlowFleet &f) { f.apply(); }},
-      {"daemon_join", now([](FlowFleet &f) {
+       [](FlowFleet &f) { f.applyTicket(); }},
+      {"daemon_join", applyToAll([](FlowFleet &f) {
          f.joinDaemon();
          f.joinDaemon();
        }),
-       nothing},
+       doNothing},
       {"daemon_leave",
-       now([](FlowFleet &f) { f.leaveDaemon(f.busiestDaemon()); }), nothing},
+       applyToAll([](FlowFleet &f) { f.stopDaemon(f.busiestDaemon()); }),
+       doNothing},
       {"daemon_death_1",
-       now([](FlowFleet &f) { f.killDaemon(f.busiestDaemon()); }), nothing},
-      {"daemon_death_2", now([](FlowFleet &f) {
+       applyToAll([](FlowFleet &f) { f.killDaemon(f.busiestDaemon()); }),
+       doNothing},
+      {"daemon_death_2", applyToAll([](FlowFleet &f) {
          size_t first = f.busiestDaemon();
          size_t second = f.busiestDaemon(f.domainOfDaemon(first));
          f.killDaemon(first);
          f.killDaemon(second);
        }),
-       nothing},
-      {"daemon_death_2_same_domain", now([](FlowFleet &f) {
+       doNothing},
+      {"daemon_death_2_same_domain", applyToAll([](FlowFleet &f) {
          f.killDaemon(f.busiestDaemon());
          f.killDaemon(f.busiestDaemon());
        }),
-       nothing},
+       doNothing},
       {"daemon_death_1_unnoticed",
        [](FlowFleet &f) { f.killDaemon(f.busiestDaemon()); },
-       [](FlowFleet &f) { f.apply(); }},
+       [](FlowFleet &f) { f.applyTicket(); }},
   };
 }
 
 /// Broken flows of the baselines under the same kind of change.
-Figure withBaseline(const std::string &name, const Broken &b,
-                    const std::string &change, size_t flows) {
+Figure makeBrokenFlowsFigure(const std::string &name, const ChangeResult &b,
+                             const std::string &change, size_t flows) {
   BaselineResult base = baselineFor(change, flows);
-  return {name, b.Percent, "percent", base.BrokenPercent, base.Name};
+  return {name, b.BrokenPercent, "percent", base.BrokenPercent, base.Name};
 }
 
-void measureBroken(size_t flows, std::vector<Figure> &figures) {
+void measureBrokenFlows(size_t flows, std::vector<Figure> &figures) {
   const std::vector<Layers> variants = {
       {"", false},
       {"_token", true},
@@ -220,51 +232,54 @@
     double plainHops = 0;
     double plainBytes = 0;
     for (const Layers &layers : variants) {
-      Broken b = measureChange(change, layers, flows);
+      ChangeResult b = measureChange(change, layers, flows);
       std::string name = absl::StrCat(change.Name, layers.Suffix);
-      figures.push_back(withBaseline(absl::StrCat("broken_flows_", name), b,
-                                     change.Name, flows));
+      figures.push_back(makeBrokenFlowsFigure(
+          absl::StrCat("broken_flows_", name), b, change.Name, flows));
       if (layers.Suffix.empty()) {
-        plainHops = b.Hops;
-        plainBytes = b.BytesPerSecond;
+        plainHops = b.HopsPerPacket;
+        plainBytes = b.ControlBytesPerSecond;
       }
       if (layers.Suffix == "_no_rank")
         continue;
       figures.push_back({absl::StrCat("refused_packets_", name),
                          b.RefusedPercent, "percent", 0, "none"});
-      figures.push_back({absl::StrCat("hops_per_packet_", name), b.Hops, "hops",
-                         plainHops, "all_layers_without_token"});
+      figures.push_back({absl::StrCat("hops_per_packet_", name),
+                         b.HopsPerPacket, "hops", plainHops,
+                         "all_layers_without_token"});
       figures.push_back({absl::StrCat("control_bytes_per_second_", name),
-                         b.BytesPerSecond, "bytes", plainBytes,
+                         b.ControlBytesPerSecond, "bytes", plainBytes,
                          "all_layers_without_token"});
     }
   }
 }
 
 /// Hops and control bytes while nothing changes.
-void measureSteady(size_t flows, std::vector<Figure> &figures) {
+void measureSteadyState(size_t flows, std::vector<Figure> &figures) {
   Change none{"steady", [](FlowFleet &) {}, [](FlowFleet &) {}};
-  Broken plain = measureChange(none, {"", false}, flows);
-  Broken noExceptions = measureChange(none, {"", false, true, false}, flows);
-  Broken token = measureChange(none, {"", true}, flows);
-  figures.push_back({"hops_per_packet", plain.Hops, "hops", noExceptions.Hops,
-                     "without_exceptions"});
-  figures.push_back(
-      {"hops_per_packet_token", token.Hops, "hops", plain.Hops, "no_token"});
+  ChangeResult plain = measureChange(none, {"", false}, flows);
+  ChangeResult noExceptions =
+      measureChange(none, {"", false, true, false}, flows);
+  ChangeResult token = measureChange(none, {"", true}, flows);
+  figures.push_back({"hops_per_packet", plain.HopsPerPacket, "hops",
+                     noExceptions.HopsPerPacket, "without_exceptions"});
+  figures.push_back({"hops_per_packet_token", token.HopsPerPacket, "hops",
+                     plain.HopsPerPacket, "no_token"});
   // One flow of 32 bytes told to each of the seven others.
   constexpr double BytesPerFlowToAll = 32.0 * 7;
   constexpr double NewFlowsPerSecond = 2000.0 / 8;
-  figures.push_back({"control_bytes_per_second", plain.BytesPerSecond, "bytes",
-                     BytesPerFlowToAll * NewFlowsPerSecond,
+  figures.push_back({"control_bytes_per_second", plain.ControlBytesPerSecond,
+                     "bytes", BytesPerFlowToAll * NewFlowsPerSecond,
                      "each_flow_replicated_at_2000_new_a_second"});
-  figures.push_back({"control_bytes_per_second_token", token.BytesPerSecond,
-                     "bytes", plain.BytesPerSecond, "no_token"});
+  figures.push_back({"control_bytes_per_second_token",
+                     token.ControlBytesPerSecond, "bytes",
+                     plain.ControlBytesPerSecond, "no_token"});
 }
 
 double maxOverMean(const std::vector<uint32_t> &counts) {
   double sum = std::accumulate(counts.begin(), counts.end(), 0.0);
-  double most = *std::max_element(counts.begin(), counts.end());
-  return most * static_cast<double>(counts.size()) / sum;
+  double max = *std::max_element(counts.begin(), counts.end());
+  return max * static_cast<double>(counts.size()) / sum;
 }
 
 /// Mean over several sets of flows: with few flows one set says little.
@@ -272,7 +287,7 @@
   constexpr size_t Trials = 20;
   double sum = 0;
   for (size_t t = 0; t < Trials; ++t) {
-    FleetSettings settings = fleetFor({"", false}, flows);
+    FlowFleetSettings settings = makeFleetSettings({"", false}, flows);
     settings.FlowsPerServer = flowsPerServer;
     FlowFleet fleet(settings);
     openFlows(fleet, flows, t * flows);
@@ -285,7 +300,7 @@
   constexpr size_t Trials = 20;
   double sum = 0;
   for (size_t t = 0; t < Trials; ++t)
-    sum += maxOverMean(moduloCounts(flows, t * flows));
+    sum += maxOverMean(moduloFlowsPerServer(flows, t * flows));
   return sum / Trials;
 }
 
@@ -296,11 +311,12 @@
     if (n == FewFlows)
       absl::StrAppend(&name, "_", n, "_flows");
     // As the daemons run it: servers refuse flows beyond their connections.
-    double plain = meanImbalance(n, Connections);
+    double plain = meanImbalance(n, MaxServerConnections);
     figures.push_back(
         {name, plain, "ratio", meanModuloImbalance(n), "modulo_hashing"});
     // What a bound near the mean would give.
-    double bounded = meanImbalance(n, fleetFor({"", false}, n).FlowsPerServer);
+    double bounded =
+        meanImbalance(n, makeFleetSettings({"", false}, n).FlowsPerServer);
     figures.push_back(
         {absl::StrCat(name, "_bounded"), bounded, "ratio", plain, "no_bound"});
   }
@@ -308,8 +324,8 @@
 
 /// Calls \p work over and over for \p seconds; returns calls of one item a
 /// second. Each call does \p items.
-double ratePerSecond(double seconds, size_t items,
-                     const std::function<void()> &work) {
+double measureRate(double seconds, size_t items,
+                   const std::function<void()> &work) {
   size_t done = 0;
   auto start = WallClock::now();
   std::chrono::duration<double> took{0};
@@ -322,16 +338,17 @@
 }
 
 /// 5,400 servers in services of 17.
-RoutingView bigView(uint32_t weightStep) {
+RoutingView makeLargeView(uint32_t weightStep) {
   RoutingView v;
   constexpr size_t AllServers = 5400;
-  constexpr size_t PerService = 17;
+  constexpr size_t ServersPerService = 17;
   for (size_t i = 0; i < AllServers; ++i) {
-    ServiceId id(absl::StrCat("service-", i / PerService));
+    ServiceId id(absl::StrCat("service-", i / ServersPerService));
     RoutedServer s;
     s.Server.Id = ServerId(absl::StrCat("server-", i));
     s.Server.Service = id;
-    s.Server.Weight = 100 + weightStep * static_cast<uint32_t>(i % PerService);
+    s.Server.Weight =
+        100 + weightStep * static_cast<uint32_t>(i % ServersPerService);
     s.Owner.Id = VmId("vm-0");
     s.OwnerReachable = true;
     v.Services[id].Servers.push_back(s);
@@ -343,16 +360,16 @@
   constexpr size_t Batch = 100'000;
   uint64_t flow = 1;
   size_t sink = 0;
-  double modulo = ratePerSecond(seconds, Batch, [&] {
+  double modulo = measureRate(seconds, Batch, [&] {
     for (size_t i = 0; i < Batch; ++i)
       sink += stableHash("x", ++flow) % 17;
   });
   for (uint32_t weightStep : {0U, 10U}) {
-    auto view = *RoutingView::create(bigView(weightStep));
+    auto view = *RoutingView::create(makeLargeView(weightStep));
     std::vector<const ServiceRoute *> routes;
     for (const auto &[id, route] : view->Services)
       routes.push_back(&route);
-    double rate = ratePerSecond(seconds, Batch, [&] {
+    double rate = measureRate(seconds, Batch, [&] {
       for (size_t i = 0; i < Batch; ++i) {
         const ServiceRoute &route = *routes[++flow % routes.size()];
         sink += chooseForNewFlow(route, FlowId{flow}, {}) != nullptr ? 1 : 0;
@@ -367,15 +384,15 @@
     figures.clear();
 }
 
-std::unique_ptr<FlowTable> filledTable(uint64_t flows) {
+std::unique_ptr<FlowTable> makeFilledTable(uint64_t flows) {
   auto table = std::move(*FlowTable::create({}));
   for (uint64_t f = 1; f <= flows; ++f)
     table->bind(TimePoint(), FlowId{f}, ServerId(absl::StrCat("s-", f % 17)));
   return table;
 }
 
-double lookupRate(const FlowTable &table, uint64_t flows, size_t threads,
-                  double seconds) {
+double measureLookupRate(const FlowTable &table, uint64_t flows, size_t threads,
+                         double seconds) {
   std::atomic<uint64_t> total{0};
   std::vector<std::thread> workers;
   for (size_t t = 0; t < threads; ++t)
@@ -383,7 +400,7 @@
       SeededRandom random(t);
       uint64_t found = 0;
       constexpr size_t Batch = 10'000;
-      double rate = ratePerSecond(seconds, Batch, [&] {
+      double rate = measureRate(seconds, Batch, [&] {
         for (size_t i = 0; i < Batch; ++i)
           found += table.find(TimePoint(), FlowId{random.below(flows) + 1})
                            .has_value()
@@ -398,19 +415,22 @@
   return static_cast<double>(total.load());
 }
 
-void measureTable(bool quick, std::vector<Figure> &figures) {
+void measureFlowTable(bool quick, std::vector<Figure> &figures) {
   const uint64_t flows = quick ? 100'000 : 300'000;
   double seconds = quick ? 0.3 : 1.5;
-  auto table = filledTable(flows);
-  double one = lookupRate(*table, flows, 1, seconds);
-  double twelve = lookupRate(*table, flows, Threads, seconds);
-  figures.push_back({"flow_lookups_per_second_1_thread", one, "per_second",
-                     lockedMapLookups(flows, 1, seconds), "one_locked_map"});
-  figures.push_back({"flow_lookups_per_second_12_threads", twelve, "per_second",
-                     lockedMapLookups(flows, Threads, seconds),
+  auto table = makeFilledTable(flows);
+  double singleThreadRate = measureLookupRate(*table, flows, 1, seconds);
+  double multiThreadRate =
+      measureLookupRate(*table, flows, ThreadCount, seconds);
+  figures.push_back({"flow_lookups_per_second_1_thread", singleThreadRate,
+                     "per_second", lockedMapLookups(flows, 1, seconds),
                      "one_locked_map"});
-  figures.push_back({"flow_lookups_scaling_12_threads", twelve / one, "ratio",
-                     1, "1_thread"});
+  figures.push_back(
+      {"flow_lookups_per_second_12_threads", multiThreadRate, "per_second",
+       lockedMapLookups(flows, ThreadCount, seconds), "one_locked_map"});
+  figures.push_back({"flow_lookups_scaling_12_threads",
+                     multiThreadRate / singleThreadRate, "ratio", 1,
+                     "1_thread"});
   figures.push_back(
       {"bytes_per_flow",
        static_cast<double>(table->bytes()) / static_cast<double>(flows),
@@ -421,12 +441,12 @@
 
 std::vector<Figure> measureFlows(bool quick) {
   std::vector<Figure> figures;
-  size_t flows = quick ? QuickFlows : FullFlows;
-  measureBroken(flows, figures);
-  measureSteady(flows, figures);
+  size_t flows = quick ? QuickFlowCount : FullFlowCount;
+  measureBrokenFlows(flows, figures);
+  measureSteadyState(flows, figures);
   measureImbalance(flows, figures);
   measurePlacement(quick ? 0.2 : 1.0, figures);
-  measureTable(quick, figures);
+  measureFlowTable(quick, figures);
   return figures;
 }
 
--- a/PerformanceTest/LoadScenarios.h
+++ b/PerformanceTest/LoadScenarios.h
@@ -16,7 +16,7 @@
 };
 
 /// As shipped.
-ScenarioLimits ourLimits();
+ScenarioLimits defaultLimits();
 /// One queue in order of arrival without a bound, no check of remaining time.
 ScenarioLimits fifoUnbounded();
 /// Ours, but in order of arrival.
@@ -32,41 +32,42 @@
 
 /// 14 servers of 2 slots, 50 ms work, callers who wait 1 s, and \p factor times
 /// what the servers can answer: share of that which is answered in time.
-double goodputAt(const ScenarioLimits &limits, double factor, bool quick);
+double measureGoodput(const ScenarioLimits &limits, double factor, bool quick);
 /// A fifth of the slots' time is asked for by short work, 60% by requests of
 /// 1.5 s: p99 of the short ones in milliseconds, the refused counting as 2 s,
 /// from 10 s on, when the callers of long work have been answered before.
-double p99ShortBehindLong(const ScenarioLimits &limits, bool quick);
+double measureP99ShortBehindLong(const ScenarioLimits &limits, bool quick);
 /// One caller asks for 1.6 times the capacity, 20 for 3% each: Jain's index.
-double fairnessOfHotCaller(const ScenarioLimits &limits, bool quick);
+double measureFairnessWithHotCaller(const ScenarioLimits &limits, bool quick);
 /// A caller in a burst of 800 requests, others evenly at 30%: share of the
 /// others' requests that is answered in time.
-double othersDuringBurst(const ScenarioLimits &limits);
+double answeredFractionDuringBurst(const ScenarioLimits &limits);
 
 /// What a server that turned cold under load saw.
 struct ColdServerFigures {
-  double PeakInProgress = 0; ///< Most requests at once while it was cold.
-  double FellOver = 0;       ///< How often it fell over in ten plays.
-  double AnsweredShare = 0;  ///< Share of all callers' requests answered.
+  double PeakInProgress = 0;   ///< Most requests at once while it was cold.
+  double OverloadCrashes = 0;  ///< How often it fell over in ten plays.
+  double AnsweredFraction = 0; ///< Share of all callers' requests answered.
 };
 /// Four servers at 75% of the capacity; one is restarted without
 /// notice. Ten plays.
-ColdServerFigures coldServer(const ScenarioLimits &limits, bool quick);
+ColdServerFigures runColdServerScenario(const ScenarioLimits &limits,
+                                        bool quick);
 
 /// What callers saw while a failure domain left and came back cold.
 struct DomainFigures {
   double LastPacketSeconds = 0; ///< From the ticket to its last packet.
-  double ReturnP99Millis = 0;   ///< p99 in the 5 s after its return.
-  double AnsweredShare = 0;     ///< Of new flows, over the whole time.
-  double FellOver = 0;          ///< How often its servers fell over.
-  double FalseEndings = 0;      ///< Endings that were not true.
+  double ReturnP99Ms = 0;       ///< p99 in the 5 s after its return.
+  double AnsweredFraction = 0;  ///< Of new flows, over the whole time.
+  double OverloadCrashes = 0;   ///< How often its servers fell over.
+  double FalseOutcomes = 0;     ///< Endings that were not true.
 };
 /// 16 servers in four domains at 55%; one domain is out for 10 s.
-DomainFigures domainOutAndBack(const ScenarioLimits &limits, bool quick);
+DomainFigures runDomainOutageScenario(const ScenarioLimits &limits, bool quick);
 
 /// A server ten times slower than its peers: share of the requests that open a
 /// flow answered within 300 ms.
-double newFlowsBesideSlowServer(const ScenarioLimits &limits);
+double promptFractionWithSlowServer(const ScenarioLimits &limits);
 
 } // namespace balsamrack
 
--- a/PerformanceTest/PathMeasure.cpp
+++ b/PerformanceTest/PathMeasure.cpp
@@ -13,21 +13,22 @@
 using std::chrono::steady_clock;
 
 /// Until the servers' ramps have reached all slots: blind steps take 5 s.
-constexpr std::chrono::seconds WarmUp{8};
+constexpr std::chrono::seconds WarmUpTime{8};
 constexpr uint32_t WorkMs = 1;
 
 /// What callers got in a stretch of time.
-struct Stretch {
+struct LoadSample {
   double AnsweredPerSecond = 0;
   double MedianMs = 0;
 };
 
-Stretch measureLoad(standins::LoadGenerator &load, std::chrono::seconds span) {
+LoadSample measureLoad(standins::LoadGenerator &load,
+                       std::chrono::seconds duration) {
   const standins::LoadReport before = load.report();
-  const auto from = steady_clock::now();
-  std::this_thread::sleep_for(span);
+  const auto start = steady_clock::now();
+  std::this_thread::sleep_for(duration);
   standins::LoadReport after = load.report();
-  const std::chrono::duration<double> took = steady_clock::now() - from;
+  const std::chrono::duration<double> took = steady_clock::now() - start;
   after.AnswerMillis.erase(
       after.AnswerMillis.begin(),
       after.AnswerMillis.begin() +
@@ -36,7 +37,7 @@
           static_cast<double>(after.quantile(0.5))};
 }
 
-standins::CallSettings busyCallers(standins::CallSettings calls) {
+standins::CallSettings withoutThinkTime(standins::CallSettings calls) {
   calls.MaxThinkTime = Duration(0);
   calls.LongRunPercent = 0;
   return calls;
@@ -45,8 +46,8 @@
 } // namespace
 
 std::vector<Figure> measurePath(bool quick) {
-  const std::chrono::seconds span(quick ? 4 : 15);
-  FleetPlan plan = smallPlan();
+  const std::chrono::seconds duration(quick ? 4 : 15);
+  FleetPlan plan = makeSmallPlan();
   for (ServerPlan &it : plan.Servers)
     it.WorkMs = WorkMs;
   auto fleet = Fleet::start(plan);
@@ -57,23 +58,25 @@
   }
 
   // Through the system.
-  Stretch system;
+  LoadSample system;
   {
-    standins::LoadGenerator load(busyCallers((*fleet)->calls()));
-    std::this_thread::sleep_for(WarmUp);
-    system = measureLoad(load, span);
+    standins::LoadGenerator load(
+        withoutThinkTime((*fleet)->makeCallSettings()));
+    std::this_thread::sleep_for(WarmUpTime);
+    system = measureLoad(load, duration);
   }
 
   // The same callers straight at the same stand-ins, each flow at one of them.
-  standins::CallSettings straight = busyCallers((*fleet)->calls());
-  straight.Targets.clear();
+  standins::CallSettings directCalls =
+      withoutThinkTime((*fleet)->makeCallSettings());
+  directCalls.Targets.clear();
   for (const ServerPlan &it : plan.Servers)
-    straight.Targets.push_back({it.Service, (*fleet)->serverAt(it.Id)});
-  Stretch direct;
+    directCalls.Targets.push_back({it.Service, (*fleet)->serverAddress(it.Id)});
+  LoadSample direct;
   {
-    standins::LoadGenerator load(straight);
+    standins::LoadGenerator load(directCalls);
     std::this_thread::sleep_for(std::chrono::seconds(1));
-    direct = measureLoad(load, span);
+    direct = measureLoad(load, duration);
   }
   return {{"path_requests_per_second", system.AnsweredPerSecond, "1/s",
            direct.AnsweredPerSecond, "straight_to_server"},
--- a/PerformanceTest/capacityMain.cpp
+++ b/PerformanceTest/capacityMain.cpp
@@ -12,7 +12,7 @@
 
 int measure(const cxxopts::ParseResult &options) {
   std::vector<Figure> figures =
-      measureControl(options["largest"].as<size_t>(), [](const Figure &f) {
+      measureControlPlane(options["largest"].as<size_t>(), [](const Figure &f) {
         std::printf("%s %g %s\n", f.Name.c_str(), f.Value, f.Unit.c_str());
         std::fflush(stdout);
       });
--- a/PerformanceTest/packet-pathMain.cpp
+++ b/PerformanceTest/packet-pathMain.cpp
@@ -15,39 +15,42 @@
 namespace balsamrack {
 namespace {
 
-constexpr size_t Batches = 20'000;
-constexpr size_t HeadBytes = 31;
+constexpr size_t BatchCount = 20'000;
+constexpr size_t HeaderBytes = 31;
 constexpr size_t DataBytes = 100;
-constexpr size_t PacketsOfFlow = 8; ///< An opening, six packets, the end.
-const Address CallersAt{"127.0.0.1", 28711};
-const Address DaemonAt{"127.0.0.1", 28712};
-const Address ServerAt{"127.0.0.1", 28713};
+constexpr size_t PacketsPerFlow = 8; ///< An opening, six packets, the end.
+const Address CallersAddress{"127.0.0.1", 28711};
+const Address DaemonAddress{"127.0.0.1", 28712};
+const Address ServerAddress{"127.0.0.1", 28713};
 
 /// Packet number \p n of a long series of flows.
-std::vector<uint8_t> packetOf(uint64_t n, uint32_t token) {
-  uint64_t flow = n / PacketsOfFlow;
-  size_t step = n % PacketsOfFlow;
-  size_t data = step > 0 && step + 1 < PacketsOfFlow ? DataBytes : 0;
-  std::vector<uint8_t> packet(HeadBytes + data);
+std::vector<uint8_t> makePacket(uint64_t n, uint32_t token) {
+  uint64_t flow = n / PacketsPerFlow;
+  size_t position = n % PacketsPerFlow;
+  size_t dataBytes =
+      position > 0 && position + 1 < PacketsPerFlow ? DataBytes : 0;
+  std::vector<uint8_t> packet(HeaderBytes + dataBytes);
   auto put = [&packet](size_t at, uint32_t value, size_t bytes) {
     for (size_t i = 0; i < bytes; ++i)
       packet[at + i] = static_cast<uint8_t>(value >> (8 * i));
   };
-  put(4, static_cast<uint32_t>(data), 2);
+  put(4, static_cast<uint32_t>(dataBytes), 2);
   put(6, 0xc6120001, 4);
   put(10, static_cast<uint32_t>(flow % 60'000 + 1), 2);
   put(12, 443, 2);
   put(14, static_cast<uint32_t>(0x64400000 + flow / 60'000), 4);
-  put(18, step == 0 ? 0 : token, 4);
-  packet[22] = step == 0 ? 2 : step + 1 == PacketsOfFlow ? 32 | 64 : 32;
+  put(18, position == 0 ? 0 : token, 4);
+  packet[22] = position == 0                    ? 2
+               : position + 1 == PacketsPerFlow ? 32 | 64
+                                                : 32;
   put(23, static_cast<uint32_t>(flow), 4);
   return packet;
 }
 
 /// Sends what the router forwards, as the daemon does, to one server.
-class Sink final : public PacketSink {
+class ForwardingSink final : public PacketSink {
 public:
-  Sink(PacketSocket &socket, const PacketCodec &codec)
+  ForwardingSink(PacketSocket &socket, const PacketCodec &codec)
       : Socket(socket), Codec(codec) {}
   void forward(const PacketTarget &to, const uint8_t *packet,
                size_t n) override {
@@ -64,69 +67,69 @@
   const PacketCodec &Codec;
 };
 
-std::shared_ptr<const PacketRoutes> routes() {
+std::shared_ptr<const PacketRoutes> makeRoutes() {
   auto made = std::make_shared<PacketRoutes>();
   made->Routes[{0xc6120001, 443}] = {{{ServiceId("booking"), 1}},
                                      {ServiceId("booking")}};
   for (int i = 0; i < 14; ++i) {
-    auto what = std::make_shared<PublishedServer>();
-    what->Server.Id = ServerId("s" + std::to_string(i));
-    what->Server.Service = ServiceId("booking");
-    what->Server.Domain = DomainId("bern-a");
+    auto published = std::make_shared<PublishedServer>();
+    published->Server.Id = ServerId("s" + std::to_string(i));
+    published->Server.Service = ServiceId("booking");
+    published->Server.Domain = DomainId("bern-a");
     RoutedBackend server;
-    server.Published = what;
-    server.At = Endpoint::of(ServerAt);
-    server.Token = tokenOf(what->Server.Id);
+    server.Published = published;
+    server.At = Endpoint::of(ServerAddress);
+    server.Token = tokenOf(published->Server.Id);
     made->Servers.push_back(server);
   }
   return made;
 }
 
 /// Packets a second when \p take handles each.
-template <class Take>
-double measure(PacketSocket &callers, PacketSocket &daemon, Take take) {
+template <class Handler>
+double measure(PacketSocket &callers, PacketSocket &daemon, Handler handler) {
   std::chrono::steady_clock::duration spent{0};
   uint64_t n = 0;
   uint64_t done = 0;
   uint32_t token = tokenOf(ServerId("s0"));
-  for (size_t batch = 0; batch < Batches; ++batch) {
+  for (size_t batch = 0; batch < BatchCount; ++batch) {
     for (size_t i = 0; i < PacketSocket::BatchSize; ++i) {
-      std::vector<uint8_t> packet = packetOf(n++, token);
-      std::memcpy(callers.prepare(Endpoint::of(DaemonAt), packet.size()),
+      std::vector<uint8_t> packet = makePacket(n++, token);
+      std::memcpy(callers.prepare(Endpoint::of(DaemonAddress), packet.size()),
                   packet.data(), packet.size());
     }
     callers.flush();
-    auto began = std::chrono::steady_clock::now();
-    done += daemon.receive(take);
+    auto start = std::chrono::steady_clock::now();
+    done += daemon.receive(handler);
     daemon.flush();
-    spent += std::chrono::steady_clock::now() - began;
+    spent += std::chrono::steady_clock::now() - start;
   }
   return static_cast<double>(done) /
          std::chrono::duration<double>(spent).count();
 }
 
 int run() {
-  auto callers = PacketSocket::open(CallersAt);
-  auto daemon = PacketSocket::open(DaemonAt);
-  auto server = PacketSocket::open(ServerAt);
+  auto callers = PacketSocket::open(CallersAddress);
+  auto daemon = PacketSocket::open(DaemonAddress);
+  auto server = PacketSocket::open(ServerAddress);
   if (!callers.ok() || !daemon.ok() || !server.ok()) {
     std::fprintf(stderr, "packet-path: the ports 28711 to 28713 are taken\n");
     return 1;
   }
   PacketSocket &out = **daemon;
   double bare = measure(**callers, out, [&out](uint8_t *packet, size_t n) {
-    std::memcpy(out.prepare(Endpoint::of(ServerAt), n), packet, n);
+    std::memcpy(out.prepare(Endpoint::of(ServerAddress), n), packet, n);
   });
   platform::EchoPackets codec;
   SeededRandom random(1);
   PacketRouter router(PacketRouterSettings(), random);
   SystemClock clock;
-  router.setRoutes(routes());
-  Sink sink(out, codec);
+  router.setRoutes(makeRoutes());
+  ForwardingSink sink(out, codec);
   double routed = measure(**callers, out, [&](uint8_t *packet, size_t n) {
     TimePoint now = clock.now();
-    if (auto head = codec.decode(packet, n))
-      router.handlePacket(now, *head, packet, n, sink);
+    if (auto header = codec.decode(packet, n))
+      router.handlePacket(now, *header, packet, n, sink);
     router.tick(now, sink);
   });
   std::printf("packets_bare %.0f per_second\n", bare);
--- a/Soak/SoakFaults.cpp
+++ b/Soak/SoakFaults.cpp
@@ -62,9 +62,9 @@
 void SoakFaults::checkDaemons(TimePoint now) {
   for (size_t i = 0; i < SoakFleet::DaemonCount; ++i) {
     Process *daemon = Fleet.daemon(i);
-    if (Down[i] || !daemon || daemon->running())
+    if (Down[i] || !daemon || daemon->isRunning())
       continue;
-    auto code = daemon->awaitEnd(Duration{0});
+    auto code = daemon->awaitExit(Duration{0});
     Down[i] = true;
     Fleet.forgetDaemon(i);
     if (code.ok() && *code == -SIGHUP && now - StartedAt[i] < LoadingTime) {
@@ -150,9 +150,9 @@
                                    TimePoint sent) {
   schedule(now + StopPollPeriod, [this, daemon, sent](TimePoint later) {
     Process *process = Fleet.daemon(daemon);
-    if (process->running() && later - sent < StopTimeout)
+    if (process->isRunning() && later - sent < StopTimeout)
       return checkStoppedLater(later, daemon, sent);
-    auto code = process->awaitEnd(Duration{0});
+    auto code = process->awaitExit(Duration{0});
     bool loading = sent - StartedAt[daemon] < LoadingTime;
     bool endedInTime =
         code.ok() && (*code == 0 || (loading && *code == -SIGTERM));
@@ -209,11 +209,11 @@
 void SoakFaults::failStoreRelay(TimePoint now, size_t daemon) {
   ++Counts["store-path"];
   static constexpr Relay::Mode Modes[] = {
-      Relay::Mode::Cut, Relay::Mode::AnswersLost, Relay::Mode::Delayed,
-      Relay::Mode::Resets};
+      Relay::Mode::Cut, Relay::Mode::RepliesLost, Relay::Mode::RepliesDelayed,
+      Relay::Mode::Resetting};
   Fleet.storeRelay(daemon).setMode(Modes[Random.below(4)]);
   schedule(now + randomDuration(300, 3000), [this, daemon](TimePoint) {
-    Fleet.storeRelay(daemon).setMode(Relay::Mode::Passes);
+    Fleet.storeRelay(daemon).setMode(Relay::Mode::Forwarding);
   });
 }
 
--- a/Soak/SoakFleet.cpp
+++ b/Soak/SoakFleet.cpp
@@ -52,8 +52,8 @@
 }
 
 absl::Status SoakFleet::startAll() {
-  Ports = {freePort(), freePort(), freePort(), freePort(),
-           freePort(), freePort(), freePort()};
+  Ports = {findFreePort(), findFreePort(), findFreePort(), findFreePort(),
+           findFreePort(), findFreePort(), findFreePort()};
   auto store = platform::StandInStore::create({"127.0.0.1", Ports.Store});
   if (!store.ok())
     return store.status();
@@ -142,7 +142,7 @@
     return;
   Processes[i]->signal(SIGKILL);
   // It was sent SIGKILL: that it ends is the system's promise, not ours.
-  (void)Processes[i]->awaitEnd(Duration(5'000'000));
+  (void)Processes[i]->awaitExit(Duration(5'000'000));
   Processes[i].reset();
 }
 
--- a/UnitTests/Decisions/LoadTest.cpp
+++ b/UnitTests/Decisions/LoadTest.cpp
@@ -22,45 +22,52 @@
 };
 
 double answeredBesideColdServer(const ScenarioLimits &limits) {
-  return coldServer(limits, true).AnsweredShare;
+  return runColdServerScenario(limits, true).AnsweredFraction;
 }
 
 double peakOnColdServer(const ScenarioLimits &limits) {
-  ColdServerFigures figures = coldServer(limits, true);
-  return figures.PeakInProgress + figures.FellOver * 10;
+  ColdServerFigures figures = runColdServerScenario(limits, true);
+  return figures.PeakInProgress + figures.OverloadCrashes * 10;
 }
 
 double lastPacketToOutDomain(const ScenarioLimits &limits) {
-  return domainOutAndBack(limits, true).LastPacketSeconds;
+  return runDomainOutageScenario(limits, true).LastPacketSeconds;
 }
 
 double returnOfDomain(const ScenarioLimits &limits) {
-  return domainOutAndBack(limits, true).ReturnP99Millis;
+  return runDomainOutageScenario(limits, true).ReturnP99Ms;
 }
 
 std::vector<LoadCase> loadCases() {
-  auto twice = [](const ScenarioLimits &l) { return goodputAt(l, 2, true); };
-  auto tenfold = [](const ScenarioLimits &l) { return goodputAt(l, 10, true); };
+  auto twice = [](const ScenarioLimits &l) {
+    return measureGoodput(l, 2, true);
+  };
+  auto tenfold = [](const ScenarioLimits &l) {
+    return measureGoodput(l, 10, true);
+  };
   auto shorts = [](const ScenarioLimits &l) {
-    return p99ShortBehindLong(l, true);
+    return measureP99ShortBehindLong(l, true);
   };
   auto hot = [](const ScenarioLimits &l) {
-    return fairnessOfHotCaller(l, true);
+    return measureFairnessWithHotCaller(l, true);
   };
   return {
       {"SaturationTwofold", twice, fifoUnbounded(), 0.95, 0.3},
       {"SaturationTenfold", tenfold, fifoUnbounded(), 0.95, 0.5},
       {"LongAmongShort", shorts, withoutLongWorkGuard(), -900, 500},
       {"HotCaller", hot, withoutFairness(), 0.98, 0.1},
-      {"BurstOfOneCaller", othersDuringBurst, fifoUnbounded(), 0.95, 0.2},
-      {"BurstWithoutRounds", othersDuringBurst, withoutFairness(), 0.95, 0.04},
+      {"BurstOfOneCaller", answeredFractionDuringBurst, fifoUnbounded(), 0.95,
+       0.2},
+      {"BurstWithoutRounds", answeredFractionDuringBurst, withoutFairness(),
+       0.95, 0.04},
       {"ColdUnderLoadAnswers", answeredBesideColdServer, withoutRamp(), 0.95,
        0.03},
       {"ColdUnderLoadPeak", peakOnColdServer, withoutRamp(), -1, 1},
       {"DomainOutLastPacket", lastPacketToOutDomain, withoutDomainOut(), -0.1,
        5},
       {"DomainReturns", returnOfDomain, withoutRamp(), -800, 100},
-      {"SlowServer", newFlowsBesideSlowServer, withoutEjection(), 0.9, 0.03},
+      {"SlowServer", promptFractionWithSlowServer, withoutEjection(), 0.9,
+       0.03},
   };
 }
 
@@ -76,7 +83,7 @@
 // case fails if its decision is replaced by the baseline.
 TEST_P(LoadTest, CallersGetMoreThanUnderTheBaseline) {
   const LoadCase &test = GetParam();
-  double ours = test.Run(ourLimits());
+  double ours = test.Run(defaultLimits());
   double baseline = test.Run(test.Baseline);
   RecordProperty("ours", std::to_string(ours));
   RecordProperty("baseline", std::to_string(baseline));
@@ -110,22 +117,24 @@
 // reach a server once.
 TEST_P(TruthTest, EndingsAreTrueAndSlotsKept) {
   const TruthCase &test = GetParam();
-  ScenarioLimits limits = ourLimits();
+  ScenarioLimits limits = defaultLimits();
   LoadModel model(limits.Owner, limits.Config, std::vector<ModelServer>(4), 7);
   ModelTraffic traffic;
-  traffic.PerSecond = 200;
-  traffic.Callers = 50;
+  traffic.RequestsPerSecond = 200;
+  traffic.CallerCount = 50;
   traffic.Kind = test.Kind;
-  model.offer(traffic);
+  model.addTraffic(traffic);
   if (test.Restarts)
     for (int n = 1; n < 9; ++n)
-      model.at(Duration(n * 1'000'000),
-               [&model, n] { model.restart(n % 4, Duration(100'000)); });
+      model.scheduleAt(Duration(n * 1'000'000), [&model, n] {
+        model.restartServer(n % 4, Duration(100'000));
+      });
   if (test.Broken)
-    model.at(Duration(2'000'000), [&model] { model.server(1).Broken = true; });
+    model.scheduleAt(Duration(2'000'000),
+                     [&model] { model.server(1).AlwaysFails = true; });
   model.run();
-  EXPECT_EQ(falseEndings(model.results()), 0U);
-  EXPECT_EQ(model.overSlots(), 0U);
+  EXPECT_EQ(countFalseOutcomes(model.results()), 0U);
+  EXPECT_EQ(model.maxOverSlots(), 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
