--- a/Balsamrack/Daemon/DaemonOperatorHandler.cpp
+++ b/Balsamrack/Daemon/DaemonOperatorHandler.cpp
@@ -4,7 +4,7 @@
 
 #include "Balsamrack/Configuration/TicketCodec.h"
 #include "Balsamrack/Flows/EntryRouter.h"
-#include "Balsamrack/Http/OperatorAnswers.h"
+#include "Balsamrack/Http/OperatorReplies.h"
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_cat.h"
 #include "absl/strings/str_format.h"
--- a/Balsamrack/Daemon/PacketControlPlane.h
+++ b/Balsamrack/Daemon/PacketControlPlane.h
@@ -12,7 +12,7 @@
 #include "Balsamrack/Daemon/TaskQueue.h"
 #include "Balsamrack/Membership/Membership.h"
 #include "Balsamrack/Packets/PacketRoutes.h"
-#include "Balsamrack/Peers/DatagramPeers.h"
+#include "Balsamrack/Peers/DatagramTransport.h"
 #include "Balsamrack/Published/PublishedSource.h"
 #include "Balsamrack/Published/StateExchange.h"
 
--- a/Balsamrack/Daemon/PacketOperatorHandler.cpp
+++ b/Balsamrack/Daemon/PacketOperatorHandler.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "Balsamrack/Http/OperatorAnswers.h"
+#include "Balsamrack/Http/OperatorReplies.h"
 #include "absl/strings/str_cat.h"
 #include "absl/strings/str_format.h"
 #include "absl/strings/str_split.h"
--- a/Balsamrack/Daemon/PacketTelemetry.h
+++ b/Balsamrack/Daemon/PacketTelemetry.h
@@ -9,7 +9,7 @@
 #include "Balsamrack/Packets/PacketEvents.h"
 #include "Balsamrack/Packets/PacketRouter.h"
 #include "Balsamrack/Packets/PacketSocket.h"
-#include "Balsamrack/Peers/DatagramPeers.h"
+#include "Balsamrack/Peers/DatagramTransport.h"
 
 namespace balsamrack {
 
--- a/Balsamrack/Decisions/ServiceOwner.cpp
+++ b/Balsamrack/Decisions/ServiceOwner.cpp
@@ -1,7 +1,7 @@
 #include "Balsamrack/Decisions/ServiceOwner.h"
 
 #include "Balsamrack/Core/Errors.h"
-#include "Balsamrack/Decisions/ServersOfService.h"
+#include "Balsamrack/Decisions/ServiceOwnerImpl.h"
 
 namespace balsamrack {
 
--- a/Balsamrack/Decisions/ServersOfService.cpp
+++ b/Balsamrack/Decisions/ServiceOwnerImpl.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Decisions/ServersOfService.h"
+#include "Balsamrack/Decisions/ServiceOwnerImpl.h"
 
 #include <algorithm>
 #include <set>
--- a/Balsamrack/Http/OperatorAnswers.cpp
+++ b/Balsamrack/Http/OperatorReplies.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Http/OperatorAnswers.h"
+#include "Balsamrack/Http/OperatorReplies.h"
 
 #include <nlohmann/json.hpp>
 
--- a/Balsamrack/Http/OperatorAnswers.h
+++ b/Balsamrack/Http/OperatorReplies.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_HTTP_OPERATORANSWERS_H
-#define BALSAMRACK_HTTP_OPERATORANSWERS_H
+#ifndef BALSAMRACK_HTTP_OPERATORREPLIES_H
+#define BALSAMRACK_HTTP_OPERATORREPLIES_H
 
 #include <string>
 
@@ -21,4 +21,4 @@
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_HTTP_OPERATORANSWERS_H
+#endif // BALSAMRACK_HTTP_OPERATORREPLIES_H
--- a/Balsamrack/Peers/CborShape.cpp
+++ b/Balsamrack/Peers/CborValidation.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Peers/CborShape.h"
+#include "Balsamrack/Peers/CborValidation.h"
 
 #include <cstdint>
 #include <vector>
--- a/Balsamrack/Peers/CborShape.h
+++ b/Balsamrack/Peers/CborValidation.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_PEERS_CBORSHAPE_H
-#define BALSAMRACK_PEERS_CBORSHAPE_H
+#ifndef BALSAMRACK_PEERS_CBORVALIDATION_H
+#define BALSAMRACK_PEERS_CBORVALIDATION_H
 
 #include <cstddef>
 #include <string>
@@ -25,4 +25,4 @@
 
 } // namespace balsamrack
 
-#endif // BALSAMRACK_PEERS_CBORSHAPE_H
+#endif // BALSAMRACK_PEERS_CBORVALIDATION_H
--- a/Balsamrack/Peers/DatagramPeers.cpp
+++ b/Balsamrack/Peers/DatagramTransport.cpp
@@ -1,4 +1,4 @@
-#include "Balsamrack/Peers/DatagramPeers.h"
+#include "Balsamrack/Peers/DatagramTransport.h"
 
 #include <arpa/inet.h>
 #include <sys/socket.h>
--- a/Balsamrack/Peers/PeerCodec.cpp
+++ b/Balsamrack/Peers/PeerCodec.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "Balsamrack/Core/Errors.h"
-#include "Balsamrack/Peers/CborShape.h"
+#include "Balsamrack/Peers/CborValidation.h"
 #include "Balsamrack/Peers/PeerFields.h"
 #include "nlohmann/json.hpp"
 
--- a/Balsamrack/Replay/TraceArchive.h
+++ b/Balsamrack/Replay/TraceArchive.h
@@ -52,7 +52,7 @@
     else if constexpr (std::is_same_v<T, Address>)
       return field == Address() ? std::string() : field.str();
     else
-      return structured(field);
+      return convertValue(field);
   }
 
 private:
@@ -64,20 +64,20 @@
     return v.is_string() ? v.get_ref<const std::string &>().empty() : v.empty();
   }
   template <class Tag>
-  static nlohmann::json structured(const NamedId<Tag> &field) {
+  static nlohmann::json convertValue(const NamedId<Tag> &field) {
     return field.str();
   }
-  template <class Tag> static nlohmann::json structured(NumberId<Tag> field) {
+  template <class Tag> static nlohmann::json convertValue(NumberId<Tag> field) {
     return field.Value;
   }
   template <class T>
-  static nlohmann::json structured(const std::vector<T> &field) {
+  static nlohmann::json convertValue(const std::vector<T> &field) {
     nlohmann::json list = nlohmann::json::array();
     for (const T &it : field)
       list.push_back(toJson(it));
     return list;
   }
-  template <class T> static nlohmann::json structured(const T &field) {
+  template <class T> static nlohmann::json convertValue(const T &field) {
     nlohmann::json object = nlohmann::json::object();
     TraceWriter inner(object);
     traceFields(inner, field);
@@ -155,19 +155,19 @@
       auto address = Address::parse(v.get<std::string>());
       return address.ok() && (field = *address, true);
     } else {
-      return structured(v, field);
+      return convertValue(v, field);
     }
   }
   template <class Tag>
-  bool structured(const nlohmann::json &v, NamedId<Tag> &field) {
+  bool convertValue(const nlohmann::json &v, NamedId<Tag> &field) {
     return v.is_string() && (field = NamedId<Tag>(v.get<std::string>()), true);
   }
   template <class Tag>
-  bool structured(const nlohmann::json &v, NumberId<Tag> &field) {
+  bool convertValue(const nlohmann::json &v, NumberId<Tag> &field) {
     return fromJson(v, field.Value);
   }
   template <class T>
-  bool structured(const nlohmann::json &v, std::vector<T> &field) {
+  bool convertValue(const nlohmann::json &v, std::vector<T> &field) {
     for (const nlohmann::json &element : v) {
       field.emplace_back();
       if (!fromJson(element, field.back()))
@@ -175,7 +175,7 @@
     }
     return v.is_array();
   }
-  template <class T> bool structured(const nlohmann::json &v, T &field) {
+  template <class T> bool convertValue(const nlohmann::json &v, T &field) {
     {
       TraceReader inner(v, FirstError);
       traceFields(inner, field);
--- a/FailureTests/Fleet.h
+++ b/FailureTests/Fleet.h
@@ -9,7 +9,7 @@
 
 #include "FailureTests/Process.h"
 #include "FailureTests/Relay.h"
-#include "StandIns/Load.h"
+#include "StandIns/LoadGenerator.h"
 #include "absl/status/status.h"
 #include <nlohmann/json.hpp>
 
--- a/FailureTests/StandInsTest.cpp
+++ b/FailureTests/StandInsTest.cpp
@@ -6,7 +6,7 @@
 #include "StandIns/Fabric.h"
 #include "StandIns/HttpClient.h"
 #include "StandIns/HttpServer.h"
-#include "StandIns/Load.h"
+#include "StandIns/LoadGenerator.h"
 #include "StandIns/Platform.h"
 #include "absl/strings/str_cat.h"
 
--- a/Soak/CalmChecks.cpp
+++ b/Soak/RecoveryChecks.cpp
@@ -1,4 +1,4 @@
-#include "Soak/CalmChecks.h"
+#include "Soak/RecoveryChecks.h"
 
 #include <fstream>
 
--- a/Soak/CalmChecks.h
+++ b/Soak/RecoveryChecks.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_SOAK_CALMCHECKS_H
-#define BALSAMRACK_SOAK_CALMCHECKS_H
+#ifndef BALSAMRACK_SOAK_RECOVERYCHECKS_H
+#define BALSAMRACK_SOAK_RECOVERYCHECKS_H
 
 #include <string>
 #include <vector>
@@ -20,4 +20,4 @@
 
 } // namespace balsamrack::soak
 
-#endif // BALSAMRACK_SOAK_CALMCHECKS_H
+#endif // BALSAMRACK_SOAK_RECOVERYCHECKS_H
--- a/Soak/packet-soakMain.cpp
+++ b/Soak/packet-soakMain.cpp
@@ -7,7 +7,7 @@
 
 #include <cxxopts.hpp>
 
-#include "Soak/CalmChecks.h"
+#include "Soak/RecoveryChecks.h"
 #include "Soak/SoakCallers.h"
 #include "Soak/SoakFaults.h"
 #include "absl/strings/str_cat.h"
--- a/StandIns/Load.cpp
+++ b/StandIns/LoadGenerator.cpp
@@ -1,4 +1,4 @@
-#include "StandIns/Load.h"
+#include "StandIns/LoadGenerator.h"
 
 #include <utility>
 
--- a/StandIns/Load.h
+++ b/StandIns/LoadGenerator.h
@@ -1,5 +1,5 @@
-#ifndef BALSAMRACK_STANDINS_LOAD_H
-#define BALSAMRACK_STANDINS_LOAD_H
+#ifndef BALSAMRACK_STANDINS_LOADGENERATOR_H
+#define BALSAMRACK_STANDINS_LOADGENERATOR_H
 
 #include <memory>
 #include <thread>
@@ -30,4 +30,4 @@
 
 } // namespace balsamrack::standins
 
-#endif // BALSAMRACK_STANDINS_LOAD_H
+#endif // BALSAMRACK_STANDINS_LOADGENERATOR_H
--- a/StandIns/standin-callersMain.cpp
+++ b/StandIns/standin-callersMain.cpp
@@ -8,7 +8,7 @@
 
 #include "Balsamrack/Core/Errors.h"
 #include "StandIns/HttpServer.h"
-#include "StandIns/Load.h"
+#include "StandIns/LoadGenerator.h"
 #include "StandIns/Program.h"
 
 using namespace balsamrack;
--- a/UnitTests/Observability/JournalTest.cpp
+++ b/UnitTests/Observability/JournalTest.cpp
@@ -72,9 +72,9 @@
   int ExpectedCount; ///< -1: can't be read.
 };
 
-class EachQuestion : public testing::TestWithParam<JournalQuery> {};
+class JournalQueryTest : public testing::TestWithParam<JournalQuery> {};
 
-TEST_P(EachQuestion, IsAnsweredOrRefused) {
+TEST_P(JournalQueryTest, IsAnsweredOrRefused) {
   Journal journal(100);
   journal.add(makeDecision(0xab, 0xcd, "booking-03"));
   auto found = journal.query(GetParam().Kind, GetParam().Id);
@@ -83,7 +83,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Questions, EachQuestion,
+    Questions, JournalQueryTest,
     testing::Values(
         JournalQuery{"request", "00000000000000ab", 1},
         JournalQuery{"request", "ab", 1}, JournalQuery{"flow", "cd", 1},
--- a/UnitTests/Observability/LogAndSpanTest.cpp
+++ b/UnitTests/Observability/LogAndSpanTest.cpp
@@ -95,16 +95,17 @@
   absl::StatusCode ExpectedCode;
 };
 
-class EachBadLog : public testing::TestWithParam<InvalidLogSettings> {};
+class LogSettingsErrorTest : public testing::TestWithParam<InvalidLogSettings> {
+};
 
-TEST_P(EachBadLog, IsAnError) {
+TEST_P(LogSettingsErrorTest, IsAnError) {
   auto log = Log::create(GetParam().Settings);
   EXPECT_EQ(log.status().code(), GetParam().ExpectedCode);
   EXPECT_EQ(stepOf(log.status()), "read-settings");
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Settings, EachBadLog,
+    Settings, LogSettingsErrorTest,
     testing::Values(InvalidLogSettings{{"loud", "text", ""},
                                        absl::StatusCode::kInvalidArgument},
                     InvalidLogSettings{{"info", "xml", ""},
--- a/UnitTests/Observability/TraceContextTest.cpp
+++ b/UnitTests/Observability/TraceContextTest.cpp
@@ -31,9 +31,9 @@
   bool IsValid;
 };
 
-class EachTraceparent : public testing::TestWithParam<TraceparentCase> {};
+class TraceparentTest : public testing::TestWithParam<TraceparentCase> {};
 
-TEST_P(EachTraceparent, IsReadAsTheStandardSays) {
+TEST_P(TraceparentTest, IsReadAsTheStandardSays) {
   EXPECT_EQ(TraceContext::parse(GetParam().Value).ok(), GetParam().IsValid);
 }
 
@@ -43,7 +43,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Texts, EachTraceparent,
+    Texts, TraceparentTest,
     testing::Values(
         TraceparentCase{"Good", ValidTraceparent, true},
         TraceparentCase{"Empty", "", false},
--- a/UnitTests/Replay/ReplayTest.cpp
+++ b/UnitTests/Replay/ReplayTest.cpp
@@ -95,9 +95,9 @@
   const char *Text;
 };
 
-class BadLineTest : public testing::TestWithParam<InvalidLineCase> {};
+class InvalidTraceLineTest : public testing::TestWithParam<InvalidLineCase> {};
 
-TEST_P(BadLineTest, IsRefused) {
+TEST_P(InvalidTraceLineTest, IsRefused) {
   Replayer replayer;
   const auto actions = replayer.processLine(GetParam().Text);
   ASSERT_FALSE(actions.ok());
@@ -105,7 +105,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Lines, BadLineTest,
+    Lines, InvalidTraceLineTest,
     testing::Values(
         InvalidLineCase{"NoJson", "packet arrived"},
         InvalidLineCase{"NoMachine", R"({"at_us":1,"what":"Ticked"})"},
@@ -146,16 +146,16 @@
   size_t Line; ///< Of the first difference; zero for none.
 };
 
-class CompareTest : public testing::TestWithParam<CompareCase> {};
+class CompareOutcomesTest : public testing::TestWithParam<CompareCase> {};
 
 // A stated outcome is changed: the replay has to fail, and show where.
-TEST_P(CompareTest, FindsTheFirstDifference) {
+TEST_P(CompareOutcomesTest, FindsTheFirstDifference) {
   const auto difference = compareOutcomes({"a", "b"}, GetParam().Expected);
   EXPECT_EQ(difference ? difference->Line : 0, GetParam().Line);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Cases, CompareTest,
+    Cases, CompareOutcomesTest,
     testing::Values(CompareCase{"Same", {"a", "b"}, 0},
                     CompareCase{"Comments", {"# why", "a", "", "b"}, 0},
                     CompareCase{"Changed", {"a", "c"}, 2},
