--- a/Balsamrack/Daemon/DaemonOperatorHandler.cpp
+++ b/Balsamrack/Daemon/DaemonOperatorHandler.cpp
@@ -53,7 +53,7 @@
 DaemonOperatorHandler::DaemonOperatorHandler(const OperatorSources &sources)
     : Sources(sources), StartedAt(sources.Time.now()) {}
 
-OperatorReply DaemonOperatorHandler::answer(const OperatorRequest &question) {
+OperatorReply DaemonOperatorHandler::handle(const OperatorRequest &question) {
   const std::string &path = question.Path;
   if (path == "status")
     return status();
--- a/Balsamrack/Daemon/DaemonOperatorHandler.h
+++ b/Balsamrack/Daemon/DaemonOperatorHandler.h
@@ -31,7 +31,7 @@
   /// Precondition: all objects that \p sources refers to outlive the result.
   explicit DaemonOperatorHandler(const OperatorSources &sources);
 
-  OperatorReply answer(const OperatorRequest &question) override;
+  OperatorReply handle(const OperatorRequest &question) override;
 
 private:
   OperatorReply status() const;
--- a/Balsamrack/Daemon/DaemonTelemetry.cpp
+++ b/Balsamrack/Daemon/DaemonTelemetry.cpp
@@ -135,15 +135,15 @@
 }
 
 nlohmann::json DaemonTelemetry::findSpans(const std::string &trace) const {
-  return Impl->Spans->spansOf(trace);
+  return Impl->Spans->findSpans(trace);
 }
 
 std::string DaemonTelemetry::metricsText() const {
-  return Impl->Registry->prometheus();
+  return Impl->Registry->toPrometheusText();
 }
 
 nlohmann::json DaemonTelemetry::metricsJson() const {
-  return Impl->Registry->json();
+  return Impl->Registry->toJson();
 }
 
 } // namespace balsamrack
--- a/Balsamrack/Daemon/PacketOperatorHandler.cpp
+++ b/Balsamrack/Daemon/PacketOperatorHandler.cpp
@@ -91,9 +91,9 @@
                                              const PacketTelemetry &telemetry)
     : Settings(settings), Forwarder(forwarder), TelemetrySink(telemetry) {}
 
-OperatorReply PacketOperatorHandler::answer(const OperatorRequest &question) {
+OperatorReply PacketOperatorHandler::handle(const OperatorRequest &question) {
   if (question.Path == "metrics")
-    return {200, "text/plain; version=0.0.4", TelemetrySink.prometheus()};
+    return {200, "text/plain; version=0.0.4", TelemetrySink.toPrometheusText()};
   if (question.Path == "status")
     return status();
   if (question.Path == "servers")
--- a/Balsamrack/Daemon/PacketOperatorHandler.h
+++ b/Balsamrack/Daemon/PacketOperatorHandler.h
@@ -16,7 +16,7 @@
                         PacketForwarder &forwarder,
                         const PacketTelemetry &telemetry);
 
-  OperatorReply answer(const OperatorRequest &question) override;
+  OperatorReply handle(const OperatorRequest &question) override;
 
 private:
   OperatorReply status() const;
--- a/Balsamrack/Daemon/PacketTelemetry.h
+++ b/Balsamrack/Daemon/PacketTelemetry.h
@@ -45,7 +45,7 @@
   void recordRead(PublishedSection section, bool listing,
                   const absl::Status &status);
   /// Returns all metrics in Prometheus text format.
-  std::string prometheus() const { return Registry->prometheus(); }
+  std::string toPrometheusText() const { return Registry->toPrometheusText(); }
 
 private:
   void setMessageMetrics(const char *direction, const MessageCounts &counts);
--- a/Balsamrack/Http/OperatorPort.cpp
+++ b/Balsamrack/Http/OperatorPort.cpp
@@ -79,7 +79,7 @@
   if (path.rfind(PathPrefix, 0) != 0)
     return errorAnswer(404, "paths begin with /v1/");
   OperatorRequest request{path.substr(4), std::move(target->Query)};
-  OperatorReply reply = Handler.answer(request);
+  OperatorReply reply = Handler.handle(request);
   return {reply.Status,
           {{"Content-Type", std::move(reply.ContentType)}},
           std::move(reply.Body)};
--- a/Balsamrack/Http/OperatorPort.h
+++ b/Balsamrack/Http/OperatorPort.h
@@ -31,7 +31,7 @@
   virtual ~OperatorHandler() = default;
   /// Answers one question. Called on many threads at once; must not wait for
   /// the network.
-  virtual OperatorReply answer(const OperatorRequest &request) = 0;
+  virtual OperatorReply handle(const OperatorRequest &request) = 0;
 };
 
 /// The operators' HTTP port: read only, and apart from the callers' ports.
--- a/Balsamrack/Observability/Metrics.cpp
+++ b/Balsamrack/Observability/Metrics.cpp
@@ -131,8 +131,8 @@
       ++s.Count;
     });
   }
-  std::string prometheus() const override;
-  nlohmann::json json() const override;
+  std::string toPrometheusText() const override;
+  nlohmann::json toJson() const override;
 
 private:
   template <class Change>
@@ -200,7 +200,7 @@
   return all;
 }
 
-std::string ShardedMetrics::prometheus() const {
+std::string ShardedMetrics::toPrometheusText() const {
   std::string text;
   std::string previousName;
   for (const auto &[key, sample] : collectSamples()) {
@@ -215,7 +215,7 @@
   return text;
 }
 
-nlohmann::json ShardedMetrics::json() const {
+nlohmann::json ShardedMetrics::toJson() const {
   nlohmann::json families = nlohmann::json::array();
   for (const auto &[key, sample] : collectSamples()) {
     const MetricFamily &family = *sample.Family;
--- a/Balsamrack/Observability/Metrics.h
+++ b/Balsamrack/Observability/Metrics.h
@@ -54,9 +54,9 @@
   virtual void observe(const MetricFamily &family, const MetricLabels &labels,
                        Duration value) = 0;
   /// Everything in Prometheus' text format, families by name.
-  virtual std::string prometheus() const = 0;
+  virtual std::string toPrometheusText() const = 0;
   /// Everything as JSON: an array of families with their series.
-  virtual nlohmann::json json() const = 0;
+  virtual nlohmann::json toJson() const = 0;
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Observability/SpanSink.cpp
+++ b/Balsamrack/Observability/SpanSink.cpp
@@ -48,7 +48,7 @@
   absl::Status open();
   std::string start(const std::string &parent) override;
   void end(const HopSpan &span) override;
-  json spansOf(const std::string &traceId) const override;
+  json findSpans(const std::string &traceId) const override;
 
 private:
   /// From our monotonic clock to the wall clock, as it was at the start.
@@ -172,7 +172,7 @@
   File << text << std::flush;
 }
 
-json RingAndFileSpanSink::spansOf(const std::string &traceId) const {
+json RingAndFileSpanSink::findSpans(const std::string &traceId) const {
   auto traceContext =
       TraceContext::parse("00-" + traceId + "-0000000000000001-01");
   json out = json::array();
--- a/Balsamrack/Observability/SpanSink.h
+++ b/Balsamrack/Observability/SpanSink.h
@@ -40,7 +40,7 @@
   /// The spans held of the trace with these 32 hex digits, in order of their
   /// start: span, parent, name, start_us (monotonic), took_us, service, server,
   /// request, result, failed.
-  virtual nlohmann::json spansOf(const std::string &traceId) const = 0;
+  virtual nlohmann::json findSpans(const std::string &traceId) const = 0;
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Peers/DatagramTransport.cpp
+++ b/Balsamrack/Peers/DatagramTransport.cpp
@@ -166,10 +166,11 @@
 }
 
 void DatagramTransport::evictOldestPartial() {
-  auto oldest = std::min_element(PartialMessages.begin(), PartialMessages.end(),
-                                 [](const auto &a, const auto &b) {
-                                   return a.second.Began < b.second.Began;
-                                 });
+  auto oldest =
+      std::min_element(PartialMessages.begin(), PartialMessages.end(),
+                       [](const auto &a, const auto &b) {
+                         return a.second.ArrivalOrder < b.second.ArrivalOrder;
+                       });
   PartialMessages.erase(oldest);
 }
 
--- a/Balsamrack/Peers/PeerAcceptor.cpp
+++ b/Balsamrack/Peers/PeerAcceptor.cpp
@@ -60,7 +60,7 @@
   absl::Status start();
   Address at() const override { return BoundAddress; }
   void close() override;
-  bool closed() const override { return Connections.empty(); }
+  bool isClosed() const override { return Connections.empty(); }
 
 private:
   using ConnectionMap =
--- a/Balsamrack/Peers/PeerAcceptor.h
+++ b/Balsamrack/Peers/PeerAcceptor.h
@@ -32,7 +32,7 @@
   /// Accepts no more and closes the connections. On the context's thread.
   virtual void close() = 0;
   /// True when no connection is left. On the context's thread.
-  virtual bool closed() const = 0;
+  virtual bool isClosed() const = 0;
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Peers/PeerDialer.cpp
+++ b/Balsamrack/Peers/PeerDialer.cpp
@@ -64,13 +64,13 @@
   }
 
   absl::Status send(const EntryVm &to, QueuedFrame frame) override;
-  void peerLives(const VmId &peer) override {
+  void resetBackoff(const VmId &peer) override {
     findOrCreateChannel(peer)->Link.recordConnectSuccess();
   }
-  void refuseMore() override;
-  bool drained() const override;
+  void rejectNewFrames() override;
+  bool isDrained() const override;
   void close() override;
-  bool closed() const override;
+  bool isClosed() const override;
 
 private:
   ChannelPtr findOrCreateChannel(const VmId &peer);
@@ -308,14 +308,14 @@
         makeError(code, Step::SendToPeer, channel->Link.peer().str(), why));
 }
 
-void WebsocketDialer::refuseMore() {
+void WebsocketDialer::rejectNewFrames() {
   std::lock_guard<std::mutex> hold(Lock);
   RejectsNewFrames = true;
   for (const auto &[id, channel] : Channels)
     channel->Link.close();
 }
 
-bool WebsocketDialer::drained() const {
+bool WebsocketDialer::isDrained() const {
   for (const ChannelPtr &channel : allChannels())
     if (!channel->Link.empty() ||
         channel->CurrentState == OutboundChannel::State::Connecting)
@@ -330,7 +330,7 @@
       channel->Connection->close(close_code::going_away, "stopping", ec);
 }
 
-bool WebsocketDialer::closed() const {
+bool WebsocketDialer::isClosed() const {
   for (const ChannelPtr &channel : allChannels())
     if (channel->Connection)
       return false;
--- a/Balsamrack/Peers/PeerDialer.h
+++ b/Balsamrack/Peers/PeerDialer.h
@@ -24,16 +24,16 @@
   virtual absl::Status send(const EntryVm &to, QueuedFrame frame) = 0;
   /// \p peer has connected to us, so that it lives: the next frame for it may
   /// connect at once, whatever failed before. Thread-safe.
-  virtual void peerLives(const VmId &peer) = 0;
+  virtual void resetBackoff(const VmId &peer) = 0;
   /// Lets nothing more in. Thread-safe.
-  virtual void refuseMore() = 0;
+  virtual void rejectNewFrames() = 0;
   /// True when nothing waits for a connection. On the context's thread.
-  virtual bool drained() const = 0;
+  virtual bool isDrained() const = 0;
   /// Closes the connections after what was handed to them. On the context's
   /// thread.
   virtual void close() = 0;
   /// True when no connection is left. On the context's thread.
-  virtual bool closed() const = 0;
+  virtual bool isClosed() const = 0;
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Peers/PeerFields.h
+++ b/Balsamrack/Peers/PeerFields.h
@@ -148,8 +148,8 @@
 
 template <class Ar> void fields(Ar &ar, typename Ar::template Ref<Outcome> m) {
   ar("r", m.Request);
-  ar.oneOf("h", m.How, OutcomeKind::GivenUp);
-  ar.oneOf("w", m.Why, Reason::UnknownService);
+  ar.oneOf("h", m.Kind, OutcomeKind::GivenUp);
+  ar.oneOf("w", m.Cause, Reason::UnknownService);
   ar("a", m.RetryAfter);
   ar("s", m.Server);
   ar("t", m.AtStep);
--- a/Balsamrack/Peers/WebsocketTransport.cpp
+++ b/Balsamrack/Peers/WebsocketTransport.cpp
@@ -56,7 +56,7 @@
   // Nothing comes in before the thread runs, and the dialer is there by then.
   auto acceptor = PeerAcceptor::create(
       Settings, listener, Stats, Context,
-      [this](const VmId &peer) { Dialer->peerLives(peer); });
+      [this](const VmId &peer) { Dialer->resetBackoff(peer); });
   if (!acceptor.ok())
     return acceptor.status();
   Acceptor = *std::move(acceptor);
@@ -105,7 +105,7 @@
 }
 
 void AsioTransport::drain(steady_clock::time_point deadline) {
-  if (!Dialer->drained() && steady_clock::now() < deadline)
+  if (!Dialer->isDrained() && steady_clock::now() < deadline)
     return scheduleCheck([this, deadline] { drain(deadline); });
   Dialer->close();
   Acceptor->close();
@@ -113,7 +113,7 @@
 }
 
 void AsioTransport::close(steady_clock::time_point deadline) {
-  bool closed = Dialer->closed() && Acceptor->closed();
+  bool closed = Dialer->isClosed() && Acceptor->isClosed();
   if (!closed && steady_clock::now() < deadline)
     return scheduleCheck([this, deadline] { close(deadline); });
   Context.stop();
@@ -123,7 +123,7 @@
   std::lock_guard<std::mutex> lock(StopLock);
   if (!IoThread.joinable())
     return;
-  Dialer->refuseMore();
+  Dialer->rejectNewFrames();
   boost::asio::post(Context,
                     [this] { drain(steady_clock::now() + DrainTimeout); });
   IoThread.join();
--- a/Balsamrack/Replay/TraceFields.h
+++ b/Balsamrack/Replay/TraceFields.h
@@ -73,8 +73,8 @@
 template <class Ar>
 void traceFields(Ar &ar, typename Ar::template Ref<Outcome> m) {
   ar("request", m.Request);
-  ar.oneOf("ending", m.How, OutcomeKind::GivenUp);
-  ar.oneOf("reason", m.Why, Reason::UnknownService);
+  ar.oneOf("ending", m.Kind, OutcomeKind::GivenUp);
+  ar.oneOf("reason", m.Cause, Reason::UnknownService);
   ar("retry_after_us", m.RetryAfter);
   ar("server", m.Server);
   ar("step", m.AtStep);
@@ -185,7 +185,7 @@
   ar("ticket", m.Ticket);
   ar("self", m.Self);
   ar("services", m.Services);
-  ar("guardians", m.Guardians);
+  ar("guardians", m.KeyReplicas);
 }
 
 inline void traceFields(TraceWriter &ar, const ViewChanged &m) {
--- a/FailureTests/Fleet.cpp
+++ b/FailureTests/Fleet.cpp
@@ -372,7 +372,7 @@
   }
   report.countRunViolations();
   report.countLostFlows(outOfServiceDomains);
-  std::printf("%s\n", report.json().c_str());
+  std::printf("%s\n", report.toJson().c_str());
   return report;
 }
 
--- a/FailureTests/FleetTest.cpp
+++ b/FailureTests/FleetTest.cpp
@@ -27,7 +27,7 @@
   uint64_t goal = load.report().Answered + count;
   ASSERT_TRUE(awaitUntil(AnswersTimeout, [&] {
     return load.report().Answered >= goal;
-  })) << load.report().json();
+  })) << load.report().toJson();
 }
 
 void FleetTest::expectNoViolations(const standins::LoadReport &report,
--- a/FailureTests/StandInsTest.cpp
+++ b/FailureTests/StandInsTest.cpp
@@ -77,8 +77,8 @@
 TEST_F(StandInsTest, OneServerIsClean) {
   setFabricServers(R"([{"ip":"127.0.2.1"}])");
   LoadReport report = runLoad("booking");
-  EXPECT_TRUE(report.isClean()) << report.json();
-  EXPECT_EQ(report.Answered, report.Requests) << report.json();
+  EXPECT_TRUE(report.isClean()) << report.toJson();
+  EXPECT_EQ(report.Answered, report.Requests) << report.toJson();
 }
 
 // Story: the fabric sprays a flow's packets and nothing keeps them together.
--- a/StandIns/LoadReport.cpp
+++ b/StandIns/LoadReport.cpp
@@ -108,7 +108,7 @@
                       " untrue_refusals=", FalseRefusals);
 }
 
-std::string LoadReport::json() const {
+std::string LoadReport::toJson() const {
   return Json{{"requests", Requests},
               {"answered", Answered},
               {"refused", Refused},
--- a/StandIns/LoadReport.h
+++ b/StandIns/LoadReport.h
@@ -67,7 +67,7 @@
   /// "requests=N answered=N ... untrue_refusals=N".
   std::string summaryLine() const;
   /// All counts as JSON text.
-  std::string json() const;
+  std::string toJson() const;
   /// True when nothing that must never happen was seen.
   bool isClean() const;
 
--- a/StandIns/standin-callersMain.cpp
+++ b/StandIns/standin-callersMain.cpp
@@ -53,7 +53,7 @@
 public:
   Answer handleControl(const Message &message, LoadGenerator &load) {
     if (pathOf(message.Target) == "/report")
-      return jsonAnswer(200, load.report().json());
+      return jsonAnswer(200, load.report().toJson());
     std::lock_guard<std::mutex> guard(Lock);
     Stopped = true;
     Changed.notify_all();
@@ -112,7 +112,7 @@
       domainsOut.insert(domain);
   report.countLostFlows(domainsOut);
   if (args.count("report") > 0)
-    std::ofstream(args["report"].as<std::string>()) << report.json() << "\n";
+    std::ofstream(args["report"].as<std::string>()) << report.toJson() << "\n";
   std::printf("%s\n", report.summaryLine().c_str());
   return report.isClean() ? 0 : 1;
 }
--- a/UnitTests/Http/OperatorPortTest.cpp
+++ b/UnitTests/Http/OperatorPortTest.cpp
@@ -13,7 +13,7 @@
 /// Answers with the question as it understood it.
 class EchoHandler final : public OperatorHandler {
 public:
-  OperatorReply answer(const OperatorRequest &request) override {
+  OperatorReply handle(const OperatorRequest &request) override {
     std::string text = request.Path;
     for (const auto &[name, value] : request.Query) {
       text += " ";
--- a/UnitTests/Observability/LogAndSpanTest.cpp
+++ b/UnitTests/Observability/LogAndSpanTest.cpp
@@ -138,7 +138,7 @@
   (*sink)->end(makeSpan("", root, 10));
   (*sink)->end(makeSpan("", (*sink)->start("nonsense"), 1));
   std::string trace = TraceContext::parse(root)->traceId();
-  nlohmann::json spans = (*sink)->spansOf(trace);
+  nlohmann::json spans = (*sink)->findSpans(trace);
   ASSERT_EQ(spans.size(), 2U);
   EXPECT_EQ(spans[0]["span"], TraceContext::parse(root)->spanId());
   EXPECT_EQ(spans[0]["parent"], "");
@@ -166,7 +166,8 @@
   std::string root = (*sink)->start("");
   for (int i = 0; i < 100; ++i)
     (*sink)->end(makeSpan(root, (*sink)->start(root), i));
-  EXPECT_EQ((*sink)->spansOf(TraceContext::parse(root)->traceId()).size(), 4U);
+  EXPECT_EQ((*sink)->findSpans(TraceContext::parse(root)->traceId()).size(),
+            4U);
   size_t bytes = 0;
   for (const std::string &line : file.lines())
     bytes += line.size() + 1;
@@ -179,7 +180,7 @@
   auto sink = SpanSink::create({"vm-1", ""}, clock);
   ASSERT_TRUE(sink.ok());
   for (const char *id : {"", "xyz", "0af7651916cd43dd8448eb211c80319c"})
-    EXPECT_TRUE((*sink)->spansOf(id).empty());
+    EXPECT_TRUE((*sink)->findSpans(id).empty());
   EXPECT_FALSE(SpanSink::create({"vm-1", "/no/such/folder/x"}, clock).ok());
 }
 
--- a/UnitTests/Observability/MetricsTest.cpp
+++ b/UnitTests/Observability/MetricsTest.cpp
@@ -29,7 +29,7 @@
   metrics->count(Packets, {{"service", "x"}});
   metrics->set(Members, {}, 2.5);
   metrics->observe(AnswerTimes, {{"service", "x"}}, Duration(250'000));
-  std::string text = metrics->prometheus();
+  std::string text = metrics->toPrometheusText();
   for (const char *line :
        {"# HELP packets_total Packets.", "# TYPE packets_total counter",
         "packets_total{service=\"a\\\"b\\\\c\\nd\"} 12345678901",
@@ -41,7 +41,7 @@
     EXPECT_TRUE(containsLine(text, line)) << line << "\n" << text;
   EXPECT_EQ(text.find("# TYPE packets_total"),
             text.rfind("# TYPE packets_total"));
-  nlohmann::json json = metrics->json();
+  nlohmann::json json = metrics->toJson();
   ASSERT_EQ(json.size(), 3U);
   EXPECT_EQ(json[0]["series"][0]["p50_s"], 0.25);
 }
@@ -55,7 +55,7 @@
   for (uint64_t i = 0; i < Names; ++i)
     metrics->count(Packets, {{"service", std::to_string(i)}});
   uint64_t sum = 0;
-  nlohmann::json json = metrics->json();
+  nlohmann::json json = metrics->toJson();
   for (const nlohmann::json &one : json[0]["series"])
     sum += one["value"].get<uint64_t>();
   EXPECT_EQ(sum, Names);
@@ -73,13 +73,13 @@
         metrics->count(Packets, {{"service", std::to_string(i % 8)}});
         metrics->observe(AnswerTimes, {{"service", "x"}}, Duration(i));
       }
-      metrics->prometheus();
+      metrics->toPrometheusText();
     });
   for (std::thread &t : threads)
     t.join();
-  EXPECT_TRUE(
-      containsLine(metrics->prometheus(), "packets_total{service=\"3\"} 500"));
-  EXPECT_TRUE(containsLine(metrics->prometheus(),
+  EXPECT_TRUE(containsLine(metrics->toPrometheusText(),
+                           "packets_total{service=\"3\"} 500"));
+  EXPECT_TRUE(containsLine(metrics->toPrometheusText(),
                            "answer_seconds_count{service=\"x\"} 4000"));
 }
 
