--- a/StandIns/BackendServer.cpp
+++ b/StandIns/BackendServer.cpp
@@ -17,13 +17,14 @@
 
 using Json = nlohmann::json;
 
-/// Empty caches: a run takes this many times as long while cold.
+/// A run takes this many times as long while caches are cold.
 constexpr int ColdSlowdown = 4;
 constexpr const char *RunHeader = "Balsamrack-Run";
 
 Duration millis(uint64_t n) { return std::chrono::milliseconds(n); }
 
-// Names an attempt: the caller's own name for it, else the operation's key.
+// Id of an attempt: as given by the caller, else the operation's idempotency
+// key.
 std::string attemptOf(const Message &message) {
   std::string id = headerOf(message.Headers, "X-Caller-Request");
   return id.empty() ? headerOf(message.Headers, "Idempotency-Key") : id;
@@ -70,7 +71,8 @@
   uint64_t packet = 1;
   if (!absl::SimpleAtoi(headerOf(message.Headers, "X-Caller-Packet"), &packet))
     packet = 1;
-  // A later packet of a flow that began at another server: it is broken.
+  // A later packet of a flow that was opened at another server: the flow is
+  // broken.
   bool unknown = isNew && packet > 1;
   Counts.UnknownFlowPackets += unknown ? 1 : 0;
   return unknown;
--- a/StandIns/BackendServer.h
+++ b/StandIns/BackendServer.h
@@ -12,39 +12,42 @@
 
 namespace balsamrack::standins {
 
-/// What a backend server stand-in is, and what it can bear.
+/// Identity and capacity of a stand-in backend server.
 struct BackendServerSettings {
-  std::string Id;                ///< Its id in tickets.
-  std::string Service;           ///< The service that it serves.
-  std::string Domain;            ///< Its failure domain, told in answers.
-  uint32_t Slots = 2;            ///< Runs at the same time; more are shed.
-  uint32_t MaxFlows = 2000;      ///< Flows that it holds; more are shed.
-  Duration WarmupTime{0};        ///< Time from start until it is warm.
-  uint32_t MaxRunsWhileCold = 1; ///< Runs at the same time that it bears cold.
-  Duration OverloadTime{1'000'000}; ///< How long it fails once it got more.
-  Duration RunTime{10'000};         ///< Time of a run.
-  Duration LongRunTime{200'000};    ///< Time of a run with ?long=1.
+  std::string Id;           ///< Id in tickets.
+  std::string Service;      ///< Service that it belongs to.
+  std::string Domain;       ///< Failure domain, reported in answers.
+  uint32_t Slots = 2;       ///< Maximum concurrent runs; more are shed.
+  uint32_t MaxFlows = 2000; ///< Maximum number of flows; more are shed.
+  Duration WarmupTime{0};   ///< Time from the start until it is warm.
+  uint32_t MaxRunsWhileCold =
+      1; ///< Maximum concurrent runs while cold; more overload it.
+  Duration OverloadTime{
+      1'000'000};                ///< Time for which it fails after an overload.
+  Duration RunTime{10'000};      ///< Duration of a run.
+  Duration LongRunTime{200'000}; ///< Duration of a run with ?long=1.
 };
 
 /// The stand-in backend server: runs requests in slots, is cold after its
-/// start, falls over when it gets more than it bears, sheds, obeys deadlines
-/// and cancellations, and counts runs by attempt. Thread-safe throughout.
+/// start, fails for a while when it is overloaded while cold, sheds load, obeys
+/// deadlines and cancellations, and counts runs by attempt. Thread-safe.
 class BackendServer {
 public:
+  /// Starts cold for the warm-up time in \p settings.
   explicit BackendServer(BackendServerSettings settings);
 
-  /// Answers any message; paths below /balsamrack/ are not work.
+  /// Answers \p message. Requests to paths below /balsamrack/ are not runs.
   Answer serve(const Message &message);
 
 private:
-  /// How a run ended.
+  /// Outcome of a run.
   enum class RunOutcome { Completed, Cancelled, DeadlineExceeded, Overloaded };
-  /// Flags that a control call sets.
+  /// Faults that a control request sets.
   struct InjectedFaults {
-    bool Shed = false;       ///< Refuse all work as not run.
-    bool Freeze = false;     ///< Answer nothing.
-    bool FakeHealth = false; ///< Health says ready and idle, whatever is true.
-    Duration ExtraTime{0};   ///< Added to each run.
+    bool Shed = false;       ///< Refuse all requests as not run.
+    bool Freeze = false;     ///< Answer no request.
+    bool FakeHealth = false; ///< Always report ready and idle as health.
+    Duration ExtraTime{0};   ///< Added to the duration of each run.
   };
 
   Answer handleWork(const Message &message);
@@ -57,24 +60,26 @@
   void countPacket(const Message &message);
   bool recordFlow(const Message &message);
   bool isFull(const std::string &flow) const;
-  /// Waits for the run's work. Precondition: \p lock is held.
+  /// Waits until the run ends. Precondition: \p lock is held.
   RunOutcome simulateRun(std::unique_lock<std::mutex> &lock,
                          const Message &message);
   Duration runDuration(const std::string &target) const;
   bool isCold() const { return Time.now() < ColdUntil; }
   bool isOverloaded() const { return Time.now() < OverloadedUntil; }
 
-  SystemClock Time;                     ///< For warmth and falling over.
-  const BackendServerSettings Settings; ///< Fixed at start.
-  const std::string Instance;           ///< Names this run of the process.
-  std::mutex Lock;                      ///< Guards all that follows.
-  std::condition_variable Changed;      ///< Cancel, fall, unfreeze.
-  RunCounts Counts;                     ///< What it has seen.
-  InjectedFaults Faults;                ///< As the last control call asked.
-  std::multiset<std::string> CancelledRequests; ///< Requests nobody waits for.
-  TimePoint ColdUntil;                          ///< Warm after this.
-  TimePoint OverloadedUntil; ///< Fails everything before this.
-  TimePoint LastPacketAt;    ///< When work last came in.
+  SystemClock Time;                     ///< For warm-up and overload.
+  const BackendServerSettings Settings; ///< Fixed at construction.
+  const std::string Instance;           ///< Identifies this run of the process.
+  std::mutex Lock;                      ///< Guards all members below.
+  std::condition_variable
+      Changed;           ///< Notified at cancellation, overload and control.
+  RunCounts Counts;      ///< Counts since the start.
+  InjectedFaults Faults; ///< As set by the last control request.
+  std::multiset<std::string>
+      CancelledRequests;     ///< Requests that were cancelled.
+  TimePoint ColdUntil;       ///< Cold before this time.
+  TimePoint OverloadedUntil; ///< Fails all requests before this time.
+  TimePoint LastPacketAt;    ///< Time of the last request for a run.
 };
 
 } // namespace balsamrack::standins
--- a/StandIns/Caller.cpp
+++ b/StandIns/Caller.cpp
@@ -18,15 +18,15 @@
 
 using Json = nlohmann::json;
 
-/// Attempts of one operation; a caller then turns to its next request.
+/// Maximum attempts of an operation; the caller then sends its next request.
 constexpr uint32_t MaxAttempts = 30;
-/// Longest pause that a caller accepts before it asks again.
+/// Upper limit for the pause before a retry.
 constexpr auto MaxRetryPause = std::chrono::milliseconds(1500);
-/// Pause when no time to come back was told.
+/// Pause before a retry if the answer states none.
 constexpr auto DefaultRetryPause = std::chrono::milliseconds(100);
-/// A caller waits a little longer than the remaining time that it states.
+/// A caller waits this much longer than the remaining time that it sends.
 constexpr auto TimeoutMargin = std::chrono::seconds(3);
-/// The system's id of an attempt.
+/// Id that the system gives to an attempt.
 constexpr const char *RequestHeader = "Balsamrack-Request";
 constexpr uint32_t MaxBodyBytes = 20'000;
 constexpr uint32_t FirstCallerPort = 1024;
@@ -38,10 +38,10 @@
        {OutcomeKind::Answered, OutcomeKind::NotRun, OutcomeKind::GivenUp})
     if (name == outcomeKindName(how))
       return how;
-  // The fabric's own answer: a daemon was gone before it could be told.
+  // Answer of the fabric itself: it could not connect to any daemon.
   if (headerOf(answer.Headers, "X-Fabric") == "not-sent")
     return OutcomeKind::NotRun;
-  // A stand-in server that is called without a daemon between.
+  // Answer of a stand-in server that is called without a daemon in between.
   if (name.empty() && headerOf(answer.Headers, "Balsamrack-Run") == "no")
     return OutcomeKind::NotRun;
   if (name.empty() && answer.Status < 500)
@@ -66,7 +66,7 @@
 void Caller::openFlow(const CallTarget &target) {
   CurrentFlow = Flow();
   CurrentFlow.Target = &target;
-  // A port of its own for each flow; the address is one of the caller's.
+  // Each flow has its own port; the address identifies the caller.
   CurrentFlow.CallerAddress = absl::StrCat(
       "10.", Settings.Seed % 200, ".", Number / 250, ".", 1 + Number % 250, ":",
       FirstCallerPort + (FlowCount++ % CallerPortCount));
@@ -93,7 +93,7 @@
   if (op.RunOnce)
     m.Body = absl::StrCat("body of ", op.Id, " ",
                           std::string(Random.below(MaxBodyBytes), 'b'));
-  // Three in five of the run-once requests carry a key.
+  // Three in five of the run-once requests have an idempotency key.
   if (percent >= 70)
     m.Headers.emplace_back("Idempotency-Key", absl::StrCat("key-", op.Id));
   m.Headers.emplace_back("X-Caller-Service", CurrentFlow.Target->Service);
@@ -149,7 +149,8 @@
       absl::StrCat("flow ", CurrentFlow.CallerAddress, " ", reason));
 }
 
-// Whole, of the right service, its own, and from the flow's one server.
+// Checks that the answer is complete, belongs to the request, and comes from
+// the right service and from the server of the flow.
 void Caller::checkAnswer(const Operation &op, const Message &sent,
                          const Attempt &attempt) {
   if (attempt.Response.Status != 200) {
@@ -204,7 +205,7 @@
     CurrentFlow.Ended = true;
     ++report.LostFlows[CurrentFlow.Domain];
   }
-  // A flow that was never answered is not established: open another.
+  // A flow without any answer is not established: open another one.
   if (attempt.Outcome == OutcomeKind::OutcomeUnknown &&
       CurrentFlow.Server.empty())
     CurrentFlow.Ended = true;
@@ -216,8 +217,9 @@
   if (attempt.Outcome == OutcomeKind::NotRun ||
       attempt.Outcome == OutcomeKind::GivenUp)
     return true;
-  // Half of the unknown operations with a key are asked again: they must not
-  // run a second time. Without a key that would be the caller's own fault.
+  // Half of the operations with unknown outcome are retried: they must not run
+  // a second time. runOperation() excludes those without an idempotency key,
+  // which could legitimately run twice.
   return attempt.Outcome == OutcomeKind::OutcomeUnknown &&
          op.Outcomes.size() < 3 && Random.below(2) == 0;
 }
@@ -242,7 +244,7 @@
     if (!shouldRetry(op, attempt) ||
         (attempt.Outcome == OutcomeKind::OutcomeUnknown && !hasKey))
       break;
-    // A new flow carries on with the same operation.
+    // Continue the same operation on a new flow.
     if (CurrentFlow.Ended)
       openFlow(*CurrentFlow.Target);
     sleepRandomly(attempt.RetryAfter.count() > 0 ? attempt.RetryAfter
@@ -257,7 +259,8 @@
 
 void Caller::sleepRandomly(Duration maxTime) {
   Duration limit = std::min<Duration>(maxTime, MaxRetryPause);
-  // Between half and the whole, so that callers don't come back as one.
+  // Sleep between half of the limit and all of it, so that callers don't retry
+  // in sync.
   auto half = static_cast<uint64_t>(limit.count() / 2);
   std::this_thread::sleep_for(Duration(half + Random.below(half + 1)));
 }
--- a/StandIns/Caller.h
+++ b/StandIns/Caller.h
@@ -13,63 +13,66 @@
 
 namespace balsamrack::standins {
 
-/// Where a service's packets go.
+/// A service and where its packets are sent.
 struct CallTarget {
-  std::string Service;   ///< Its name.
-  Address FabricAddress; ///< The fabric's address of the service.
+  std::string Service;   ///< Name of the service.
+  Address FabricAddress; ///< Address of the service at the fabric.
 };
 
-/// How callers behave.
+/// Behaviour of callers.
 struct CallSettings {
-  std::vector<CallTarget> Targets; ///< At least one; a flow chooses by chance.
-  uint64_t Seed = 1;               ///< Gives every choice.
-  uint32_t Callers = 16;           ///< Flows open at the same time.
-  uint32_t PacketsPerFlow = 20;    ///< Requests of one flow.
-  Duration MaxThinkTime{20'000};   ///< Longest pause between two requests.
-  Duration Timeout{5'000'000};     ///< Told as remaining time.
-  bool ReturnsToken = true;        ///< Return the flow token.
-  uint32_t LongRunPercent = 5;     ///< Requests with long work.
+  std::vector<CallTarget>
+      Targets;           ///< At least one; each flow picks one at random.
+  uint64_t Seed = 1;     ///< Seed of all random choices.
+  uint32_t Callers = 16; ///< Number of concurrent flows.
+  uint32_t PacketsPerFlow = 20;  ///< Requests per flow.
+  Duration MaxThinkTime{20'000}; ///< Maximum pause between two requests.
+  Duration Timeout{5'000'000};   ///< Sent as remaining time.
+  bool ReturnsToken = true;      ///< Whether to return the flow token.
+  uint32_t LongRunPercent = 5;   ///< Percentage of requests with a long run.
 };
 
-/// What all callers of one run share. Thread-safe by Lock.
+/// State shared by all callers of a load run.
 struct SharedLoadState {
-  std::mutex Lock;               ///< Guards Report.
-  LoadReport Report;             ///< What they saw.
-  std::atomic<bool> Stop{false}; ///< Set: end after the current attempt.
+  std::mutex Lock;   ///< Guards Report.
+  LoadReport Report; ///< Results of all callers.
+  std::atomic<bool> Stop{
+      false}; ///< If set, callers end after the current attempt.
 };
 
-/// One caller: opens a flow, sends its requests, opens the next. Runs on one
-/// thread.
+/// A caller: opens one flow after the other and sends its requests. Not
+/// thread-safe.
 class Caller {
 public:
-  /// Precondition: \p settings and \p board outlive it.
+  /// Precondition: \p settings and \p shared outlive it.
   Caller(const CallSettings &settings, SharedLoadState &shared,
          uint32_t number);
-  /// Opens flows until the board says stop.
+  /// Opens flows until SharedLoadState::Stop is set.
   void run();
 
 private:
-  /// The flow that is open.
+  /// State of the current flow.
   struct Flow {
-    const CallTarget *Target = nullptr; ///< Its service.
-    std::string CallerAddress;          ///< IP:PORT that it comes from.
-    std::string Token;                  ///< As last answered.
-    std::string Server;                 ///< That answered first; empty before.
-    std::string Domain;                 ///< Of that server.
-    uint32_t NextPacket = 1;            ///< Number of the next packet.
-    bool Ended = false;                 ///< Given up, broken, or not opened.
+    const CallTarget *Target = nullptr; ///< Service of the flow.
+    std::string CallerAddress;          ///< IP:PORT of the caller.
+    std::string Token;                  ///< From the last answer.
+    std::string Server;      ///< Server that answered first; empty before.
+    std::string Domain;      ///< Failure domain of that server.
+    uint32_t NextPacket = 1; ///< Number of the next packet.
+    bool Ended = false;      ///< Given up, broken, or not established.
   };
-  /// What one attempt brought.
+  /// Result of an attempt.
   struct Attempt {
-    OutcomeKind Outcome = OutcomeKind::NotRun; ///< How it ended.
-    std::string Reason;                        ///< Name of the reason.
-    Duration RetryAfter{0};                    ///< When to come back.
-    Answer Response;                           ///< The answer.
+    OutcomeKind Outcome = OutcomeKind::NotRun; ///< Outcome of the attempt.
+    std::string Reason;                        ///< Name of its reason.
+    Duration RetryAfter{
+        0};          ///< Time before the next attempt; zero if not given.
+    Answer Response; ///< The answer that was received.
   };
 
   void openFlow(const CallTarget &target);
   void runFlow();
-  /// Sends one operation, again while it was not run.
+  /// Sends one operation and retries it while it was not run.
   void runOperation();
   Message makeAttempt(const Operation &op, uint32_t attempt,
                       const Message &operationMessage);
@@ -83,13 +86,13 @@
   bool shouldRetry(const Operation &op, const Attempt &attempt);
   void sleepRandomly(Duration maxTime);
 
-  const CallSettings &Settings; ///< How to behave.
-  SharedLoadState &Shared;      ///< What callers share.
-  const uint32_t Number;        ///< Of this caller.
-  SeededRandom Random;          ///< Its choices.
-  uint32_t FlowCount = 0;       ///< Flows opened.
-  uint32_t OperationCount = 0;  ///< Operations begun.
-  Flow CurrentFlow;             ///< The flow that is open.
+  const CallSettings &Settings; ///< Behaviour of this caller.
+  SharedLoadState &Shared;      ///< Shared with the other callers.
+  const uint32_t Number;        ///< Index of this caller.
+  SeededRandom Random;          ///< Random choices of this caller.
+  uint32_t FlowCount = 0;       ///< Number of flows opened.
+  uint32_t OperationCount = 0;  ///< Number of operations started.
+  Flow CurrentFlow;             ///< The current flow.
 };
 
 } // namespace balsamrack::standins
--- a/StandIns/Fabric.cpp
+++ b/StandIns/Fabric.cpp
@@ -14,11 +14,12 @@
 
 using Json = nlohmann::json;
 
-/// Longer than any timeout of the system, so that it is never what ends a call.
+/// Longer than any timeout of the system, so that it never ends a request
+/// first.
 constexpr auto ForwardTimeout = std::chrono::seconds(60);
 constexpr const char *CallerAddressHeader = "X-Caller-Address";
 
-// Fields that belong to one connection and are not passed on.
+// Header fields of a single connection, which are not forwarded.
 bool isHopByHop(const std::string &name) {
   for (const char *field : {"Connection", "Host", "Content-Length",
                             "Transfer-Encoding", "Keep-Alive", "Expect"})
@@ -58,7 +59,7 @@
       answer->Headers = endToEndHeaders(answer->Headers);
       return *std::move(answer);
     }
-    // Only a packet that was not sent may go to another daemon.
+    // Only a packet that was not sent may be sent to another daemon.
     if (!absl::IsUnavailable(answer.status())) {
       Answer noAnswer = jsonAnswer(502, "{\"fabric\":\"no answer\"}");
       noAnswer.Headers.emplace_back("X-Fabric", "sent");
--- a/StandIns/Fabric.h
+++ b/StandIns/Fabric.h
@@ -11,31 +11,32 @@
 
 namespace balsamrack::standins {
 
-/// The stand-in fabric: hands each packet to a daemon at random, with the
-/// caller's address in Forwarded. Thread-safe throughout.
+/// The stand-in fabric: forwards each packet to a random daemon, with the
+/// caller's address in the Forwarded header. Thread-safe.
 class Fabric {
 public:
-  /// Makes the choices that \p seed gives.
+  /// Seeds all random choices with \p seed.
   explicit Fabric(uint64_t seed) : Random(seed) {}
 
-  /// Passes \p message, which came in for the service at \p servicePort, to a
-  /// daemon. Tries another one only when no connection came about.
+  /// Forwards \p message, which was received for the service at \p servicePort,
+  /// to a daemon. Tries another daemon only if no connection could be
+  /// established.
   Answer forward(uint16_t servicePort, const Message &message);
   /// Answers POST /daemons with a JSON array of {"vm", "ip", "port_offset"}:
-  /// the list to choose from. VMs that are cut off are left out of it.
+  /// sets the daemons to choose from. VMs that are partitioned are not listed.
   Answer handleControl(const Message &message);
 
 private:
-  /// A daemon to choose.
+  /// A daemon that packets can be forwarded to.
   struct Daemon {
-    std::string Ip;          ///< Where its callers' ports are.
+    std::string Ip;          ///< Address of its callers' ports.
     uint16_t PortOffset = 0; ///< Added to the service's port.
   };
   std::vector<Daemon> shuffledDaemons();
 
-  std::mutex Lock;             ///< Guards all that follows.
-  SeededRandom Random;         ///< Chooses.
-  std::vector<Daemon> Daemons; ///< As the last control call said.
+  std::mutex Lock;             ///< Guards all members below.
+  SeededRandom Random;         ///< Chooses daemons.
+  std::vector<Daemon> Daemons; ///< As set by the last control request.
 };
 
 } // namespace balsamrack::standins
--- a/StandIns/HttpClient.cpp
+++ b/StandIns/HttpClient.cpp
@@ -35,7 +35,7 @@
 
 CurlHeaderList makeHeaders(const Message &message) {
   curl_slist *list = nullptr;
-  // Expect: 100-continue would cost a round trip for larger bodies.
+  // Disables Expect: 100-continue, which costs a round trip for larger bodies.
   list = curl_slist_append(list, "Expect:");
   bool hasContentType = false;
   for (const auto &[name, value] : message.Headers) {
--- a/StandIns/HttpClient.h
+++ b/StandIns/HttpClient.h
@@ -8,20 +8,20 @@
 
 namespace balsamrack::standins {
 
-/// Sends \p message to \p to on a connection of its own, so that nothing is
-/// ever sent twice behind our back, and waits up to \p limit for the whole
-/// answer. Error kUnavailable: no connection, so nothing was sent. Error
-/// kUnknown: it was sent, and no whole answer came. Thread-safe.
+/// Sends \p message to \p to on a new connection, so that the library never
+/// resends it, and waits up to \p timeout for the complete answer. Error
+/// kUnavailable: nothing was sent. Error kUnknown: it was sent, but no complete
+/// answer arrived. Thread-safe.
 absl::StatusOr<Answer> sendHttp(const Address &to, const Message &message,
                                 Duration timeout);
 
-/// Reads \p target at \p from: the body of a 200 answer, else an error.
-/// Thread-safe.
+/// Sends GET \p target to \p from. Returns the body of a 200 answer, else an
+/// error. Thread-safe.
 absl::StatusOr<std::string>
 getHttp(const Address &from, const std::string &target, Duration timeout);
 
-/// Posts \p body to \p target at \p to: the body of a 200 answer, else an
-/// error. Thread-safe.
+/// Sends POST \p target with \p body to \p to. Returns the body of a 200
+/// answer, else an error. Thread-safe.
 absl::StatusOr<std::string> postHttp(const Address &to,
                                      const std::string &target,
                                      const std::string &body, Duration timeout);
--- a/StandIns/HttpServer.cpp
+++ b/StandIns/HttpServer.cpp
@@ -70,10 +70,10 @@
   }
 
 private:
-  HttpHandler Handler;         ///< Serves every call.
-  struct _u_instance Instance; ///< The library's server.
-  bool Initialized = false;    ///< Instance was initialized.
-  bool Started = false;        ///< Instance listens.
+  HttpHandler Handler;         ///< Answers every request.
+  struct _u_instance Instance; ///< Server of the library.
+  bool Initialized = false;    ///< Whether Instance is initialized.
+  bool Started = false;        ///< Whether Instance listens.
 };
 
 } // namespace
--- a/StandIns/LoadGenerator.h
+++ b/StandIns/LoadGenerator.h
@@ -9,23 +9,23 @@
 
 namespace balsamrack::standins {
 
-/// A run of many callers, one thread each.
+/// Runs many callers, each on its own thread.
 class LoadGenerator {
 public:
-  /// Starts the callers. Precondition: \p settings has a target.
+  /// Starts the callers. Precondition: \p settings has at least one target.
   explicit LoadGenerator(CallSettings settings);
   /// Stops the callers.
   ~LoadGenerator();
-  /// Tells the callers to stop and waits until each has its last ending.
+  /// Stops the callers and waits until their last attempts have ended.
   /// Idempotent. Not thread-safe.
   void stop();
-  /// A copy of what they saw so far. Thread-safe.
+  /// Returns a copy of the results so far. Thread-safe.
   LoadReport report();
 
 private:
   const CallSettings Settings;      ///< Shared by the callers.
   SharedLoadState Shared;           ///< Shared by the callers.
-  std::vector<std::thread> Threads; ///< One a caller.
+  std::vector<std::thread> Threads; ///< One per caller.
 };
 
 } // namespace balsamrack::standins
--- a/StandIns/Platform.cpp
+++ b/StandIns/Platform.cpp
@@ -36,7 +36,7 @@
   if (!ticket.is_object() || !ticket["ticket"].is_number_unsigned())
     return absl::InvalidArgumentError("not a ticket");
   StoredTicket stored{text, Time.now(), {}};
-  // What the objects hold is the daemons' to judge, not the platform's.
+  // The contents of objects are checked by the daemons, not by the platform.
   for (const auto &object : ticket["objects"])
     stored.Objects.push_back(object.is_object()
                                  ? object.value("kind", Json()).dump() + "/" +
@@ -53,8 +53,9 @@
   return absl::OkStatus();
 }
 
-// Of the tickets in view, one goes when each of its objects has a later state.
-// All are kept, so that an older view can be shown again.
+// Returns the visible tickets, without those whose objects all have a later
+// state in another visible ticket. All tickets stay stored, so that an older
+// state can be shown again.
 std::set<uint64_t> Platform::visibleTicketNumbers() const {
   std::set<uint64_t> kept;
   std::set<std::string> later;
@@ -131,7 +132,8 @@
                              uint64_t waitMs, Ready ready) {
   auto until = std::chrono::steady_clock::now() +
                std::chrono::milliseconds(std::min(waitMs, MaxWaitMs));
-  // A lagging view changes without being told, so it is looked at each step.
+  // In mode lag the visible state changes without a notification, so it is
+  // polled.
   while (!ready() && CurrentMode != Mode::Down &&
          std::chrono::steady_clock::now() < until)
     Changed.wait_for(lock, PollPeriod);
--- a/StandIns/Platform.h
+++ b/StandIns/Platform.h
@@ -15,44 +15,45 @@
 
 namespace balsamrack::standins {
 
-/// The stand-in platform: keeps tickets and the VM list, answers reads and long
-/// polls, and fails as it is told to. Thread-safe throughout.
+/// The stand-in platform: stores tickets and the VM list, answers reads and
+/// long polls, and simulates failures on request. Thread-safe.
 class Platform {
 public:
-  /// Starts with no tickets and an empty VM list.
+  /// Has no tickets and an empty VM list.
   Platform() = default;
 
-  /// Answers the system's side: reads and watches only, each counted.
+  /// Answers requests of the system: reads and watches only. Each is counted.
   Answer serveReader(const Message &message);
-  /// Answers the operators' side: POST /tickets, /vms, /mode; GET /counts.
+  /// Answers requests of operators: POST /tickets, /vms, /mode; GET /counts.
   Answer serveOperator(const Message &message);
-  /// Takes one ticket as JSON text. Error when it is none, is too large, or is
-  /// not numbered higher than all before.
+  /// Adds a ticket given as JSON text. Error if it is malformed, too large, or
+  /// not numbered higher than all tickets before.
   absl::Status addTicket(const std::string &text);
-  /// Takes the whole VM list as a JSON array. Error when it is none.
+  /// Replaces the VM list by a JSON array. Error if it is malformed or too
+  /// large.
   absl::Status setVms(const std::string &text);
-  /// True while the platform is told to be down.
+  /// True while the mode is down.
   bool isDown() const;
 
 private:
-  /// How the platform fails.
+  /// Simulated failure mode.
   enum class Mode { Up, Down, Stale, Lag };
-  /// A ticket, and when it came.
+  /// A ticket and when it was added.
   struct StoredTicket {
     std::string Text;                 ///< As JSON.
-    TimePoint StoredAt;               ///< When it was taken.
-    std::vector<std::string> Objects; ///< "kind/id" of each object it touches.
+    TimePoint StoredAt;               ///< Time of its arrival.
+    std::vector<std::string> Objects; ///< "kind/id" of each object in it.
   };
-  /// A version of the VM list, and when it came.
+  /// A version of the VM list and when it was set.
   struct StoredVmList {
     std::string Text;   ///< As a JSON array.
-    TimePoint StoredAt; ///< When it was taken.
+    TimePoint StoredAt; ///< Time of its arrival.
   };
-  /// Calls so far, by what was asked for.
+  /// Number of requests by kind.
   struct Counts {
     uint64_t Tickets = 0; ///< Reads and watches of tickets.
     uint64_t Vms = 0;     ///< Reads and watches of the VM list.
-    uint64_t Others = 0;  ///< Anything else, refused.
+    uint64_t Others = 0;  ///< All other requests; they are refused.
   };
 
   Answer readTickets(const std::string &target);
@@ -64,22 +65,23 @@
   uint64_t visibleListVersion() const;
   std::string ticketPage(uint64_t after) const;
   std::set<uint64_t> visibleTicketNumbers() const;
-  /// Waits until \p ready or \p waitMs have passed or the platform goes down.
+  /// Waits until \p ready returns true, \p waitMs have passed or the mode is
+  /// down.
   template <class Ready>
   void waitForChange(std::unique_lock<std::mutex> &lock, uint64_t waitMs,
                      Ready ready);
 
-  mutable std::mutex Lock;                  ///< Guards all that follows.
-  std::condition_variable Changed;          ///< Told at each change.
+  mutable std::mutex Lock;                  ///< Guards all members below.
+  std::condition_variable Changed;          ///< Notified at each change.
   std::map<uint64_t, StoredTicket> Tickets; ///< By number.
   std::map<uint64_t, StoredVmList> VmLists; ///< VM lists by version.
-  uint64_t HighestTicket = 0;               ///< Highest ticket ever taken.
-  Counts Calls;                             ///< Calls so far.
-  Mode CurrentMode = Mode::Up;              ///< How it fails.
-  Duration LagTime{0};                      ///< In mode lag.
-  uint64_t StaleTicket = 0;                 ///< In mode stale: last ticket.
-  uint64_t StaleListVersion = 0;            ///< In mode stale: last VM list.
-  SystemClock Time;                         ///< For lag.
+  uint64_t HighestTicket = 0;               ///< Highest ticket so far.
+  Counts Calls;                             ///< Requests so far.
+  Mode CurrentMode = Mode::Up;              ///< Current failure mode.
+  Duration LagTime{0};                      ///< Delay in mode lag.
+  uint64_t StaleTicket = 0;      ///< Last visible ticket in mode stale.
+  uint64_t StaleListVersion = 0; ///< Last visible VM list in mode stale.
+  SystemClock Time;              ///< For mode lag.
 };
 
 } // namespace balsamrack::standins
--- a/StandIns/Program.cpp
+++ b/StandIns/Program.cpp
@@ -37,7 +37,7 @@
 cxxopts::ParseResult parseOrExit(cxxopts::Options &options, int argc,
                                  char **argv) {
   options.add_options()("h,help", "print this help");
-  // cxxopts reports a bad command line by an exception only.
+  // cxxopts reports an invalid command line only by an exception.
   try {
     cxxopts::ParseResult parsed = options.parse(argc, argv);
     if (parsed.count("help") == 0)
--- a/StandIns/Program.h
+++ b/StandIns/Program.h
@@ -9,30 +9,30 @@
 
 namespace balsamrack::standins {
 
-/// Exit code for a bad command line.
+/// Exit code for an invalid command line.
 constexpr int UsageExitCode = 2;
-/// Exit code when a port can't be listened at or a file can't be read.
+/// Exit code if a port can't be listened at or a file can't be read.
 constexpr int StartExitCode = 3;
 
-/// Blocks SIGINT and SIGTERM, so that awaitEnd can take them, and ignores
-/// SIGPIPE. Precondition: no thread was started yet.
+/// Blocks SIGINT and SIGTERM, so that awaitTerminationSignal() can receive
+/// them, and ignores SIGPIPE. Precondition: no thread was started yet.
 void prepareSignals();
 
 /// Waits for SIGINT or SIGTERM. Precondition: prepareSignals was called.
 void awaitTerminationSignal();
 
-/// Parses the command line; prints help or what is wrong and ends the process
-/// when there is nothing to run. Precondition: no thread was started yet.
+/// Parses the command line. Prints help or an error and exits if there is
+/// nothing to run. Precondition: no thread was started yet.
 cxxopts::ParseResult parseOrExit(cxxopts::Options &options, int argc,
                                  char **argv);
 
-/// The loopback address with \p port. Thread-safe.
+/// Returns the loopback address with \p port. Thread-safe.
 Address loopbackAddress(uint16_t port);
 
-/// Prints \p status to stderr and ends the process unless it is ok.
+/// Prints \p status to stderr and exits unless it is ok.
 void exitUnlessOk(const absl::Status &status);
 
-/// The whole of file \p name; ends the process when it can't be read.
+/// Returns the contents of file \p name; exits if it can't be read.
 std::string readFileOrExit(const std::string &name);
 
 } // namespace balsamrack::standins
--- a/StandIns/RunCounts.cpp
+++ b/StandIns/RunCounts.cpp
@@ -12,7 +12,7 @@
   if (cold)
     MaxInProgressCold = std::max(MaxInProgressCold, InProgress);
   ++Runs[attemptId];
-  // Attempts of one operation share the text before the dot.
+  // Ids of attempts of one operation are equal up to the dot.
   std::string operation = attemptId.substr(0, attemptId.find('.'));
   uint64_t runs = 0;
   for (auto it = Runs.lower_bound(operation);
--- a/StandIns/standin-callersMain.cpp
+++ b/StandIns/standin-callersMain.cpp
@@ -18,7 +18,7 @@
 
 using StringList = std::vector<std::string>;
 
-/// "NAME=IP:PORT" as a target; ends the process when it is none.
+/// Parses a target "NAME=IP:PORT"; exits if it is malformed.
 CallTarget parseTarget(const std::string &text) {
   size_t equals = text.find('=');
   auto at = Address::parse(
@@ -48,7 +48,7 @@
   return s;
 }
 
-/// Waits for the end that a control call asks for.
+/// Lets a control request stop the load.
 class StopControl {
 public:
   Answer handleControl(const Message &message, LoadGenerator &load) {
@@ -65,9 +65,9 @@
   }
 
 private:
-  std::mutex Lock;                 ///< Guards Told.
-  std::condition_variable Changed; ///< Told is set.
-  bool Stopped = false;            ///< POST /stop came.
+  std::mutex Lock;                 ///< Guards Stopped.
+  std::condition_variable Changed; ///< Notified when Stopped is set.
+  bool Stopped = false;            ///< Whether POST /stop was received.
 };
 
 } // namespace
--- a/StandIns/standin-fabricMain.cpp
+++ b/StandIns/standin-fabricMain.cpp
@@ -13,7 +13,7 @@
 
 using Servers = std::vector<std::unique_ptr<HttpServer>>;
 
-// One "PORT=SERVICEPORT" gives a port of the fabric's own.
+// Opens a port of the fabric, given as "PORT=SERVICEPORT".
 absl::Status listenForService(Fabric &fabric, const std::string &mapping,
                               Servers &servers) {
   size_t equals = mapping.find('=');
--- a/StandIns/standin-platformMain.cpp
+++ b/StandIns/standin-platformMain.cpp
@@ -11,13 +11,14 @@
 
 namespace {
 
-/// The readers' port, which is closed while the platform is down.
+/// The readers' port. It is closed while the platform is down.
 class ReaderPort {
 public:
   ReaderPort(Platform &platform, Address at)
       : StandIn(platform), At(std::move(at)) {}
 
-  /// Opens or closes the port as the platform's mode asks. Thread-safe.
+  /// Opens or closes the port according to the mode of the platform.
+  /// Thread-safe.
   absl::Status applyMode() {
     std::lock_guard<std::mutex> guard(Lock);
     if (StandIn.isDown())
@@ -32,8 +33,8 @@
   }
 
 private:
-  Platform &StandIn;                  ///< Answers the calls.
-  const Address At;                   ///< Where to listen.
+  Platform &StandIn;                  ///< Answers the requests.
+  const Address At;                   ///< Address to listen at.
   std::mutex Lock;                    ///< Guards Server.
   std::unique_ptr<HttpServer> Server; ///< Null while down.
 };
@@ -44,7 +45,7 @@
         platform.setVms(readFileOrExit(args["vms"].as<std::string>())));
   if (args.count("tickets") == 0)
     return;
-  // One ticket a line.
+  // One ticket per line.
   std::istringstream lines(readFileOrExit(args["tickets"].as<std::string>()));
   for (std::string line; std::getline(lines, line);)
     if (!line.empty())
