--- a/Soak/FaultyLink.cpp
+++ b/Soak/FaultyLink.cpp
@@ -81,7 +81,8 @@
   }
   if (!Listener) {
     auto opened = ListenSocket::open(At);
-    // Taken for a moment by the run before; the next round tries again.
+    // The previous run may still hold the port briefly; retried in the next
+    // iteration.
     if (!opened.ok())
       return;
     Listener = std::make_unique<ListenSocket>(*std::move(opened));
@@ -125,7 +126,7 @@
   destination.sin_family = AF_INET;
   destination.sin_port = htons(To.Port);
   inet_pton(AF_INET, To.Ip.c_str(), &destination.sin_addr);
-  // A datagram that is not taken is lost like any other.
+  // A datagram that the socket does not accept counts as lost.
   (void)sendto(Fd, bytes.data(), bytes.size(), 0,
                reinterpret_cast<sockaddr *>(&destination), sizeof destination);
 }
--- a/Soak/FaultyLink.h
+++ b/Soak/FaultyLink.h
@@ -18,31 +18,31 @@
 
 namespace balsamrack::soak {
 
-/// How a link harms datagrams. Shares are per thousand.
+/// Fractions of datagrams that a link drops, duplicates or delays.
 struct LinkFaults {
-  uint32_t LossPerThousand = 0;       ///< Vanish.
-  uint32_t DuplicatesPerThousand = 0; ///< Come twice.
-  uint32_t DelaysPerThousand = 0;     ///< Come up to 30 ms late, behind others.
+  uint32_t LossPerThousand = 0;       ///< Dropped.
+  uint32_t DuplicatesPerThousand = 0; ///< Forwarded twice.
+  uint32_t DelaysPerThousand = 0;     ///< Delayed by up to 30 ms and reordered.
 };
 
-/// A loopback proxy for datagrams in one direction, which is all that a packet
-/// carrier needs: answers go straight back. May also take TCP connections at
-/// its address, as the server behind it would. Thread-safe.
+/// A loopback proxy for datagrams in one direction. The packet carrier needs no
+/// other: answers are sent directly to the caller. It can also accept TCP
+/// connections at its address, as the server behind it would. Thread-safe.
 class FaultyLink {
 public:
-  /// Passes datagrams that come to \p at on to \p to; with \p takesTcp it also
-  /// takes connections. Error (step listen) when the address is taken.
+  /// Forwards datagrams from \p at to \p to; with \p acceptsTcp it also accepts
+  /// connections. Error (step listen) if the address is in use.
   static absl::StatusOr<std::unique_ptr<FaultyLink>>
   create(const Address &at, const Address &to, bool acceptsTcp, uint64_t seed);
   ~FaultyLink();
   FaultyLink(const FaultyLink &) = delete;
   FaultyLink &operator=(const FaultyLink &) = delete;
 
-  /// Harms what comes from now on.
+  /// Sets the faults for datagrams received from now on.
   void setFaults(const LinkFaults &faults);
-  /// Drops everything, and refuses connections, or no longer.
+  /// Starts or stops dropping all datagrams and refusing connections.
   void setSilent(bool silent) { Silent = silent; }
-  /// Drops what comes from \p ip, or no longer.
+  /// Starts or stops dropping datagrams from \p ip.
   void setSourceBlocked(const std::string &ip, bool blocked);
 
 private:
@@ -67,14 +67,15 @@
   const bool AcceptsTcp;
   std::atomic<bool> Silent{false};
   std::atomic<bool> Stopping{false};
-  std::mutex Lock; ///< Guards what follows.
+  std::mutex Lock; ///< Guards the next two members.
   LinkFaults Faults;
   std::set<uint32_t> BlockedSources;
-  SeededRandom Random; ///< The thread's own, as all that follows.
+  SeededRandom Random; ///< Used only by the thread, like Delayed and Listener.
   std::priority_queue<DelayedDatagram, std::vector<DelayedDatagram>,
                       std::greater<DelayedDatagram>>
       Delayed;
-  std::unique_ptr<ListenSocket> Listener; ///< Null while it refuses.
+  std::unique_ptr<ListenSocket>
+      Listener; ///< Null while connections are refused.
   std::thread Loop;
 };
 
--- a/Soak/RecoveryChecks.cpp
+++ b/Soak/RecoveryChecks.cpp
@@ -13,12 +13,12 @@
 using platform::CallResult;
 
 constexpr Duration ReadyTimeout{10'000'000};
-/// The users' bounds: a configuration is in force, a draining server and a
-/// domain that was taken out are left alone.
+/// Maximum times required by the users: until a configuration is in force, and
+/// until a draining server or a domain taken out of service gets no new flows.
 constexpr Duration MaxRouteDelay{3'000'000};
 constexpr Duration MaxDrainDelay{3'000'000};
 constexpr Duration MaxDomainOutDelay{5'000'000};
-/// After the bound, new flows are looked for this long.
+/// Time for which new flows are counted after the maximum time has passed.
 constexpr Duration ObservationTime{1'000'000};
 constexpr int CallsPerService = 20;
 
@@ -124,7 +124,7 @@
     size_t invalidLines = 0;
     while (std::getline(file, line)) {
       auto record = nlohmann::json::parse(line, nullptr, false);
-      // A process that was killed may have written half a line.
+      // A killed process may have written an incomplete line.
       bool valid = record.is_object() && record.contains("part") &&
                    record.contains("event") && record.contains("at_ms");
       invalidLines += valid ? 0 : 1;
--- a/Soak/RecoveryChecks.h
+++ b/Soak/RecoveryChecks.h
@@ -8,14 +8,15 @@
 
 namespace balsamrack::soak {
 
-/// Checks, once the faults are over and while callers go on, that the fleet is
-/// as good as new, and that operators are obeyed in time: a dropped route is
-/// refused by each daemon, a draining server and a domain that was taken out
-/// get no new flows. Returns the broken promises. Takes some 15 s.
+/// Checks, after the end of all faults and while callers continue, that the
+/// fleet has recovered and applies changes by operators in time: each daemon
+/// refuses a dropped route, and a draining server and a domain that was taken
+/// out of service get no new flows. Returns the violated guarantees. Takes
+/// about 15 s.
 std::vector<std::string> checkRecovery(SoakFleet &fleet);
 
-/// Checks that every line of the daemons' logs is a JSON object that names its
-/// part and event. Returns what is not.
+/// Checks that every line of the daemons' logs is a JSON object with its part
+/// and event. Returns violations.
 std::vector<std::string> checkLogs(const SoakFleet &fleet);
 
 } // namespace balsamrack::soak
--- a/Soak/SoakCallers.cpp
+++ b/Soak/SoakCallers.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr size_t Callers = 8;
-/// Every fourth caller keeps its flow open for some requests.
+/// Every fourth caller keeps its flow open for several requests.
 constexpr size_t CallersPerSession = 4;
 constexpr int SessionRequests = 8;
 constexpr Duration SessionPause{200'000};
@@ -72,8 +72,8 @@
   Counts.Answered += result.How == End::Answered ? 1 : 0;
   Counts.Reset += result.How == End::Reset ? 1 : 0;
   Counts.TimedOut += result.How == End::TimedOut ? 1 : 0;
-  // Both routes stay all the time, so no flow may be reset by a balancer once
-  // it is open, whatever happens to servers, daemons, store and links.
+  // Both routes exist all the time, so no load balancer may reset an open flow,
+  // whatever faults occur at servers, daemons, the store and links.
   if (result.How == End::Reset && result.Opened && !result.ServerReset)
     Violations.push_back(absl::StrCat(
         "caller ", caller, ": an open flow was reset by a balancer"));
--- a/Soak/SoakCallers.h
+++ b/Soak/SoakCallers.h
@@ -12,16 +12,16 @@
 
 namespace balsamrack::soak {
 
-/// What callers saw.
+/// Results of the callers.
 struct CallCounts {
-  uint64_t Calls = 0;    ///< Flows.
-  uint64_t Answered = 0; ///< All their requests were.
-  uint64_t Reset = 0;    ///< By a balancer or a server.
-  uint64_t TimedOut = 0; ///< No answer in time.
+  uint64_t Calls = 0;    ///< Number of flows.
+  uint64_t Answered = 0; ///< Flows with all requests answered.
+  uint64_t Reset = 0;    ///< Flows reset by a load balancer or a server.
+  uint64_t TimedOut = 0; ///< Flows without an answer in time.
 };
 
-/// Callers on threads of their own: short flows and long sessions to both
-/// services through the fabric, until stopped. They check what they see.
+/// Callers, each on its own thread, that open short flows and long sessions to
+/// both services through the fabric until stopped, and check the results.
 /// Thread-safe.
 class SoakCallers {
 public:
@@ -29,11 +29,11 @@
   SoakCallers(SoakFleet &fleet, uint64_t seed);
   ~SoakCallers();
 
-  /// Ends them all. Idempotent.
+  /// Stops all callers. Idempotent.
   void stop();
-  /// What they saw so far.
+  /// Results so far.
   CallCounts counts() const;
-  /// Broken promises.
+  /// Violated guarantees.
   std::vector<std::string> violations() const;
 
 private:
@@ -42,10 +42,10 @@
 
   SoakFleet &Fleet;
   std::atomic<bool> Stopping{false};
-  mutable std::mutex Lock; ///< Guards what follows.
+  mutable std::mutex Lock; ///< Guards Counts and Violations.
   CallCounts Counts;
   std::vector<std::string> Violations;
-  std::vector<std::thread> Threads; ///< Last.
+  std::vector<std::thread> Threads; ///< Last: uses all of the above.
 };
 
 } // namespace balsamrack::soak
--- a/Soak/SoakFaults.cpp
+++ b/Soak/SoakFaults.cpp
@@ -10,23 +10,22 @@
 
 namespace {
 
-/// Between the beginnings of two faults: faults last up to three seconds, so
-/// some five overlap.
+/// Time between the starts of two faults. Faults last up to three seconds, so
+/// about five overlap.
 constexpr int64_t MinGapMillis = 100;
 constexpr int64_t MaxGapMillis = 700;
-/// From SIGTERM to the end of a daemon: its grace, and a second for a busy
-/// machine.
+/// Maximum time from SIGTERM to the exit of a daemon: its grace period, and a
+/// second for a busy machine.
 constexpr Duration StopTimeout{7'000'000};
 constexpr Duration StopPollPeriod{50'000};
-/// A process that is still being loaded has no signal handler yet, and SIGTERM
-/// or SIGHUP end it. Nothing is lost: it was never ready, and whoever runs it
-/// starts it again.
+/// A process that is still loading has no signal handlers yet, so SIGTERM or
+/// SIGHUP ends it. Nothing is lost: it was never ready, and the platform
+/// restarts it.
 constexpr Duration LoadingTime{500'000};
-/// Servers drain for so long, and their addresses rest before they are used
-/// again.
+/// Time for which servers drain, and time before their addresses are reused.
 constexpr Duration DrainTime{3'500'000};
 constexpr Duration AddressReuseDelay{2'000'000};
-/// An entry stands for so long after its server died.
+/// Time for which a server stays published after its crash.
 constexpr Duration EntryLifetime{1'500'000};
 constexpr Duration DomainOutTime{6'000'000};
 
@@ -169,7 +168,7 @@
   if (Down[daemon])
     return;
   ++Counts["freeze"];
-  // Nothing else is done to it meanwhile: it could not answer.
+  // Marked as down, as it could not respond to other faults meanwhile.
   Down[daemon] = true;
   Fleet.daemon(daemon)->signal(SIGSTOP);
   schedule(now + randomDuration(300, 3000), [this, daemon](TimePoint) {
@@ -248,7 +247,8 @@
 }
 
 bool SoakFaults::isLastOfService(size_t server) const {
-  // Two of plans, four of booking: the neighbour of the other domain stays.
+  // There are two servers of plans and four of booking: the neighbour in the
+  // other domain must stay.
   size_t other = server ^ 1U;
   return Replacing[other];
 }
@@ -263,7 +263,7 @@
     Fleet.publishServer(server, "draining");
   else
     Fleet.stopServer(server);
-  // In between, its address belongs to a server of the other service.
+  // In between, a server of the other service uses the address.
   schedule(now + until, [this, server](TimePoint later) {
     Fleet.removeServerEntry(server);
     Fleet.stopServer(server);
--- a/Soak/SoakFaults.h
+++ b/Soak/SoakFaults.h
@@ -10,23 +10,23 @@
 
 namespace balsamrack::soak {
 
-/// Series of faults, drawn from a seed: they overlap, and each ends by itself.
-/// Not thread-safe.
+/// Random faults drawn from a seed. They overlap, and each ends by itself. Not
+/// thread-safe.
 class SoakFaults {
 public:
-  /// Draws faults for \p length from now on. Precondition: \p fleet outlives
-  /// it.
+  /// Schedules faults from \p from on for \p length. Precondition: \p fleet
+  /// outlives this object.
   SoakFaults(SoakFleet &fleet, uint64_t seed, TimePoint from, Duration length);
 
-  /// Does what is due; true while something is left to do.
+  /// Runs actions that are due. Returns true while any are left.
   bool step(TimePoint now);
-  /// How many of each kind began.
+  /// Number of faults by kind.
   const std::map<std::string, int> &counts() const { return Counts; }
-  /// Broken promises that it saw itself: exits of daemons.
+  /// Violated guarantees that were noticed here: unexpected exits of daemons.
   const std::vector<std::string> &violations() const { return Violations; }
-  /// Operators dropped the passing route at this time; zero: it is there.
+  /// Time at which operators dropped the temporary route; zero while it exists.
   TimePoint temporaryRouteDroppedAt() const { return DroppedAt; }
-  /// Number of the present configuration.
+  /// Number of the current configuration.
   uint64_t configurations() const { return Configurations; }
 
 private:
@@ -58,9 +58,9 @@
   std::multimap<TimePoint, Action> Scheduled;
   std::map<std::string, int> Counts;
   std::vector<std::string> Violations;
-  std::vector<bool> Down;           ///< By daemon: ended by us, or ending.
-  std::vector<TimePoint> StartedAt; ///< By daemon: of its last start.
-  std::vector<bool> Replacing;      ///< By server place.
+  std::vector<bool> Down; ///< By daemon: stopped or frozen on purpose.
+  std::vector<TimePoint> StartedAt; ///< By daemon: time of its last start.
+  std::vector<bool> Replacing; ///< By server: whether it is being replaced.
   bool IsDomainOut = false;
   bool HasTemporaryRoute = false;
   TimePoint DroppedAt;
--- a/Soak/SoakFleet.cpp
+++ b/Soak/SoakFleet.cpp
@@ -141,7 +141,7 @@
   if (!Processes[i])
     return;
   Processes[i]->signal(SIGKILL);
-  // It was sent SIGKILL: that it ends is the system's promise, not ours.
+  // The result is ignored: the kernel ends the process after SIGKILL.
   (void)Processes[i]->awaitExit(Duration(5'000'000));
   Processes[i].reset();
 }
--- a/Soak/packet-soakMain.cpp
+++ b/Soak/packet-soakMain.cpp
@@ -1,6 +1,6 @@
-// packet-soak: real daemons of the packet carrier under overlapping series of
-// faults from outside, drawn from a seed, while callers and servers check what
-// they were promised. Ends by itself, and ends only what it started.
+// packet-soak: runs real daemons of the packet carrier under overlapping
+// external faults drawn from a seed, while callers and servers check the
+// guarantees. Ends by itself, and ends only processes that it started.
 
 #include <filesystem>
 #include <iostream>
@@ -101,7 +101,7 @@
 } // namespace balsamrack::soak
 
 int main(int argc, char **argv) {
-  // cxxopts tells wrong usage by exceptions.
+  // cxxopts reports an invalid command line by exceptions.
   try {
     return balsamrack::soak::run(argc, argv);
   } catch (const std::exception &error) {
