--- a/Models/AtMostOnce.pml
+++ b/Models/AtMostOnce.pml
@@ -1,17 +1,17 @@
-/* A request that may run once, repeated by its caller; see
+/* A request that may run at most once, retried by its caller; see
  * docs/design/models.md.
  *
  * defects: NO_CLAIM RETRY_AFTER_DISPATCH CLAIM_AFTER_DISPATCH FRESH_GRANTS FREE_UNKNOWN SAY_NOT_RUN
  * limits: BOTH_DIE_DURING_CLAIM
  * reached: REACH_ANSWERED REACH_RETRY
  *
- * The caller sends the same idempotency key up to three times, each time at
- * another daemon and before the one before has ended. Two key replicas remember
- * keys; both may die and come back with empty memory (Fresh), but not both while
- * one claim is under way (docs/UNPROVED.md). Owners may die
- * at any step, answers may get lost, a backend server may refuse a connection
- * (provably not run). Promises: the server runs the key at most once, and an
- * attempt that was told "not run" never runs.
+ * The caller sends the same idempotency key up to three times, each time to
+ * another daemon and before the previous attempt has ended. Two key replicas
+ * store keys; both may fail and restart without any stored key (Fresh), but not
+ * both while one claim is in progress (docs/UNPROVED.md). Owners may fail at any
+ * step, replies may be lost, and a backend server may refuse a connection
+ * (provably not run). Guarantees: the server runs the key at most once, and an
+ * attempt that was reported as "not run" never runs.
  */
 #define ATTEMPTS 3
 #define NONE 0
@@ -25,18 +25,18 @@
 #define FRESH 3
 #define SILENT 4
 
-byte holder[2];  /* 1 + attempt that holds the key at a replica; 0 nobody */
-bool fresh[2];   /* it has not been up for as long as keys are remembered */
+byte holder[2];  /* 1 + attempt that holds the key at a replica; 0 for none */
+bool fresh[2];   /* it has been up for less than the retention time of keys */
 bool dead[2];
 byte deathsLeft = 2;
-byte claiming = 0;       /* attempts between their first claim and its verdict */
-bool diedDuring = false; /* a key replica died since claiming was last 0 */
+byte claiming = 0;       /* attempts between their first claim and the verdict */
+bool diedDuring = false; /* a key replica failed since claiming was last 0 */
 byte runs = 0;
 byte ended[ATTEMPTS];
 bool ran[ATTEMPTS];
-bool sent[ATTEMPTS]; /* it is on its way to the server, and may arrive late */
+bool sent[ATTEMPTS]; /* in transit to the server, and may arrive late */
 
-/* The key replica notes the attempt before it answers. */
+/* The key replica stores the attempt before it replies. */
 inline claim(g, a, verdict) {
   if
   :: dead[g] -> verdict = SILENT
@@ -47,7 +47,7 @@
   fi
 }
 
-/* KeySettled with NotRun frees the key; any other ending keeps it. */
+/* KeySettled with NotRun releases the key; any other outcome keeps it. */
 inline free(a) {
   if
   :: holder[0] == 1 + a -> holder[0] = 0
@@ -64,7 +64,7 @@
   assert(how != TOLD_NOT_RUN || (!ran[a] && !sent[a]))
 }
 
-/* The backend server gets what is on its way. */
+/* A request in transit reaches the backend server. */
 inline arrive(a) {
   sent[a] = false;
   ran[a] = true;
@@ -88,7 +88,7 @@
     if
     :: one == TAKEN || two == TAKEN ->
        /* KeyInProgress, KeyAnswered or KeyUnknown: this attempt did not run,
-        * but another one of the key may, so the caller is told unknown. */
+        * but another one with the same key may, so the outcome is unknown. */
        if
        :: holder[0] == 1 + a && !fresh[0] -> holder[0] = 0
        :: holder[1] == 1 + a && !fresh[1] -> holder[1] = 0
@@ -97,7 +97,7 @@
        end(a, TOLD_UNKNOWN); goto done
 #ifndef FRESH_GRANTS
     :: one != TAKEN && two != TAKEN && one != GRANTED && two != GRANTED ->
-       /* Nobody who would remember: KeyUnknown. */
+       /* No replica has been up long enough to know: KeyUnknown. */
        end(a, TOLD_UNKNOWN); goto done
     :: one != TAKEN && two != TAKEN && (one == GRANTED || two == GRANTED) -> skip
 #else
@@ -110,7 +110,7 @@
 dispatch:
   atomic {
     if
-    :: /* Connection refused: provably not run. Placed once more, or told. */
+    :: /* Connection refused: provably not run. Dispatched again, or reported. */
        !sent[a] ->
        if
        :: !retried ->
@@ -121,20 +121,20 @@
           goto dispatch
        :: free(a); end(a, TOLD_NOT_RUN); goto done
        fi
-    :: /* The owner died before it sent; the entry can't know. */
+    :: /* The owner failed before it sent; the entry VM can't know. */
        end(a, TOLD_UNKNOWN); goto done
     :: sent[a] = true
     fi
   };
   if
   :: atomic { ran[a] ->
-      /* Answered whole. */
+      /* A complete answer arrived. */
 #ifdef REACH_ANSWERED
       assert(false);
 #endif
       end(a, TOLD_ANSWERED) }
   :: atomic { true ->
-      /* Connection broken, timed out, or the owner died: no answer. */
+      /* Connection lost, timeout, or the owner failed: no answer. */
 #ifdef RETRY_AFTER_DISPATCH
       if
       :: !retried -> retried = true; goto dispatch
@@ -169,7 +169,7 @@
 #define mayDie (!diedDuring)
 #endif
 
-/* A key replica dies; its VM or another one takes its place with no memory. */
+/* A key replica fails; its VM or another one replaces it, with no stored keys. */
 proctype Deaths() {
   byte g;
   do
--- a/Models/Ownership.pml
+++ b/Models/Ownership.pml
@@ -6,46 +6,46 @@
  * reached: REACH_TAKEOVER REACH_HANDOVER
  *
  * Three daemons; 0 is first in rank, then 1, then 2. Any of them may be paused
- * at any moment and wake late; a paused one may be declared dead by some and
- * not yet by others (two views); every message may be lost or come late. There
- * is no cut inside the domain: docs/UNPROVED.md. Promise: at no moment would
+ * at any moment and resume late; a paused one may be declared dead by some and
+ * not yet by others (two views); every message may be lost or delayed. There is
+ * no partition inside the domain: docs/UNPROVED.md. Guarantee: at no moment may
  * two daemons both dispatch to the server.
  */
 #define N 3
 #define LEASE 1          /* LeaseTime in ticks */
 #define WAIT (LEASE + 1) /* takeoverWait: with the margin for clock drift */
-#define PAUSES 2 /* all defects below need two */
+#define PAUSES 2 /* every seeded defect needs two to show */
 #define BIT(i) (1 << (i))
 #define ALL 7
 
 bool paused[N];
 bool owned[N];      /* Phase::Owned */
 bool unproven[N];   /* SwimMembership::mayRenewLeases is false */
-bool awake[N];      /* has been running since the last tick at least */
-bool ended[N];      /* the lease had ended before this tick */
+bool awake[N];      /* has run at least since the last tick */
+bool ended[N];      /* the lease had expired before this tick */
 byte view[N];       /* live daemons as seen by each */
 byte lease[N];      /* ticks until the fence closes */
-byte rel[N];        /* who released it to me under my sequence */
-byte waitFor[N];    /* ticks until the leases of the dead have ended */
-byte alone[N];      /* ticks that a expired daemon without peers has waited */
+byte rel[N];        /* bit set: who released it to this one in its sequence */
+byte waitFor[N];    /* ticks until the leases of dead daemons have expired */
+byte alone[N];      /* ticks that an expired daemon without peers has waited */
 byte quiet[9];      /* i * N + j: ticks since i renewed the lease of j, or j
-                     * stopped to run (MemberView::AliveUntil is not before) */
-byte refutation[N]; /* of each daemon itself */
-byte known[9];      /* i * N + j: refutation of j that i knows of */
-/* i * N + j: a release on its way to i from j: 0 none, else 1 + quiet time. A
- * release of an earlier question is ignored when it comes, so it is dropped when
- * the question is put anew; NO_SEQUENCE keeps it. */
+                     * stopped running (MemberView::AliveUntil is not earlier) */
+byte refutation[N]; /* as sent by the daemon itself */
+byte known[9];      /* i * N + j: refutation of j that is known to i */
+/* i * N + j: a release in transit to i from j: 0 none, else 1 + quiet time. A
+ * release for an earlier request is ignored on arrival, so it is dropped when
+ * the request is restarted; NO_SEQUENCE keeps it. */
 byte letter[9];
 byte pausesLeft = PAUSES;
 #ifdef PAUSE_AFTER_CHECK
-bool checked[N]; /* the check has passed, the send has not happened */
+bool checked[N]; /* the check has passed, but nothing was sent yet */
 #endif
 
 #define isLive(i, j) ((view[i] & BIT(j)) != 0)
 #define first(v) ((v & 1) != 0 -> 0 : ((v & 2) != 0 -> 1 : 2))
 #define wants(i) (!owned[i] && first(view[i]) == i)
 
-/* Whether the lease of y, as x itself renewed it, may still run. */
+/* Whether the lease of y, as x itself renewed it, may still be valid. */
 #define ownWait(x, y) (!isLive(x, y) && quiet[x * N + y] < WAIT)
 
 #define mayRenew(y) (!unproven[y])
@@ -74,7 +74,7 @@
   assert(!(may(0) && !paused[0] && may(2) && !paused[2]));
   assert(!(may(1) && !paused[1] && may(2) && !paused[2]))
 #else
-  /* A paused daemon counts too: it may wake and dispatch at any moment. */
+  /* A paused daemon counts too: it may resume and dispatch at any moment. */
   assert(!(may(0) && may(1)) && !(may(0) && may(2)) && !(may(1) && may(2)))
 #endif
 #else
@@ -105,10 +105,11 @@
   fi
 }
 
-/* One probe and its answer: OwnershipFence::renewLease at x,
- * MemberTable::renewLease at y. Probes are much more frequent than a tick is long, so a tick renews a lease
- * or finds that every answer was lost. A lease that had ended is not renewed
- * without giving up: state Renewed, AuthorityExpired, restart. */
+/* One probe and its reply: OwnershipFence::renewLease at x,
+ * MemberTable::renewLease at y. Many probes are sent during a tick, so a tick
+ * either renews the lease or means that every reply was lost. An expired lease
+ * is not renewed without giving up ownership: state Renewed, AuthorityExpired,
+ * restart. */
 inline renew(x, y) {
   unproven[x] = false;
   if
@@ -133,7 +134,7 @@
   skip
 }
 
-/* Suspicion that nobody refuted: only a daemon that does not run. */
+/* A suspicion expires without refutation: only for a daemon that is paused. */
 inline declareDead(x, y) {
   if
   :: paused[y] && isLive(x, y) ->
@@ -142,7 +143,8 @@
   fi
 }
 
-/* A death, sent from k to i; MemberTable::apply: an older refutation loses. */
+/* A declaration of death, sent from z to x; MemberTable::apply: the older
+ * refutation is overridden. */
 inline gossipDead(x, z, y) {
   if
   :: isLive(x, y) && !isLive(z, y) && known[z * N + y] >= known[x * N + y] ->
@@ -152,8 +154,8 @@
   fi
 }
 
-/* j hears from i that it is dead and refutes it: MemberTable::refute, action
- * DeclaredDead. */
+/* y learns from x that it was declared dead and refutes it: MemberTable::refute,
+ * action DeclaredDead. */
 inline refute(x, y) {
   if
   :: !isLive(x, y) ->
@@ -171,7 +173,7 @@
   fi
 }
 
-/* A refutation, sent from k to i. */
+/* A refutation, sent from z to x. */
 inline gossipAlive(x, z, y) {
   if
   :: !isLive(x, y) && isLive(z, y) && known[z * N + y] > known[x * N + y] ->
@@ -181,8 +183,8 @@
   fi
 }
 
-/* i asks j: OwnershipTracker::sendDueRequests at i, onRequest and addReplyFor
- * at j. The release goes on its way; the one before is lost. */
+/* A request from x to y: OwnershipTracker::sendDueRequests at x, onRequest and
+ * addReplyFor at y. The release is in transit; an earlier one is lost. */
 inline question(x, y) {
   byte q;
   if
@@ -289,7 +291,7 @@
   }
 }
 
-/* All that one daemon does with each of the others, a step at a time. */
+/* All steps of daemon i, alone and with each of the other daemons. */
 proctype Daemon(byte i, j, k) {
   do
   :: d_step { !paused[i] && pausesLeft > 0 -> pausesLeft--; fallAsleep(i) }
@@ -311,7 +313,7 @@
 #ifdef PAUSE_AFTER_CHECK
   :: d_step { !paused[i] && may(i) && !checked[i] -> checked[i] = true }
   :: d_step { !paused[i] && checked[i] ->
-      /* The send: another one may dispatch by now. */
+      /* The dispatch itself: by now another daemon may have gained the server. */
       assert(!may(j) && !may(k));
       checked[i] = false }
 #endif
@@ -319,7 +321,7 @@
 }
 
 #define answers(x, y) (!paused[x] && !paused[y] && isLive(x, y) && isLive(y, x) && mayRenew(y))
-/* c: 0 every answer was lost, 1 y answered, 2 z answered. */
+/* ch: 0 every reply was lost, 1 y replied, 2 z replied. */
 
 inline renewOrNot(ch, x, y, z) {
   if
@@ -330,9 +332,9 @@
   fi
 }
 
-/* There is no cut inside the domain: two daemons that run for a tick have
- * reached each other, since each probes the others and, now and then, those
- * that it holds for dead. */
+/* There is no partition inside the domain: two daemons that run for a tick have
+ * reached each other, since each probes the others and, occasionally, those that
+ * it has declared dead. */
 #define apart(x, y) (awake[x] && awake[y] && (!isLive(x, y) || !isLive(y, x)))
 
 #define settled (!apart(0, 1) && !apart(0, 2) && !apart(1, 2))
--- a/Models/PublishedState.pml
+++ b/Models/PublishedState.pml
@@ -7,11 +7,11 @@
  *
  * A store makes up to three changes: an object is put or removed, or something
  * in another section changes. Two daemons list it (in two pages that are no
- * snapshot, from a replica that may lag), watch it, tell each other what the
- * other lacks, by messages that come late, out of order or never, forget what
- * is gone, and one may start anew. Promises: within a life no object goes back
- * to an earlier state, and what a daemon takes for complete up to a revision
- * holds every change up to there and nothing that was gone by then.
+ * snapshot, from a replica that may lag), watch it, send each other the changes
+ * that the other lacks, in messages that may be delayed, reordered or lost, drop
+ * tombstones, and one may restart. Guarantees: within a run no object reverts to
+ * an earlier state, and a state that a daemon considers complete up to a revision
+ * holds every change up to it and no object that had been removed by then.
  */
 #define REVISIONS 3
 #define READS 3
@@ -25,12 +25,12 @@
 bool histGone[4];
 byte storeAt = 0;
 
-/* By daemon * 2 + object: revision of the held state, zero for unknown; whether
- * it is gone; the highest revision held in this life. */
+/* Indexed by daemon * 2 + object: revision of the held state, zero for unknown;
+ * whether it was removed; the highest revision held in this run. */
 byte held[4];
 bool gone[4];
 byte best[4];
-/* By daemon. */
+/* Indexed by daemon. */
 byte completeAs[2];
 byte lastChange[2];
 byte forgotUpTo[2];
@@ -39,11 +39,11 @@
 byte sendsLeft = SENDS;
 bool mayRestart = true;
 
-/* to, after, as, last change, state of both objects: revision * 2 + gone; zero
- * for not told. */
+/* Recipient, after, as of, last change, state of both objects: revision * 2 +
+ * gone; zero for not included. */
 chan updates = [2] of { byte, byte, byte, byte, byte, byte };
 
-/* The true state of object o at revision r: revision and whether it is gone. */
+/* The true state of object o at revision r: revision and whether it was removed. */
 inline truth(o, r, rev, isGone) {
   rev = 0; isGone = true;
   byte ti = 1;
@@ -59,14 +59,14 @@
   ti = 0
 }
 
-/* What a daemon holds after any step. */
+/* Checks the guarantees on what daemon d holds; used after every step. */
 inline check(d) {
   byte co = 0; byte cr; bool cg; byte cl;
   do
   :: co < 2 ->
      if
      :: held[d * 2 + co] > 0 ->
-        /* Never back within a life. */
+        /* No object reverts within a run. */
         assert(gone[d * 2 + co] || held[d * 2 + co] >= best[d * 2 + co]);
         best[d * 2 + co] = (held[d * 2 + co] > best[d * 2 + co] -> held[d * 2 + co] : best[d * 2 + co])
      :: else -> skip
@@ -74,8 +74,8 @@
      if
      :: completeAs[d] > 0 ->
         truth(co, completeAs[d], cr, cg);
-        /* Removed between two pages of a listing: then the listing is ahead of
-         * the revision that it stands for, and lacks the object rightly. */
+        /* Removed between two pages of a listing: the listing is then ahead of the
+         * revision that it is recorded as, and rightly lacks the object. */
         cl = completeAs[d] + 1;
         do
         :: cl <= storeAt ->
@@ -83,7 +83,7 @@
            cl++
         :: else -> break
         od;
-        /* Nothing up to there is missing, and nothing is there that was gone. */
+        /* No change up to that revision is missing, and no removed object is held. */
         assert(cg || (held[d * 2 + co] >= cr));
         assert(cg || !gone[d * 2 + co] || held[d * 2 + co] > completeAs[d]);
         assert(!cg || held[d * 2 + co] == 0 || gone[d * 2 + co] || held[d * 2 + co] > completeAs[d])
@@ -112,7 +112,7 @@
   known = 0
 }
 
-/* PublishedStore::merge of objects told as "revision * 2 + gone". */
+/* PublishedStore::merge of objects sent as "revision * 2 + gone". */
 inline merge(d, after, as, first, second) {
   if
   :: first > 0 -> apply(d, 0, first / 2, first % 2)
@@ -191,7 +191,7 @@
   od
 }
 
-/* StoreReader: a listing in two pages, or the changes after what is held. */
+/* StoreReader: a listing in two pages, or the changes after the held revision. */
 active proctype Reader() {
   byte d, r1, r2, ra, rb, i; bool ga, gb;
   do
@@ -214,7 +214,7 @@
 #endif
          :: else -> skip
          fi
-      :: completeAs[d] > 0 -> /* a watch: each change in its order */
+      :: completeAs[d] > 0 -> /* a watch: every change in order */
          i = completeAs[d] + 1;
          r1 = completeAs[d];
          do
@@ -241,8 +241,8 @@
   od
 }
 
-/* StateExchange::handleRequest: what the other one lacked when it asked; it may
- * have asked long ago. */
+/* StateExchange::handleRequest: what the peer lacked when it sent the request,
+ * which may be long ago. */
 active proctype Teller() {
   byte d, after, first, second;
   do
@@ -309,7 +309,7 @@
   od
 }
 
-/* PublishedStore::dropOldTombstones, and a new life. */
+/* PublishedStore::dropOldTombstones, and a restart. */
 active proctype Forgetting() {
   byte x;
   do
--- a/Models/TicketMerge.pml
+++ b/Models/TicketMerge.pml
@@ -4,10 +4,10 @@
  * reached: REACH_IN_FORCE
  *
  * Three tickets, two objects: 1 creates both, 2 changes the second, 3 deletes
- * the first. The platform fails over to replicas that are behind; two daemons
- * read it and ask each other for state in messages that come late, twice, out
- * of order or never. Promise: no daemon's state of an object ever reverts, and
- * two daemons that have asked each other to the end hold the same.
+ * the first. The platform fails over to replicas that lag; two daemons read it and
+ * request state from each other in messages that may be delayed, duplicated,
+ * reordered or lost. Guarantees: no daemon's state of an object ever reverts,
+ * and two daemons hold the same after a complete exchange.
  */
 #define DAEMONS 2
 #define TICKETS 3
@@ -15,13 +15,13 @@
 #define READS 4
 
 /* Number of the ticket whose state of the object is held; 0 for none. With
- * FORGET_DELETED a deletion leaves nothing behind. */
+ * FORGET_DELETED a deletion leaves no tombstone. */
 byte held[4]; /* daemon * 2 + object */
 byte best[4]; /* highest number ever held */
 byte asksLeft = ASKS;
 byte readsLeft = READS;
 
-/* A state message of one object: to, object, ticket. */
+/* A state message about one object: recipient, object, ticket. */
 chan updates = [2] of { byte, byte, byte };
 
 #ifdef FORGET_DELETED
@@ -37,12 +37,12 @@
   :: else -> skip
   fi;
 #endif
-  /* The promise: never below what was in force before. */
+  /* Guarantee: never below what was in force before. */
   assert(held[nd * 2 + no] >= best[nd * 2 + no] || forgotten(nd, no));
   best[nd * 2 + no] = (held[nd * 2 + no] > best[nd * 2 + no] -> held[nd * 2 + no] : best[nd * 2 + no])
 }
 
-/* ConfigurationStore::mergeOne */
+/* ConfigurationStore::mergeObject */
 inline mergeOne(md, mo, mt) {
   if
 #ifdef ACCEPT_LOWER_TICKET
@@ -55,7 +55,7 @@
   note(md, mo)
 }
 
-/* What a replica that knows the tickets up to h shows of both objects. */
+/* The state of both objects at a replica that has the tickets up to h. */
 inline replica(h, first, second) {
   if
   :: h == 0 -> first = 0; second = 0
@@ -88,7 +88,7 @@
   od
 }
 
-/* ConfigurationStore::updatesFor, asked by the other daemon. */
+/* ConfigurationStore::updatesFor, requested by the other daemon. */
 active [DAEMONS] proctype Ask() {
   byte o;
   do
@@ -113,7 +113,7 @@
 inline takeUpdate(td, to, tt) { mergeOne(td, to, tt) }
 #endif
 
-/* Delivery: in any order, lost, or kept to be delivered again. */
+/* Delivery: in any order, lost, or duplicated. */
 active proctype Network() {
   byte d, o, t;
   do
@@ -127,13 +127,13 @@
       if
       :: skip /* lost */
       :: true -> takeUpdate(d, o, t)
-      :: true -> mergeOne(d, o, t); updates!d, o, t /* again later */
+      :: true -> mergeOne(d, o, t); updates!d, o, t /* delivered again later */
       fi;
       d = 0; o = 0; t = 0
     }
   :: asksLeft == 0 && readsLeft == 0 && empty(updates) -> break
   od;
-  /* Both ask each other to the end: they hold the same. */
+  /* After a complete exchange in both directions they hold the same. */
   atomic {
     mergeOne(0, 0, held[2]); mergeOne(0, 1, held[3]);
     mergeOne(1, 0, held[0]); mergeOne(1, 1, held[1]);
