--- a/Balsamrack/Http/CallerPort.cpp
+++ b/Balsamrack/Http/CallerPort.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// What a message gets that never reached the handler.
+/// Header fields of a response to a message that never reached the handler.
 HeaderList refusalHeaders() {
   return {
       {"Balsamrack-Ending", outcomeKindName(OutcomeKind::NotRun)},
@@ -36,7 +36,7 @@
 
   const CallerPortSettings Settings;
   CallerHandler &Handler;
-  mutable std::mutex Lock; ///< Guards what follows.
+  mutable std::mutex Lock; ///< Guards all members below.
   Listeners Open;          ///< Fixed once Stopped.
   bool Stopped = false;
 };
@@ -55,8 +55,8 @@
   limits.MaxHeaderBytes = Settings.MaxHeaderBytes;
   limits.MaxConnections = Settings.MaxConnections;
   limits.RefusalHeaders = refusalHeaders();
-  // The number that the handler gets is that of the socket, never anything
-  // that the message says: it decides the service.
+  // The handler gets the port number of the socket, never a value from the
+  // message, because the port determines the service.
   auto boundPort = std::make_shared<std::atomic<uint16_t>>(port);
   auto made = HttpListener::create(
       limits, [this, boundPort](const std::string &peerIp, Message message) {
@@ -85,8 +85,8 @@
     for (const auto &one : Open)
       one->quiesce();
   }
-  // Without the lock: this waits for requests to end, and what ends them may
-  // have to get past open() first. Open no longer changes once Stopped is set.
+  // Without the lock: this waits for requests to end, and the code that ends
+  // them may call open(). OpenListeners no longer changes once Stopped is set.
   for (const auto &one : Open)
     one->stop();
 }
--- a/Balsamrack/Http/CurlExchange.cpp
+++ b/Balsamrack/Http/CurlExchange.cpp
@@ -12,15 +12,14 @@
 namespace {
 
 constexpr size_t MaxAnswerHeaderBytes = size_t(64) << 10;
-constexpr long MaxIdleSeconds = 30; ///< Kept connections older than that are
-                                    ///< not used again.
+constexpr long MaxIdleSeconds = 30; ///< Older idle connections are not reused.
 
 constexpr uint32_t HttpNoContent = 204;
 constexpr uint32_t HttpNotModified = 304;
 
-/// True when \p text can't end a line or a field early. A daemon of another
-/// make could send us a message with a line break in a field; passed on, it
-/// would be a second request on the server's connection.
+/// Returns whether \p text can't end a line or a field early. A daemon of
+/// another implementation could send a message with a line break in a field; if
+/// forwarded, it would be a second request on the server's connection.
 bool isSafeText(const std::string &text, bool rejectSpaces) {
   return std::none_of(text.begin(), text.end(), [&](char c) {
     auto byte = static_cast<unsigned char>(c);
@@ -77,11 +76,11 @@
   curl_easy_setopt(Easy, CURLOPT_PREREQFUNCTION, &onReadyToSend);
   curl_easy_setopt(Easy, CURLOPT_PREREQDATA, this);
   curl_easy_setopt(Easy, CURLOPT_PRIVATE, this);
-  // A kept connection may have been closed by the server without our knowing;
-  // a request that is written to it fails, and nothing tells whether it ran.
-  // Requests that may run once therefore always get a connection of their own.
-  // It is not kept either: as many as there are such requests would pile up,
-  // each of them a connection that the server counts.
+  // The server may have closed an idle connection without this side having
+  // noticed. A request written to it fails, and it is unknown whether it was
+  // executed. Requests that must execute at most once therefore always get a
+  // new connection. It is not kept either: otherwise one idle connection for
+  // each such request would pile up, and the server counts each of them.
   curl_easy_setopt(Easy, CURLOPT_FRESH_CONNECT, Call.SendOnce ? 1L : 0L);
   curl_easy_setopt(Easy, CURLOPT_FORBID_REUSE, Call.SendOnce ? 1L : 0L);
   return true;
@@ -91,12 +90,12 @@
   for (const auto &[name, value] : withoutHopByHop(Call.Content.Headers)) {
     if (!isSafeText(name, true) || !isSafeText(value, false))
       return false;
-    // libcurl takes "Name:" as the wish to leave a field out, and "Name;" as an
-    // empty one.
+    // libcurl takes "Name:" as a request to omit the field, and "Name;" as an
+    // empty field.
     if (!addHeaderLine(absl::StrCat(name, value.empty() ? ";" : ": ", value)))
       return false;
   }
-  // Fields that libcurl would add of its own accord.
+  // Suppresses fields that libcurl would add by itself.
   for (const char *name : {"Accept", "Content-Type", "Expect"})
     if (!findHeader(Call.Content.Headers, name) &&
         !addHeaderLine(std::string(name) + ":"))
@@ -132,9 +131,9 @@
 int CurlExchange::onReadyToSend(void *self, char * /*toIp*/, char * /*fromIp*/,
                                 int /*toPort*/, int /*fromPort*/) {
   auto &me = *static_cast<CurlExchange *>(self);
-  // libcurl sends a request again, whatever its method, when a kept connection
-  // ends before any answer. That would charge a deposit twice; it asks here
-  // before each send.
+  // libcurl resends a request, whatever its method, when a reused connection
+  // ends before any response. That would charge a deposit twice. It calls this
+  // function before each send.
   if (me.Sent && me.Call.SendOnce)
     return CURL_PREREQFUNC_ABORT;
   if (me.Call.MaySend && !me.Call.MaySend())
@@ -151,7 +150,7 @@
   if (me.HeaderBytes > MaxAnswerHeaderBytes)
     return 0;
   if (line.rfind("HTTP/", 0) == 0) {
-    me.Headers.clear(); // Those before were of an interim answer.
+    me.Headers.clear(); // Earlier fields belong to an interim response.
     return size * n;
   }
   size_t colon = line.find(':');
@@ -196,9 +195,9 @@
   else if (code != CURLE_OK)
     result.Error = curl_easy_strerror(code);
   else if (!hasExplicitLength())
-    // The end of the connection ends the body. A server process that is killed
-    // looks the same, so that half an answer could pass for a whole one.
-    result.Error = "answer without Content-Length or chunks";
+    // The body ends when the connection closes. A killed server process looks
+    // the same, so a truncated response could be taken for a complete one.
+    result.Error = "response without Content-Length or chunked encoding";
   if (result.Error.empty()) {
     long status = 0;
     curl_easy_getinfo(Easy, CURLINFO_RESPONSE_CODE, &status);
--- a/Balsamrack/Http/CurlExchange.h
+++ b/Balsamrack/Http/CurlExchange.h
@@ -10,28 +10,28 @@
 
 namespace balsamrack {
 
-/// One HttpCall as a libcurl handle. Not thread-safe.
+/// One HttpCall as a libcurl easy handle. Not thread-safe.
 class CurlExchange {
 public:
-  /// Takes the call over; nothing is sent before the handle is driven.
+  /// Takes ownership of the call; nothing is sent until the handle is run.
   CurlExchange(HttpCall call, HttpClient::Done done);
   CurlExchange(const CurlExchange &) = delete;
   CurlExchange &operator=(const CurlExchange &) = delete;
   ~CurlExchange();
 
-  /// Sets the handle up. False when the call can't be put into HTTP (a control
+  /// Configures the handle. False when the call is not valid HTTP (a control
   /// character in its method, target or header) or has no time left.
   bool prepare();
   /// The handle, owned by this object.
   CURL *handle() const { return Easy; }
   /// The call's tag.
   uint64_t tag() const { return Call.Tag; }
-  /// When the call has stalled unless a byte comes before; the far future when
-  /// it has no StallTimeout.
+  /// Time at which the call has stalled unless a byte arrives earlier; the far
+  /// future when it has no StallTimeout.
   std::chrono::steady_clock::time_point stallDeadline() const;
-  /// Reports the end to the one who began the call. \p code is libcurl's
-  /// verdict; \p cancelled tells that we ended it. To be called once, after the
-  /// handle was taken out of its loop.
+  /// Passes the result to the call's callback. \p code is libcurl's result; \p
+  /// cancelled: the call was ended on this side. Call once, after the handle
+  /// was removed from the multi handle.
   void finish(CURLcode code, bool cancelled);
 
 private:
@@ -49,14 +49,15 @@
   const HttpCall Call;
   const HttpClient::Done OnDone;
   const std::chrono::steady_clock::time_point StartedAt;
-  std::chrono::steady_clock::time_point LastByteAt; ///< Of the answer; Began.
+  std::chrono::steady_clock::time_point
+      LastByteAt; ///< Last byte of the response; initially StartedAt.
   CURL *Easy;
   curl_slist *HeaderLines = nullptr; ///< Header lines of the request.
-  std::string Url;                   ///< Only its address counts.
+  std::string Url;                   ///< Only its host and port are used.
   bool Sent = false;  ///< The request was about to be written to a connection.
-  HeaderList Headers; ///< Of the answer so far.
+  HeaderList Headers; ///< Of the response so far.
   size_t HeaderBytes = 0;
-  std::string Body; ///< Of the answer so far.
+  std::string Body; ///< Of the response so far.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Http/HeaderRules.cpp
+++ b/Balsamrack/Http/HeaderRules.cpp
@@ -28,7 +28,7 @@
   return strcasecmp(a.c_str(), b.c_str()) == 0;
 }
 
-/// Names that the sender declared as meant for this connection only.
+/// Names of the fields that the sender restricted to this connection.
 std::vector<std::string> connectionOptions(const HeaderList &headers) {
   std::vector<std::string> options;
   for (const auto &[name, value] : headers) {
--- a/Balsamrack/Http/HeaderRules.h
+++ b/Balsamrack/Http/HeaderRules.h
@@ -7,16 +7,16 @@
 
 namespace balsamrack {
 
-/// True for a field that concerns one connection only and is never passed on
+/// True for a field that applies to one connection only and is never forwarded
 /// (RFC 9110, section 7.6.1), and for Content-Length and Host, which each hop
-/// sets anew. Thread-safe.
+/// sets itself. Thread-safe.
 bool isHopByHop(const std::string &name);
 
-/// Removes hop-by-hop fields, and those that a Connection field names.
+/// Removes hop-by-hop fields and the fields named by a Connection field.
 /// Thread-safe.
 HeaderList withoutHopByHop(const HeaderList &headers);
 
-/// The first field called \p name, whatever its case, or null. The result
+/// Returns the first field called \p name, ignoring case, or null. The result
 /// points into \p headers. Thread-safe.
 const std::string *findHeader(const HeaderList &headers,
                               const std::string &name);
--- a/Balsamrack/Http/HttpClient.cpp
+++ b/Balsamrack/Http/HttpClient.cpp
@@ -21,7 +21,7 @@
 constexpr int MaxPollMillis = 1000;
 constexpr long MaxKeptConnections = 256;
 
-/// libcurl's global state must be set up once, before any thread uses it.
+/// Initializes libcurl's global state, once and before any thread uses it.
 bool initCurl() {
   static const bool done = curl_global_init(CURL_GLOBAL_ALL) == CURLE_OK;
   return done;
@@ -52,7 +52,7 @@
 private:
   using Exchanges = std::vector<std::unique_ptr<CurlExchange>>;
 
-  /// What other threads want of the loop.
+  /// Commands of other threads to the loop.
   struct Commands {
     Exchanges NewExchanges;
     std::vector<uint64_t> CancelledTags;
@@ -79,10 +79,12 @@
   CURLM *const Multi;
   std::thread Loop;
   std::mutex StopLock; ///< Held while the thread is joined.
-  std::map<CURL *, std::unique_ptr<CurlExchange>> Active; ///< Loop's own.
-  std::set<CURL *> WithStallTimeout; ///< Those of Active with a StallTimeout.
+  std::map<CURL *, std::unique_ptr<CurlExchange>>
+      Active; ///< Used only by Loop.
+  std::set<CURL *>
+      WithStallTimeout; ///< The calls in Active with a StallTimeout.
 
-  std::mutex Lock; ///< Guards what follows.
+  std::mutex Lock; ///< Guards all members below.
   Exchanges NewExchanges;
   std::vector<uint64_t> CancelledTags;
   bool CancelAll = false;
@@ -91,7 +93,7 @@
 
 absl::Status CurlClient::startThread() {
   if (!Multi)
-    return absl::InternalError("cannot set libcurl up");
+    return absl::InternalError("cannot initialize libcurl");
   try {
     Loop = std::thread([this] { run(); });
   } catch (const std::system_error &e) {
@@ -139,7 +141,7 @@
   std::unique_ptr<CurlExchange> exchange = std::move(it->second);
   Active.erase(it);
   WithStallTimeout.erase(handle);
-  // Closes the connection of a call that is not through.
+  // Closes the connection of a call that is not complete.
   curl_multi_remove_handle(Multi, handle);
   exchange->finish(code, cancelled);
 }
@@ -192,7 +194,7 @@
     Commands commands = takeCommands();
     for (auto &exchange : commands.NewExchanges)
       addExchange(std::move(exchange));
-    // Calls that are through already keep their answers.
+    // Calls that are complete already keep their responses.
     reapFinished();
     if (commands.CancelAll)
       cancelIf([](const CurlExchange &) { return true; });
@@ -219,7 +221,7 @@
 
 absl::StatusOr<std::unique_ptr<HttpClient>> HttpClient::create() {
   if (!initCurl())
-    return absl::InternalError("cannot set libcurl up");
+    return absl::InternalError("cannot initialize libcurl");
   auto made = std::make_unique<CurlClient>();
   absl::Status status = made->startThread();
   if (!status.ok())
--- a/Balsamrack/Http/HttpClient.h
+++ b/Balsamrack/Http/HttpClient.h
@@ -13,43 +13,44 @@
 
 namespace balsamrack {
 
-/// One HTTP exchange that we begin.
+/// One HTTP request to be sent.
 struct HttpCall {
-  uint64_t Tag = 0; ///< Names the call for cancel(); need not be unique.
-  Address To;       ///< Whom to ask.
-  Message Content;  ///< What to send; hop-by-hop fields are left out.
-  Duration ConnectTimeout{500'000};  ///< For the connection.
-  Duration Timeout{10'000'000};      ///< For the whole exchange.
-  Duration StallTimeout{0};          ///< Without a byte of the answer; zero:
-                                     ///< Timeout alone counts.
-  uint32_t MaxAnswerBytes = 4 << 20; ///< A longer body is an error.
-  bool SendOnce = true; ///< Never send it a second time, not even when a kept
-                        ///< connection turns out to be dead.
-  std::function<bool()> MaySend; ///< Asked on the client's thread right before
-                                 ///< each send; false: nothing is sent. Empty:
-                                 ///< always true. Must not block.
+  uint64_t Tag = 0; ///< Identifies the call to cancel(); need not be unique.
+  Address To;       ///< Server to connect to.
+  Message Content;  ///< Message to send; hop-by-hop fields are removed.
+  Duration ConnectTimeout{500'000}; ///< Timeout for connecting.
+  Duration Timeout{10'000'000};     ///< Timeout for the whole exchange.
+  Duration StallTimeout{0}; ///< Longest time without a byte of the response;
+                            ///< zero: only Timeout applies.
+  uint32_t MaxAnswerBytes = 4 << 20; ///< A larger response body is an error.
+  bool SendOnce = true; ///< Never send it a second time, not even when a reused
+                        ///< connection turns out to be closed.
+  std::function<bool()>
+      MaySend; ///< Called on the client's thread right before each send; false:
+               ///< nothing is sent. Empty: always true. Must not block.
 };
 
-/// What became of a call, as far as it can be proved.
+/// Outcome of a call, as far as it can be proved.
 enum class HttpCallOutcome {
-  Answered, ///< The whole answer came.
-  NotSent,  ///< Not a byte of the request left this process.
-  Failed,   ///< Some of the request may have left, and no whole answer came.
+  Answered, ///< The complete response was received.
+  NotSent,  ///< No byte of the request left this process.
+  Failed, ///< Part of the request may have been sent, and no complete response
+          ///< was received.
 };
 
 /// Result of a call.
 struct HttpCallResult {
-  HttpCallOutcome How = HttpCallOutcome::NotSent; ///< What became of it.
+  HttpCallOutcome How = HttpCallOutcome::NotSent; ///< Outcome of the call.
   bool Cancelled = false; ///< Ended by cancel(), cancelAll() or stop().
-  Answer Content;         ///< Set when Answered; without hop-by-hop fields.
-  std::string Error;      ///< Why, unless Answered.
-  Duration Took{0};       ///< From start() to the end.
+  Answer Content;         ///< Response, if Answered; without hop-by-hop fields.
+  std::string Error;      ///< Reason, unless Answered.
+  Duration Took{0};       ///< Time from start() to the end of the call.
 };
 
-/// HTTP/1.1 client on libcurl: one thread carries all calls and keeps
-/// connections for further use. ulfius' own client is not used, because it
-/// opens a connection for each request, has no connect timeout, can't be
-/// cancelled and does not tell what left from what did not.
+/// HTTP/1.1 client based on libcurl. One thread runs all calls and reuses
+/// connections. ulfius' own client is not used, because it opens a connection
+/// for each request, has no connect timeout, can't be cancelled and does not
+/// report whether a failed request was sent.
 class HttpClient {
 public:
   using Done = std::function<void(HttpCallResult)>;
@@ -57,13 +58,13 @@
   /// Starts the thread. Error kInternal, without step. Thread-safe.
   static absl::StatusOr<std::unique_ptr<HttpClient>> create();
   virtual ~HttpClient() = default;
-  /// Begins \p call; \p done is called exactly once, on the client's thread,
+  /// Starts \p call; \p done is called exactly once, on the client's thread,
   /// and must not block. After stop() it is called at once, with NotSent. Never
   /// blocks. Thread-safe.
   virtual void start(HttpCall call, Done done) = 0;
-  /// Ends the calls that have \p tag. Thread-safe.
+  /// Cancels the calls with \p tag. Thread-safe.
   virtual void cancel(uint64_t tag) = 0;
-  /// Ends all calls. Thread-safe.
+  /// Cancels all calls. Thread-safe.
   virtual void cancelAll() = 0;
   /// Waits until all calls have ended, and joins the thread. Must not be called
   /// from within Done. Idempotent. Thread-safe.
--- a/Balsamrack/Http/HttpListener.cpp
+++ b/Balsamrack/Http/HttpListener.cpp
@@ -21,8 +21,8 @@
 constexpr unsigned HttpHeadersTooLarge = 431;
 constexpr unsigned HttpUnavailable = 503;
 
-/// Besides the request's header, libmicrohttpd keeps the answer's header and
-/// its own bookkeeping in a connection's memory.
+/// Besides the request header, libmicrohttpd keeps the response header and its
+/// own bookkeeping in a connection's memory.
 constexpr size_t ExtraConnectionMemory = size_t(48) << 10;
 
 std::string peerIpOf(const _u_request &request) {
@@ -61,9 +61,10 @@
   return m;
 }
 
-/// ulfius holds one value a name, and tells names apart by case. Fields that
-/// may not be joined into a list (Set-Cookie) would lose all but the last; each
-/// repeat gets a spelling of its own, which HTTP takes as the same name.
+/// ulfius stores one value per name, and its names are case-sensitive. Of
+/// repeated fields that must not be joined into a list (Set-Cookie) only the
+/// last would remain, so each repetition gets a different mix of upper and
+/// lower case, which is the same name in HTTP.
 std::string uniqueSpelling(_u_map *map, const std::string &name) {
   std::string spelling = name;
   for (unsigned n = 1; u_map_has_key(map, spelling.c_str()); ++n) {
@@ -85,7 +86,7 @@
   if (close)
     u_map_put(response.map_header, "Connection", "close");
   // ulfius_set_binary_body_response() leaves the status at 200 when the body is
-  // empty, which would turn a refusal into an answer.
+  // empty, which would turn a rejection into a success.
   response.status = answer.Status;
   if (!answer.Body.empty())
     ulfius_set_binary_body_response(&response, answer.Status,
@@ -126,19 +127,19 @@
   const RequestHandler Handler;
   std::optional<ListenSocket> Socket; ///< Empty once quiesced.
   const Address BoundAddress;
-  sockaddr_in BindAddress{}; ///< Borrowed by Instance.
+  sockaddr_in BindAddress{}; ///< Referenced by Instance.
   _u_instance Instance{};
   bool Started = false;
 
-  std::mutex Lock; ///< Guards what follows, and Socket.
+  std::mutex Lock; ///< Guards all members below, and Socket.
   std::condition_variable Changed;
-  /// Messages between the call of Handler and the end of the answer's last
-  /// write. libmicrohttpd shuts all connections down when it stops, even those
-  /// whose answer is on its way, which would cut requests in progress.
+  /// Messages between the call of Handler and the last write of the response.
+  /// libmicrohttpd closes all connections when it stops, even those whose
+  /// response is still being written, which would cut off requests in progress.
   std::unordered_set<const _u_request *> Serving;
   bool Quiesced = false;
-  bool Closing = false; ///< Nothing more is served.
-  bool Stopped = false; ///< The daemon has ended.
+  bool Closing = false; ///< No more messages are handled.
+  bool Stopped = false; ///< libmicrohttpd's daemon has stopped.
 };
 
 absl::Status UlfiusListener::start() {
@@ -152,7 +153,7 @@
   Instance.max_post_body_size = size_t(Settings.MaxBodyBytes) + 1;
   Instance.check_utf8 = 0;
   Instance.allowed_post_processor = U_POST_PROCESS_NONE;
-  // ulfius refuses to start with only a default endpoint; the wildcard alone
+  // ulfius does not start with a default endpoint alone; the wildcard alone
   // does not match the path "/".
   ulfius_add_endpoint_by_val(&Instance, "*", nullptr, "*", 0, &onRequest, this);
   ulfius_set_default_endpoint(&Instance, &onRequest, this);
@@ -192,8 +193,8 @@
   if (envelopeBytes(message) > Settings.MaxHeaderBytes)
     return refusal(HttpHeadersTooLarge);
   message.Headers = withoutHopByHop(message.Headers);
-  // A message that comes in after stop() found none in progress must not be
-  // served: its answer would be cut off.
+  // A message that arrives after stop() found none in progress must not be
+  // handled: its response would be cut off.
   if (!addToServing(&request))
     return refusal(HttpUnavailable);
   return Handler(peerIpOf(request), std::move(message));
@@ -220,8 +221,8 @@
   auto *info = static_cast<connection_info_struct *>(*context);
   const _u_request *request = info ? info->request : nullptr;
   {
-    // Before the request is freed: another thread may get a request at the same
-    // address, and would be taken off the list in its place.
+    // Done before the request is freed: another thread may get a request at the
+    // same address, which would then be erased instead.
     std::lock_guard<std::mutex> hold(me.Lock);
     me.Serving.erase(request);
     me.Changed.notify_all();
@@ -252,7 +253,7 @@
     return;
   }
   hold.unlock();
-  // Joins the connections' threads, which take the lock when they end.
+  // Joins the threads of the connections, which acquire the lock when they end.
   if (Started) {
     ulfius_stop_framework(&Instance);
     ulfius_clean_instance(&Instance);
--- a/Balsamrack/Http/OperatorPort.cpp
+++ b/Balsamrack/Http/OperatorPort.cpp
@@ -65,19 +65,19 @@
 Answer HttpOperatorPort::serve(const std::string &peerIp,
                                const Message &message) {
   if (!Allowed.contains(peerIp))
-    return errorAnswer(403, "address " + peerIp + " is not an operator's");
+    return errorAnswer(403, "address " + peerIp + " is not allowed");
   if (message.Method != "GET") {
-    Answer refused = errorAnswer(405, "only GET is answered here");
+    Answer refused = errorAnswer(405, "only GET is supported");
     refused.Headers.emplace_back("Allow", "GET");
     return refused;
   }
   auto target = parseTarget(message.Target);
   if (!target.ok())
     return errorAnswer(400, std::string(target.status().message()));
-  // Where collectors of metrics look by default.
+  // Default path of metrics collectors.
   std::string path = target->Path == "/metrics" ? "/v1/metrics" : target->Path;
   if (path.rfind(PathPrefix, 0) != 0)
-    return errorAnswer(404, "paths begin with /v1/");
+    return errorAnswer(404, "path does not begin with /v1/");
   OperatorRequest request{path.substr(4), std::move(target->Query)};
   OperatorReply reply = Handler.handle(request);
   return {reply.Status,
--- a/Balsamrack/Http/OperatorPort.h
+++ b/Balsamrack/Http/OperatorPort.h
@@ -12,41 +12,41 @@
 
 namespace balsamrack {
 
-/// An operators' question: the path below /v1/, and the query's parameters.
+/// An operator's request: the path below /v1/, and the query parameters.
 struct OperatorRequest {
   std::string Path;                         ///< Such as "status" or "explain".
   std::map<std::string, std::string> Query; ///< Parameters by name.
 };
 
-/// The answer to an operators' question.
+/// Reply to an operator's request.
 struct OperatorReply {
   uint32_t Status = 200;                        ///< HTTP status code.
-  std::string ContentType = "application/json"; ///< Of Body.
-  std::string Body;                             ///< The answer.
+  std::string ContentType = "application/json"; ///< Media type of Body.
+  std::string Body;                             ///< Content of the reply.
 };
 
-/// Answers what an OperatorPort takes in.
+/// Handles the requests received by an OperatorPort.
 class OperatorHandler {
 public:
   virtual ~OperatorHandler() = default;
-  /// Answers one question. Called on many threads at once; must not wait for
-  /// the network.
+  /// Handles one request. Called by many threads concurrently; must not wait
+  /// for the network.
   virtual OperatorReply handle(const OperatorRequest &request) = 0;
 };
 
-/// The operators' HTTP port: read only, and apart from the callers' ports.
+/// The operators' HTTP port: read-only, and separate from the callers' ports.
 class OperatorPort {
 public:
-  /// Starts to listen at \p at (port zero takes a free one), for paths below
-  /// /v1/ and for /metrics, which is the same as /v1/metrics; lets in only
-  /// peers whose address is in \p allowed (dotted quads or a.b.c.d/bits).
-  /// Precondition: \p handler outlives the result. Error (step listen) as with
-  /// CallerPort. Thread-safe.
+  /// Listens at \p at (port zero selects a free one), for paths below /v1/ and
+  /// for /metrics, which is the same as /v1/metrics; accepts only peers whose
+  /// address is in \p allowed (dotted quads or a.b.c.d/bits). Precondition: \p
+  /// handler outlives the result. Error (step listen) as for CallerPort.
+  /// Thread-safe.
   static absl::StatusOr<std::unique_ptr<OperatorPort>>
   create(const Address &at, const std::vector<std::string> &allowed,
          OperatorHandler &handler);
   virtual ~OperatorPort() = default;
-  /// Where it listens, with the real port. Thread-safe.
+  /// Address that it listens on, with the actual port. Thread-safe.
   virtual const Address &at() const = 0;
   /// Closes the port. Idempotent. Thread-safe.
   virtual void stop() = 0;
--- a/Balsamrack/Http/OperatorReplies.h
+++ b/Balsamrack/Http/OperatorReplies.h
@@ -9,14 +9,14 @@
 
 namespace balsamrack {
 
-/// The answer \p body with status 200; bytes that are no UTF-8 are replaced.
-/// Thread-safe.
+/// Reply with \p body and status 200; bytes that are not valid UTF-8 are
+/// replaced. Thread-safe.
 OperatorReply successReply(const nlohmann::json &body);
 
-/// An error in the operators' form, with status \p status. Thread-safe.
+/// Error reply with \p message and status \p status. Thread-safe.
 OperatorReply errorReply(uint32_t status, const std::string &message);
 
-/// The query parameter \p name, or an empty string. Thread-safe.
+/// Returns the query parameter \p name, or an empty string. Thread-safe.
 std::string parameterOf(const OperatorRequest &request, const char *name);
 
 } // namespace balsamrack
--- a/Balsamrack/Http/QueryString.h
+++ b/Balsamrack/Http/QueryString.h
@@ -8,16 +8,15 @@
 
 namespace balsamrack {
 
-/// An HTTP request target, taken apart.
+/// Components of an HTTP request target.
 struct RequestTarget {
-  std::string Path;                         ///< Decoded.
-  std::map<std::string, std::string> Query; ///< Decoded; of a repeated
-                                            ///< parameter the first value.
+  std::string Path; ///< Percent-decoded.
+  std::map<std::string, std::string>
+      Query; ///< Percent-decoded; the first value of a repeated parameter.
 };
 
-/// Takes \p target apart and decodes its percent escapes. Error
-/// kInvalidArgument when an escape is incomplete or stands for a zero byte.
-/// Thread-safe.
+/// Splits \p target and decodes its percent escapes. Error kInvalidArgument
+/// when an escape is incomplete or encodes a zero byte. Thread-safe.
 absl::StatusOr<RequestTarget> parseTarget(const std::string &target);
 
 } // namespace balsamrack
--- a/Balsamrack/Http/ServerLink.cpp
+++ b/Balsamrack/Http/ServerLink.cpp
@@ -25,8 +25,8 @@
 
 std::string hex(uint64_t value) { return absl::StrFormat("%016x", value); }
 
-/// The header of the message as it goes to a server: as it came, but for the
-/// fields that speak of this hop.
+/// Header of the request to a server: the original fields, except that those
+/// which describe this hop are replaced.
 HeaderList requestHeaders(const Envelope &head, const Message &message,
                           Duration timeout) {
   HeaderList own = {{"Request-Timeout", std::to_string(timeout.count() / 1000)},
@@ -42,7 +42,8 @@
   return all;
 }
 
-/// Fields of our own name would let a server speak for us to the caller.
+/// Removes fields with this project's prefix, by which a server could pass for
+/// the load balancer towards the caller.
 HeaderList withoutOwnFields(HeaderList headers) {
   auto own = [](const auto &field) {
     return absl::StartsWithIgnoreCase(field.first, OwnFieldPrefix);
@@ -89,7 +90,7 @@
   return result;
 }
 
-/// Spreads servers over a few event loops; one server always meets the same
+/// Distributes servers over a few event loops. Each server always uses the same
 /// loop, which keeps its connections.
 class HttpServerLink final : public ServerLink {
 public:
@@ -140,7 +141,8 @@
   call.MaxAnswerBytes = Settings.MaxAnswerBytes;
   call.SendOnce = head.Kind == Semantics::RunOnce;
   call.MaySend = Settings.MaySend;
-  // A call without time ends as not sent, on the link's thread as promised.
+  // A call without remaining time ends as NotSent on the link's thread, as
+  // dispatch() promises.
   if (++Running > Settings.MaxDispatches)
     call.Timeout = Duration(0);
   HttpClient &loop = *Loops[server.Id.hash() % Loops.size()];
@@ -163,7 +165,8 @@
   call.Content.Headers = {{"Balsamrack-Request", hex(request.Value)}};
   call.ConnectTimeout = Settings.ConnectTimeout;
   call.Timeout = CancelTimeout;
-  // Best effort: a server that does not hear of it runs until its deadline.
+  // Best effort: a server that does not receive it continues until its
+  // deadline.
   loop.start(std::move(call), [](const HttpCallResult &) {});
 }
 
--- a/Balsamrack/Http/ServerLink.h
+++ b/Balsamrack/Http/ServerLink.h
@@ -13,16 +13,16 @@
 
 /// Result of one dispatch.
 struct DispatchResult {
-  DispatchOutcome How = DispatchOutcome::Failed; ///< What became of it.
-  Answer Content;                                ///< Set when Answered.
+  DispatchOutcome How = DispatchOutcome::Failed; ///< Outcome of the dispatch.
+  Answer Content;                                ///< Response, if Answered.
   InstanceId
-      Instance;     ///< Run of the server process that answered; may be empty.
-  Duration Took{0}; ///< From the send to the end.
-  Duration RetryAfter{0}; ///< The server's wish, when Shed.
+      Instance; ///< Instance of the server process that answered; may be empty.
+  Duration Took{0};       ///< Time from the send to the end.
+  Duration RetryAfter{0}; ///< Delay requested by the server, if Shed.
 };
 
-/// Carries admitted requests to backend servers. Knows nothing of slots: the
-/// owner has counted before.
+/// Sends admitted requests to backend servers. Does not count slots: the owner
+/// has done so before.
 class ServerLink {
 public:
   using Done = std::function<void(DispatchResult)>;
@@ -34,33 +34,32 @@
   virtual void dispatch(const BackendServer &server, const Envelope &head,
                         const Message &message, Duration timeout,
                         Done done) = 0;
-  /// Ends the dispatch of \p request if it still runs: as Failed, and the
-  /// server is told that nobody waits any more; or as Unreachable when nothing
-  /// had left yet. Thread-safe.
+  /// Ends the dispatch of \p request if it is in progress: as Failed, and the
+  /// server is told that the request was cancelled; or as Unreachable if
+  /// nothing was sent yet. Thread-safe.
   virtual void cancel(RequestId request) = 0;
-  /// Waits until all dispatches have ended and joins the threads. A dispatch
-  /// after that ends at once as Unreachable, on the caller's thread. Must not
-  /// be called from within Done. Idempotent. Thread-safe.
+  /// Waits until all dispatches have ended and joins the threads. A later
+  /// dispatch ends at once as Unreachable, on the calling thread. Must not be
+  /// called from within Done. Idempotent. Thread-safe.
   virtual void stop() = 0;
 };
 
 /// Limits of the link.
 struct ServerLinkSettings {
-  std::function<bool()> MaySend; ///< Asked on the link's thread right before
-                                 ///< a message leaves; false: it ends as
-                                 ///< Unreachable. Empty: always true. Guards
-                                 ///< against a dispatch that waited for its
-                                 ///< connection while its owner lost
-                                 ///< authority. Must not block.
-  uint32_t Loops = 2; ///< Threads; each carries any number of dispatches.
-  uint32_t MaxDispatches = 64; ///< At the same time; one more ends at once as
-                               ///< Unreachable.
-  Duration ConnectTimeout{500'000};  ///< For one connection.
-  uint32_t MaxAnswerBytes = 4 << 20; ///< A larger answer counts as Failed.
+  std::function<bool()>
+      MaySend; ///< Called on the link's thread right before a message is sent;
+               ///< false: it ends as Unreachable. Empty: always true. Guards
+               ///< against a dispatch that waited for its connection while its
+               ///< owner lost authority. Must not block.
+  uint32_t Loops = 2;          ///< Threads; each runs many dispatches.
+  uint32_t MaxDispatches = 64; ///< Limit on concurrent dispatches; one more
+                               ///< ends at once as Unreachable.
+  Duration ConnectTimeout{500'000};  ///< Timeout for opening a connection.
+  uint32_t MaxAnswerBytes = 4 << 20; ///< A larger response counts as Failed.
 };
 
-/// Makes the HTTP link. Error kInternal (step dispatch) when its threads can't
-/// be started. Thread-safe.
+/// Creates the HTTP link. Error kInternal (step dispatch) when its threads
+/// can't be started. Thread-safe.
 absl::StatusOr<std::unique_ptr<ServerLink>>
 createHttpServerLink(const ServerLinkSettings &settings);
 
--- a/UnitTests/Http/CallerPortTest.cpp
+++ b/UnitTests/Http/CallerPortTest.cpp
@@ -15,7 +15,7 @@
 namespace balsamrack {
 namespace {
 
-/// Notes what it is handed, and answers with what it is told to.
+/// Records the last message and returns a configured response.
 class RecordingHandler final : public CallerHandler {
 public:
   Answer serve(uint16_t port, const std::string &peerIp,
@@ -36,7 +36,7 @@
   Answer Reply{200, {}, "done"};
 };
 
-/// Serves only when it is released.
+/// Blocks until it is released.
 class BlockingHandler final : public CallerHandler {
 public:
   Answer serve(uint16_t /*port*/, const std::string & /*peerIp*/,
@@ -74,7 +74,7 @@
   Address At;
 };
 
-TEST_F(CallerPortTest, PassesTheMessageOnAsItCame) {
+TEST_F(CallerPortTest, PassesTheMessageUnchanged) {
   std::string body("a=1&b=\0\xff", 8);
   std::string answer =
       ask("POST /p%20q?x=1&y=%2F HTTP/1.1\r\nHost: h\r\nX-One: \xe9\r\n"
@@ -93,7 +93,7 @@
   EXPECT_EQ(findHeader(Handler.Last.Headers, "x-hop"), nullptr);
 }
 
-TEST_F(CallerPortTest, EachPortIsToldApart) {
+TEST_F(CallerPortTest, ReportsThePortOfEachRequest) {
   Address second{"127.0.0.1", Port->ports()[1]};
   RawConnection c = RawConnection::connectTo(second);
   c.sendAll("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -133,12 +133,12 @@
   EXPECT_EQ(Handler.Calls, 3);
 }
 
-TEST_F(CallerPortTest, EmptyAnswerKeepsItsStatus) {
+TEST_F(CallerPortTest, EmptyResponseKeepsItsStatus) {
   Handler.Reply = {503, {}, ""};
   EXPECT_EQ(ask("GET / HTTP/1.1\r\nHost: h\r\n\r\n").substr(9, 3), "503");
 }
 
-TEST_F(CallerPortTest, FieldsThatMayNotBeJoinedAllArrive) {
+TEST_F(CallerPortTest, RepeatedSetCookieFieldsAreKept) {
   Handler.Reply.Headers = {
       {"Set-Cookie", "a=1"}, {"Set-Cookie", "b=2"}, {"Set-Cookie", "c=3"}};
   std::string answer = ask("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -157,9 +157,10 @@
 class EachLimit : public CallerPortTest,
                   public testing::WithParamInterface<Limit> {};
 
-// Story: a caller sends a plan scan of many megabytes, or an endless cookie.
-// It is told so at once and truly: nothing of it reaches a backend server.
-TEST_P(EachLimit, IsToldByItsStatus) {
+// Guards against oversized requests: a body of many megabytes or an endless
+// cookie is rejected at once, with the right status, and never reaches a
+// backend server.
+TEST_P(EachLimit, IsReportedByItsStatus) {
   const Limit &p = GetParam();
   std::string answer = ask(
       "POST / HTTP/1.1\r\nHost: h\r\nX: " + std::string(p.HeaderBytes, 'x') +
@@ -180,7 +181,7 @@
                     Limit{"HugeHeader", 100000, 0, "431", 0}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-TEST(CallerPortErrorTest, SaysWhyItCannotListen) {
+TEST(CallerPortErrorTest, ReportsWhyItCannotListen) {
   RecordingHandler handler;
   auto taken = ListenSocket::open({"127.0.0.1", 0});
   ASSERT_TRUE(taken.ok());
@@ -189,7 +190,7 @@
   EXPECT_EQ(stepOf(clash.status()), "listen");
   EXPECT_EQ(peerOf(clash.status()), taken->address().str());
   CallerPortSettings notOurs;
-  notOurs.Ip = "192.0.2.1"; // TEST-NET-1: no machine has it.
+  notOurs.Ip = "192.0.2.1"; // TEST-NET-1: not assigned to any machine.
   auto foreign = CallerPort::create(notOurs, {0}, handler);
   EXPECT_EQ(foreign.status().code(), absl::StatusCode::kUnavailable);
   EXPECT_EQ(peerOf(foreign.status()), "192.0.2.1:0");
@@ -205,10 +206,10 @@
   EXPECT_FALSE((*made)->open(0).ok());
 }
 
-// Story: an operator replaces a VM while a seller pays a deposit. The daemon
-// stops; the server library shuts all connections down when it stops, so that
-// the seller would lose the answer of a request that ran.
-TEST(CallerPortStopTest, RunningRequestGetsItsWholeAnswer) {
+// Guards against a lost response when a daemon stops while it handles a
+// request: the server library closes all connections when it stops, so the
+// caller would not receive the response to a request that was executed.
+TEST(CallerPortStopTest, RequestInProgressGetsItsCompleteResponse) {
   BlockingHandler handler;
   auto made = CallerPort::create({}, {0}, handler);
   ASSERT_TRUE(made.ok());
--- a/UnitTests/Http/HttpClientTest.cpp
+++ b/UnitTests/Http/HttpClientTest.cpp
@@ -14,19 +14,19 @@
 constexpr Duration StallTimeout{300'000};
 constexpr Duration Timeout{10'000'000};
 
-/// How a server sends its answer.
+/// How a server sends its response.
 struct AnswerPattern {
   const char *Name;
-  int Pieces;                    ///< Of the whole answer's ten.
-  std::chrono::milliseconds Gap; ///< Before each piece.
+  int Pieces;                    ///< Number of pieces sent, of ten.
+  std::chrono::milliseconds Gap; ///< Delay before each piece.
   HttpCallOutcome End;
 };
 
 class EachSending : public testing::TestWithParam<AnswerPattern> {};
 
-// Guards against a long answer over a slow link that is given up at a fixed
-// time, and against one that never goes on and holds its caller up.
-TEST_P(EachSending, EndsByItsLastByte) {
+// Guards against aborting a long response over a slow link at a fixed time, and
+// against a stalled response that blocks its caller.
+TEST_P(EachSending, TimesOutByTimeSinceLastByte) {
   const std::string piece(100, 'x');
   ScriptedServer server([&](RawConnection c, int) {
     c.readMessage();
--- a/UnitTests/Http/OperatorPortTest.cpp
+++ b/UnitTests/Http/OperatorPortTest.cpp
@@ -10,7 +10,7 @@
 namespace balsamrack {
 namespace {
 
-/// Answers with the question as it understood it.
+/// Replies with the path and the query of the request.
 class EchoHandler final : public OperatorHandler {
 public:
   OperatorReply handle(const OperatorRequest &request) override {
@@ -34,7 +34,7 @@
 
 class EachExchange : public testing::TestWithParam<Exchange> {};
 
-TEST_P(EachExchange, GetsItsAnswer) {
+TEST_P(EachExchange, GetsTheExpectedResponse) {
   EchoHandler handler;
   auto port = OperatorPort::create({"127.0.0.1", 0}, {"127.0.0.0/8"}, handler);
   ASSERT_TRUE(port.ok()) << port.status();
@@ -60,7 +60,7 @@
         Exchange{"Write", "POST /v1/status", "405", "Allow: GET"}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-TEST(OperatorPortTest, LetsOnlyAllowedAddressesIn) {
+TEST(OperatorPortTest, AcceptsOnlyAllowedAddresses) {
   EchoHandler handler;
   auto port = OperatorPort::create({"127.0.0.1", 0}, {"10.0.0.0/8"}, handler);
   ASSERT_TRUE(port.ok());
@@ -69,7 +69,7 @@
   EXPECT_EQ(c.readMessage().substr(9, 3), "403");
 }
 
-TEST(OperatorPortTest, RefusesABadAddressList) {
+TEST(OperatorPortTest, RejectsAnInvalidAddressList) {
   EchoHandler handler;
   auto port = OperatorPort::create({"127.0.0.1", 0}, {"10.0.0.0/33"}, handler);
   EXPECT_EQ(port.status().code(), absl::StatusCode::kInvalidArgument);
@@ -84,7 +84,7 @@
 
 class EachMembership : public testing::TestWithParam<AddressSetCase> {};
 
-TEST_P(EachMembership, IsRight) {
+TEST_P(EachMembership, IsDetected) {
   auto set = AddressSet::parse({GetParam().List});
   ASSERT_TRUE(set.ok());
   EXPECT_EQ(set->contains(GetParam().Ip), GetParam().IsMember);
--- a/UnitTests/Http/RawConnection.h
+++ b/UnitTests/Http/RawConnection.h
@@ -10,38 +10,38 @@
 
 namespace balsamrack {
 
-/// A TCP connection of a test, that sends and reads bytes as they are. Reads
-/// give up after ten seconds.
+/// A TCP connection for tests that sends and receives raw bytes. Reads time out
+/// after ten seconds.
 class RawConnection {
 public:
-  /// Takes over an open socket; -1 for none.
+  /// Takes ownership of an open socket; -1 for none.
   explicit RawConnection(int fd);
   RawConnection(RawConnection &&other) noexcept = default;
   RawConnection &operator=(RawConnection &&other) noexcept;
   ~RawConnection();
 
-  /// Connects to \p at; isOpen() tells whether that worked.
+  /// Connects to \p at; isOpen() tells whether it succeeded.
   static RawConnection connectTo(const Address &at);
   /// Waits for a connection on the listening socket \p fd.
   static RawConnection acceptOn(int fd);
 
   bool isOpen() const { return Shared && Shared->Fd >= 0; }
-  /// Sends all of \p bytes; false when the connection broke.
+  /// Sends all of \p bytes; false when the connection failed.
   bool sendAll(const std::string &bytes) const;
-  /// Reads one HTTP message: the header, and as much body as its
-  /// Content-Length says. Empty when the connection ends before the header.
+  /// Reads one HTTP message: the header, and the body as given by its
+  /// Content-Length. Empty when the connection ends within the header.
   std::string readMessage();
-  /// Reads until the other side closes.
+  /// Reads until the peer closes the connection.
   std::string readToEnd();
-  /// Closes; with \p reset the other side sees a reset in place of an end.
+  /// Closes the connection; with \p reset the peer receives a reset.
   void close(bool reset = false);
-  /// Ends, from another thread, whatever the connection waits for. Harmless
-  /// when it is closed already.
+  /// Returns a function that ends the connection's blocking calls from another
+  /// thread. Harmless when the connection is closed already.
   std::function<void()> interrupter() const;
 
 private:
-  /// The lock keeps an interrupter from touching a descriptor that was closed
-  /// and is in use for something else.
+  /// The lock keeps an interrupter from using a descriptor that was closed and
+  /// reused for something else.
   struct Handle {
     std::mutex Lock;
     int Fd = -1;
@@ -50,7 +50,7 @@
   bool readMore();
 
   std::shared_ptr<Handle> Shared;
-  std::string Buffer; ///< Read, but not yet handed out.
+  std::string Buffer; ///< Received, but not returned yet.
 };
 
 /// Waits until \p condition holds, for a minute at most: far longer than any
--- a/UnitTests/Http/ReservedPort.h
+++ b/UnitTests/Http/ReservedPort.h
@@ -5,9 +5,8 @@
 
 namespace balsamrack {
 
-/// A free port of 127.0.0.1 on which nobody listens. It stays out of the hands
-/// of tests that run at the same time, while whoever is told of it may still
-/// listen there.
+/// A port of 127.0.0.1 without a listener. Tests that run concurrently do not
+/// get the same port, but a process may still be started to listen on it.
 class ReservedPort {
 public:
   ReservedPort();
--- a/UnitTests/Http/ScriptedServer.h
+++ b/UnitTests/Http/ScriptedServer.h
@@ -11,15 +11,16 @@
 
 namespace balsamrack {
 
-/// A server of a test, on a free port of 127.0.0.1: each connection is handed
-/// to a script, on a thread of its own.
+/// A test server on a free port of 127.0.0.1. Each connection is handled by a
+/// script on its own thread.
 class ScriptedServer {
 public:
   using Script = std::function<void(RawConnection connection, int number)>;
 
-  /// Starts to accept; connections are numbered from 1.
+  /// Starts to accept connections, which are numbered from 1.
   explicit ScriptedServer(Script script);
-  /// Accepts no more, breaks the connections and waits for the scripts.
+  /// Accepts no more connections, interrupts the open ones and waits for the
+  /// scripts.
   ~ScriptedServer();
 
   const Address &at() const { return Socket.address(); }
@@ -33,13 +34,13 @@
   const Script RunScript;
   std::atomic<int> Accepted{0};
   std::atomic<bool> Stopping{false};
-  std::vector<std::function<void()>> Interrupters; ///< One a connection.
+  std::vector<std::function<void()>> Interrupters; ///< One per connection.
   std::vector<std::thread>
-      ScriptThreads; ///< Only touched by Acceptor until it ends.
+      ScriptThreads; ///< Used only by Acceptor until it ends.
   std::thread Acceptor;
 };
 
-/// An HTTP answer with a Content-Length.
+/// An HTTP response with a Content-Length.
 std::string httpAnswer(const std::string &statusAndHeaders,
                        const std::string &body);
 
--- a/UnitTests/Http/ServerLinkTest.cpp
+++ b/UnitTests/Http/ServerLinkTest.cpp
@@ -51,7 +51,7 @@
   std::unique_ptr<ServerLink> Link;
 };
 
-TEST_F(ServerLinkTest, SendsTheMessageAsItCameWithTheHopsFields) {
+TEST_F(ServerLinkTest, SendsTheMessageUnchangedWithItsOwnFields) {
   std::string received;
   ScriptedServer server([&](RawConnection c, int) {
     received = c.readMessage();
@@ -85,17 +85,17 @@
 
 struct ServerAnswer {
   const char *Name;
-  std::string Reply; ///< What the server sends before it closes.
+  std::string Reply; ///< Sent by the server before it closes the connection.
   DispatchOutcome How;
 };
 
 class EachAnswer : public ServerLinkTest,
                    public testing::WithParamInterface<ServerAnswer> {};
 
-// Story: a server process dies, or answers with what is no whole answer. The
-// seller must hear "unknown", since the reservation may have run; half a
-// confirmation passed on as a whole one would be worse.
-TEST_P(EachAnswer, IsJudgedByWhatCanBeProved) {
+// Guards against a wrong outcome when a server process dies or sends an
+// incomplete response. The request may have been executed, so it must be
+// Failed; a truncated response forwarded as complete would be worse.
+TEST_P(EachAnswer, HasTheProvableOutcome) {
   ScriptedServer server([&](RawConnection c, int) {
     c.readMessage();
     c.sendAll(GetParam().Reply);
@@ -148,7 +148,7 @@
                      DispatchOutcome::Failed}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-TEST_F(ServerLinkTest, ShedCarriesTheWishToRetry) {
+TEST_F(ServerLinkTest, ShedReportsRetryAfter) {
   ScriptedServer server([](RawConnection c, int) {
     c.readMessage();
     c.sendAll(
@@ -164,7 +164,7 @@
             DispatchOutcome::Unreachable);
 }
 
-TEST_F(ServerLinkTest, LineBreakInAFieldNeverLeaves) {
+TEST_F(ServerLinkTest, LineBreakInAFieldIsNeverSent) {
   ScriptedServer server([](const RawConnection &, int) {});
   Message m{"GET", "/", {{"X", "1\r\nPOST /evil"}}, ""};
   EXPECT_EQ(dispatch(server.at(), Semantics::Idempotent, m).get().How,
@@ -182,9 +182,10 @@
       DispatchOutcome::Unreachable);
 }
 
-// Story: an owner's process is paused while a connection is being made. When it
-// wakes, another daemon owns the server; what it had in hand must not leave.
-TEST(ServerLinkSettingsTest, NothingLeavesOnceAuthorityIsLost) {
+// Guards against a dispatch by a former owner: its process is paused while it
+// connects, and another daemon owns the server when it resumes. The request
+// must not be sent.
+TEST(ServerLinkSettingsTest, NothingIsSentOnceAuthorityIsLost) {
   std::atomic<bool> hasAuthority{true};
   ServerLinkSettings settings;
   settings.MaySend = [&] { return hasAuthority.load(); };
@@ -205,7 +206,7 @@
   }
 }
 
-TEST(ServerLinkSettingsTest, OneDispatchTooManyIsUnreachable) {
+TEST(ServerLinkSettingsTest, DispatchAboveTheLimitIsUnreachable) {
   ServerLinkSettings settings;
   settings.MaxDispatches = 1;
   auto link = createHttpServerLink(settings);
@@ -223,7 +224,7 @@
   (*link)->stop();
 }
 
-TEST_F(ServerLinkTest, SilentServerIsFailedAfterTheTimeout) {
+TEST_F(ServerLinkTest, SilentServerFailsAfterTheTimeout) {
   ScriptedServer server([](RawConnection c, int) { c.readToEnd(); });
   DispatchResult r =
       dispatch(server.at(), Semantics::RunOnce, {}, Duration(50'000)).get();
@@ -231,8 +232,8 @@
   EXPECT_GE(r.Took, Duration(40'000));
 }
 
-/// Answers the first request of a connection; closes it, without an answer, on
-/// the next.
+/// Responds to the first request of a connection, and closes the connection
+/// without a response at the next.
 class ClosingServer {
 public:
   int requests() const { return Requests; }
@@ -251,11 +252,11 @@
   }};
 };
 
-// Story: a buyer's site plan was fetched a moment ago and the connection is
-// kept. Now a seller pays a deposit; the server closes the kept connection just
-// as the request arrives. libcurl sends it again on a new connection, whatever
-// its method, and the deposit is charged twice.
-TEST_F(ServerLinkTest, RunOnceIsNeverSentOnAKeptConnection) {
+// Guards against executing a request twice. The server closes an idle
+// connection just as a request that must execute at most once is sent on it;
+// libcurl then resends the request on a new connection, whatever its method,
+// and a deposit would be charged twice.
+TEST_F(ServerLinkTest, RunOnceNeverReusesAConnection) {
   ClosingServer server;
   Message get{"GET", "/", {}, ""};
   Message post{"POST", "/", {}, "deposit"};
@@ -267,9 +268,9 @@
   EXPECT_EQ(server.connections(), 2);
 }
 
-// The other side of the same: what may run twice uses the kept connection, and
-// when that turns out dead it is sent again rather than failed.
-TEST_F(ServerLinkTest, IdempotentIsSentAgainWhenAKeptConnectionIsDead) {
+// The opposite case: an idempotent request reuses the idle connection, and is
+// resent instead of failing when the server has closed it.
+TEST_F(ServerLinkTest, IdempotentIsResentWhenAReusedConnectionIsClosed) {
   ClosingServer server;
   Message get{"GET", "/", {}, ""};
   EXPECT_EQ(dispatch(server.at(), Semantics::Idempotent, get).get().How,
@@ -280,7 +281,7 @@
   EXPECT_EQ(server.connections(), 2);
 }
 
-TEST_F(ServerLinkTest, KeptConnectionsAreUsedAgain) {
+TEST_F(ServerLinkTest, IdleConnectionsAreReused) {
   ScriptedServer server([](RawConnection c, int) {
     while (!c.readMessage().empty())
       c.sendAll(httpAnswer("200 OK", "x"));
@@ -291,9 +292,9 @@
   EXPECT_EQ(server.connections(), 1);
 }
 
-// Story: a clerk closes the window while a proof is being drawn. The server is
-// told that nobody waits, and the dispatch ends without its answer.
-TEST_F(ServerLinkTest, CancelTellsTheServerAndEndsTheDispatch) {
+// The caller closes its connection while the server works. The server is told
+// that the request was cancelled, and the dispatch ends without a response.
+TEST_F(ServerLinkTest, CancelNotifiesTheServerAndEndsTheDispatch) {
   std::mutex lock;
   std::vector<std::string> received;
   ScriptedServer server([&](RawConnection c, int) {
@@ -313,7 +314,7 @@
   };
   auto result = dispatch(server.at(), Semantics::RunOnce);
   ASSERT_TRUE(waitUntil([&] { return count() == 1; }));
-  Link->cancel({8}); // another request's
+  Link->cancel({8}); // another request
   Link->cancel({7});
   EXPECT_EQ(result.get().How, DispatchOutcome::Failed);
   ASSERT_TRUE(waitUntil([&] { return count() == 2; }));
@@ -323,7 +324,7 @@
             std::string::npos);
 }
 
-TEST_F(ServerLinkTest, StopWaitsForAnswersAndThenSendsNothing) {
+TEST_F(ServerLinkTest, StopWaitsForResponsesAndThenSendsNothing) {
   std::promise<void> release;
   std::atomic<int> entered{0};
   ScriptedServer server([&](RawConnection c, int) {
@@ -343,7 +344,7 @@
   EXPECT_EQ(server.connections(), 1);
 }
 
-TEST(ServerLinkSettingsTest, ManyAtOnceAllEndOnce) {
+TEST(ServerLinkSettingsTest, ManyConcurrentDispatchesEachEndOnce) {
   constexpr int Many = 200;
   ServerLinkSettings settings;
   settings.MaxDispatches = Many;
