--- a/Balsamrack/Client/OperatorClient.cpp
+++ b/Balsamrack/Client/OperatorClient.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Asking more at the same time gains nothing and costs a thread each.
+/// Limits the number of threads; more would not speed up the calls.
 constexpr size_t MaxThreads = 32;
 
 std::string targetOf(const std::string &path,
@@ -33,10 +33,10 @@
 absl::StatusOr<OperatorClient>
 OperatorClient::create(std::vector<Address> daemons, Duration timeout) {
   if (daemons.empty())
-    return absl::InvalidArgumentError("no daemon to ask");
+    return absl::InvalidArgumentError("no daemons given");
   if (timeout <= Duration::zero())
-    return absl::InvalidArgumentError("the timeout has to be positive");
-  // libcurl's global state has to stand before threads use it.
+    return absl::InvalidArgumentError("timeout must be positive");
+  // libcurl's global state must be initialized before threads use it.
   ulfius_global_init();
   return OperatorClient(std::move(daemons), timeout);
 }
@@ -69,7 +69,7 @@
   const std::string url = absl::StrCat("http://", daemon.str(), target);
   ulfius_set_request_properties(&request, U_OPT_HTTP_VERB, "GET",
                                 U_OPT_HTTP_URL, url.c_str(), U_OPT_NONE);
-  // Whole seconds are all that the library takes.
+  // The library only supports timeouts in whole seconds.
   request.timeout =
       (Timeout + std::chrono::milliseconds(999)) / std::chrono::seconds(1);
   if (ulfius_send_http_request(&request, &response) == U_OK) {
@@ -79,7 +79,7 @@
   } else {
     reply.CallStatus =
         makeError(absl::StatusCode::kUnavailable, Step::HandleOperatorRequest,
-                  daemon.str(), "no answer");
+                  daemon.str(), "no reply");
   }
   ulfius_clean_request(&request);
   ulfius_clean_response(&response);
--- a/Balsamrack/Client/OperatorClient.h
+++ b/Balsamrack/Client/OperatorClient.h
@@ -11,35 +11,34 @@
 
 namespace balsamrack {
 
-/// What one daemon answered to an operators' question.
+/// Reply of one daemon to an operator's request.
 struct DaemonReply {
-  Address Daemon; ///< Who was asked.
-  absl::Status
-      CallStatus; ///< Error (step answer-operator) when it didn't answer.
-  uint32_t HttpStatus = 0; ///< HTTP status code; zero without an answer.
-  std::string Body;        ///< The answer.
+  Address Daemon;          ///< Operators' port of the daemon.
+  absl::Status CallStatus; ///< Error (step answer-operator) without a reply.
+  uint32_t HttpStatus = 0; ///< HTTP status code; zero without a reply.
+  std::string Body;        ///< Body of the reply.
 
-  /// True when the daemon answered the question itself. Thread-safe.
+  /// True when the daemon replied with status 200. Thread-safe.
   bool isOk() const { return CallStatus.ok() && HttpStatus == 200; }
 };
 
-/// Asks the operators' ports of many daemons at the same time.
+/// Sends requests to the operators' ports of many daemons in parallel.
 class OperatorClient {
 public:
   using Query = std::map<std::string, std::string>;
 
-  /// A client for \p daemons. Error kInvalidArgument when the list is empty or
-  /// \p timeout is not positive. Thread-safe.
+  /// Creates a client for \p daemons. Error kInvalidArgument when the list is
+  /// empty or \p timeout is not positive. Thread-safe.
   static absl::StatusOr<OperatorClient> create(std::vector<Address> daemons,
                                                Duration timeout);
 
-  /// Asks all daemons for /v1/\p path; the replies are in the daemons' order.
-  /// A daemon that can't be reached has its error in its reply. Blocks for at
-  /// most about the timeout. Thread-safe.
+  /// Requests /v1/\p path from all daemons; the replies are in the order of the
+  /// daemons. The reply of an unreachable daemon holds its error. Blocks for
+  /// about the timeout at most. Thread-safe.
   std::vector<DaemonReply> askAll(const std::string &path,
                                   const Query &query) const;
 
-  /// The daemons asked. Thread-safe.
+  /// The daemons that are queried. Thread-safe.
   const std::vector<Address> &daemons() const { return Daemons; }
 
 private:
@@ -48,8 +47,8 @@
 
   DaemonReply ask(const Address &daemon, const std::string &target) const;
 
-  std::vector<Address> Daemons; ///< Operators' ports.
-  Duration Timeout;             ///< For each daemon.
+  std::vector<Address> Daemons; ///< Addresses of the operators' ports.
+  Duration Timeout; ///< For each daemon, rounded up to whole seconds.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Client/Report.cpp
+++ b/Balsamrack/Client/Report.cpp
@@ -14,13 +14,14 @@
 
 using nlohmann::json;
 
-/// The daemon's answer as JSON, or null when it is none.
+/// The daemon's reply as JSON, or null when it is not a JSON object.
 json bodyOf(const DaemonReply &reply) {
   json body = json::parse(reply.Body, nullptr, false);
   return body.is_object() ? body : json();
 }
 
-/// A member's value as text, whatever its type; "-" when it is missing.
+/// Returns the value of a member as text, whatever its type; "-" when it is
+/// missing.
 std::string textOf(const json &object, const char *name) {
   if (!object.is_object() || !object.contains(name) || object[name].is_null())
     return "-";
@@ -28,14 +29,16 @@
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-/// Elements of an array member; empty when it is missing or no array.
+/// Returns the elements of an array member; empty when it is missing or not an
+/// array.
 json listOf(const json &object, const char *name) {
   if (object.is_object() && object.contains(name) && object[name].is_array())
     return object[name];
   return json::array();
 }
 
-/// Names who didn't answer, and sets the exit code that says so.
+/// Adds a note for each daemon without a usable reply, and sets the exit code
+/// accordingly.
 void reportFailures(const std::vector<DaemonReply> &replies, Report &report) {
   size_t failed = 0;
   for (const DaemonReply &it : replies) {
@@ -55,7 +58,7 @@
     report.ExitCode = ExitCodes::Partial;
 }
 
-/// All answers as one JSON document, an entry a daemon.
+/// All replies as one JSON document with one entry per daemon.
 std::string asJson(const std::vector<DaemonReply> &replies) {
   json all = json::array();
   for (const DaemonReply &it : replies) {
@@ -66,7 +69,7 @@
   return all.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
-/// Rows under a heading, each column as wide as its widest cell.
+/// Rows below a heading; each column is as wide as its widest cell.
 class Table {
 public:
   explicit Table(std::vector<std::string> heading) {
@@ -92,7 +95,7 @@
   std::vector<std::vector<std::string>> Rows;
 };
 
-/// Names of members in one state, such as "vm-1, vm-2"; "-" for none.
+/// Ids of the members in one state, such as "vm-1, vm-2"; "-" for none.
 std::string membersIn(const json &status, const char *state) {
   std::string names;
   for (const json &it : listOf(status, "members"))
@@ -101,7 +104,7 @@
   return names.empty() ? "-" : names;
 }
 
-/// Elements of the array \p name of every answer, with the daemon added.
+/// Elements of the array \p name of all replies, with the daemon added.
 std::vector<json> collectElements(const std::vector<DaemonReply> &replies,
                                   const char *name) {
   std::vector<json> all;
@@ -117,7 +120,7 @@
   return all;
 }
 
-/// Numeric member for sorting; zero when it is none.
+/// Numeric member for sorting; zero when it is not a number.
 double numberOf(const json &object, const char *name) {
   return object.contains(name) && object[name].is_number()
              ? object[name].get<double>()
@@ -155,7 +158,8 @@
   }
   std::string text = table.str();
 
-  // Failure domains as the first reachable daemon of each sees them.
+  // Each failure domain as reported by the first reachable daemon that lists
+  // it.
   std::map<std::string, json> domains;
   for (const json &it : collectElements(replies, "domains"))
     domains.emplace(textOf(it, "id"), it);
@@ -208,7 +212,8 @@
 
 Report reportDecisions(const std::vector<DaemonReply> &replies,
                        OutputFormat format) {
-  // Clocks of two VMs can't be compared: each daemon's story stands alone.
+  // The clocks of two VMs can't be compared, so decisions are grouped by
+  // daemon.
   std::string text;
   size_t count = 0;
   std::string daemon;
@@ -221,7 +226,7 @@
     ++count;
   }
   if (count == 0)
-    text = "no daemon that answered remembers a decision about this\n";
+    text = "no daemon that replied has recorded a decision about this\n";
   Report report = makeReport(replies, format, std::move(text));
   if (count == 0 && report.ExitCode == ExitCodes::Good)
     report.ExitCode = ExitCodes::No;
@@ -266,7 +271,7 @@
     const bool here = textOf(body, "in_force") == "true";
     everywhere = everywhere && here;
     absl::StrAppend(&text, textOf(body, "vm"), ": ",
-                    here ? "in force" : "not in force", ", holds up to ",
+                    here ? "in force" : "not in force", ", highest ticket ",
                     textOf(body, "ticket"), "\n");
   }
   Report report = makeReport(replies, format, std::move(text));
--- a/Balsamrack/Client/Report.h
+++ b/Balsamrack/Client/Report.h
@@ -8,49 +8,52 @@
 
 namespace balsamrack {
 
-/// How the client's answer is printed.
+/// Format of the client's output.
 enum class OutputFormat {
-  Text, ///< Tables and sentences for people.
-  Json, ///< One JSON document for programs.
+  Text, ///< Tables and sentences.
+  Json, ///< One JSON document.
 };
 
-/// What is printed, and what the program's exit code says of it.
+/// Output and exit code of a command.
 struct Report {
   std::string Text;  ///< For standard output.
-  int ExitCode = 0;  ///< See ExitCodes.
-  std::string Notes; ///< For standard error: daemons that didn't answer.
+  int ExitCode = 0;  ///< One of ExitCodes.
+  std::string Notes; ///< For standard error: daemons without a usable reply.
 };
 
 /// Exit codes of balsamctl.
 struct ExitCodes {
-  static constexpr int Good = 0;  ///< All daemons answered; the answer is yes.
-  static constexpr int No = 1;    ///< The answer is no: rejected, not found.
-  static constexpr int Usage = 2; ///< The command line or a file is wrong.
-  static constexpr int Partial = 3;      ///< Some daemons didn't answer.
-  static constexpr int NoneAnswered = 4; ///< No daemon answered.
+  static constexpr int Good = 0;    ///< Positive result from all daemons.
+  static constexpr int No = 1;      ///< Negative result: rejected, not found.
+  static constexpr int Usage = 2;   ///< The command line or a file is invalid.
+  static constexpr int Partial = 3; ///< Some daemons did not reply.
+  static constexpr int NoneAnswered = 4; ///< No daemon replied.
 };
 
-/// Each of the functions turns the replies of all daemons into one report.
-/// All are thread-safe and accept any bytes as a daemon's answer.
+/// Each of these functions combines the replies of all daemons into one report.
+/// They are thread-safe and accept arbitrary bytes as replies. This one reports
+/// tickets, members and failure domains.
 Report reportStatus(const std::vector<DaemonReply> &replies,
                     OutputFormat format);
-/// Backend servers: the owner's word goes before that of other daemons.
+/// Backend servers; the owner's data takes precedence over that of other
+/// daemons.
 Report reportServers(const std::vector<DaemonReply> &replies,
                      OutputFormat format);
-/// Flow counts by daemon and backend server.
+/// Flows tracked by each daemon, and their number.
 Report reportFlows(const std::vector<DaemonReply> &replies,
                    OutputFormat format);
-/// Decisions of all daemons about one thing, as sentences. Exit code No when
-/// there are none.
+/// Decisions of all daemons about one request, flow, server or ticket, as
+/// sentences. Exit code No when there are none.
 Report reportDecisions(const std::vector<DaemonReply> &replies,
                        OutputFormat format);
-/// Spans of one trace, by start. Exit code No when there are none.
+/// Spans of one trace, ordered by start time. Exit code No when there are none.
 Report reportTrace(const std::vector<DaemonReply> &replies,
                    OutputFormat format);
-/// Metrics of all daemons, each behind a comment line with its address.
+/// Metrics of all daemons, each preceded by a comment line with its address.
 Report reportMetrics(const std::vector<DaemonReply> &replies,
                      OutputFormat format);
-/// Whether a ticket is in force. Exit code No while a daemon lacks it.
+/// Whether a ticket is in force. Exit code No while it is not in force on every
+/// daemon that replied.
 Report reportInForce(const std::vector<DaemonReply> &replies,
                      OutputFormat format);
 
--- a/Balsamrack/Client/TicketCommands.cpp
+++ b/Balsamrack/Client/TicketCommands.cpp
@@ -28,7 +28,7 @@
   return "overtaken";
 }
 
-/// Merges what the daemons hold, as they would among themselves.
+/// Merges the configurations of the daemons by the same rule as the daemons.
 void mergeConfigurations(const std::vector<DaemonReply> &replies,
                          ConfigurationStore &store) {
   for (const DaemonReply &reply : replies) {
@@ -64,7 +64,7 @@
   if (!status.ok())
     return rejectionReport(status, format);
 
-  // What it would change, and what would dangle then.
+  // Determines the changes and the dangling references that would result.
   auto store = ConfigurationStore::create();
   mergeConfigurations(replies, *store);
   const auto changes = store->previewChanges(*ticket);
--- a/Balsamrack/Client/TicketCommands.h
+++ b/Balsamrack/Client/TicketCommands.h
@@ -8,8 +8,8 @@
 
 namespace balsamrack {
 
-/// Checks the ticket in \p text by the daemons' own function, and tells what it
-/// would change against the configurations in \p replies (none: only the
+/// Checks the ticket in \p text with the same function as the daemons, and
+/// reports the changes against the configurations in \p replies (none: only the
 /// check). Exit code No for a ticket that would be rejected. Thread-safe.
 Report checkTicketText(const std::string &text,
                        const std::vector<DaemonReply> &replies,
--- a/UnitTests/Client/ReportTest.cpp
+++ b/UnitTests/Client/ReportTest.cpp
@@ -21,14 +21,14 @@
   Reporter MakeReport;
   std::vector<DaemonReply> Replies;
   int ExitCode;
-  const char *ExpectedText; ///< Part of the text.
+  const char *ExpectedText; ///< Substring of the output.
 };
 
 class ReportTest : public testing::TestWithParam<ReportCase> {};
 
-// One daemon is down and one is confused. Operators must still see the rest,
-// and which is which.
-TEST_P(ReportTest, ShowsWhatIsThere) {
+// Operators must see the usable replies, and which daemons are unreachable or
+// sent an invalid reply.
+TEST_P(ReportTest, ShowsExpectedText) {
   const ReportCase &it = GetParam();
   const Report report = it.MakeReport(it.Replies, OutputFormat::Text);
   EXPECT_EQ(report.ExitCode, it.ExitCode);
@@ -44,15 +44,15 @@
     R"("reachable":true}]})";
 
 INSTANTIATE_TEST_SUITE_P(
-    Stories, ReportTest,
+    Replies, ReportTest,
     testing::Values(
         ReportCase{"Status", reportStatus, {reply(1, Status)}, 0, "vm-2"},
-        ReportCase{"PartlySilent",
+        ReportCase{"SomeUnreachable",
                    reportStatus,
                    {reply(1, Status), unreachable(2)},
                    ExitCodes::Partial,
                    "127.0.0.1:2 is unreachable"},
-        ReportCase{"AllSilent",
+        ReportCase{"AllUnreachable",
                    reportServers,
                    {unreachable(1)},
                    ExitCodes::NoneAnswered,
@@ -63,7 +63,7 @@
                    {reply(1, R"({"servers":[3,{"id":5}]})")},
                    0,
                    "5"},
-        ReportCase{"OwnersWordWins",
+        ReportCase{"OwnerTakesPrecedence",
                    reportServers,
                    {reply(1, R"({"servers":[{"id":"b","owner":"old"}]})"),
                     reply(2, R"({"servers":[{"id":"b","owned":true,)"
@@ -89,7 +89,7 @@
                    "vm-2: not in force"}),
     [](const auto &info) { return info.param.Name; });
 
-TEST(TicketCommandsTest, TellsWhatATicketWouldChange) {
+TEST(TicketCommandsTest, ReportsChangesOfATicket) {
   const std::string current =
       R"({"objects":[{"kind":"domain","id":"bern-a","ticket":3,)"
       R"("state":{"region":"r","in_service":true}}]})";
