--- a/Balsamrack/Platform/HttpPlatformLink.cpp
+++ b/Balsamrack/Platform/HttpPlatformLink.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr Duration ConnectTimeout{1'000'000};
-constexpr Duration AnswerTimeout{2'000'000}; ///< On top of the wait asked for.
+constexpr Duration AnswerTimeout{2'000'000}; ///< Added to the requested wait.
 constexpr uint32_t HttpOk = 200;
 
 class HttpPlatformLink final : public PlatformLink {
--- a/Balsamrack/Platform/PlatformLink.h
+++ b/Balsamrack/Platform/PlatformLink.h
@@ -12,38 +12,37 @@
 
 namespace balsamrack {
 
-/// Answer of the platform to a read or watch of tickets.
+/// Response of the platform to a read or watch of tickets.
 struct TicketPage {
-  TicketNumber
-      Highest; ///< Highest ticket that this replica of the platform knows.
+  TicketNumber Highest; ///< Highest ticket known to the responding replica.
   std::vector<std::string> Tickets; ///< JSON text of each ticket above the
-                                    ///< number asked for, lowest first.
+                                    ///< requested number, lowest first.
 };
 
-/// Answer of the platform to a read or watch of the VM list.
+/// Response of the platform to a read or watch of the VM list.
 struct VmPage {
-  uint64_t Version = 0; ///< Rises with each change of the list.
+  uint64_t Version = 0; ///< Increases with each change of the list.
   std::vector<EntryVm>
-      Vms; ///< The list; it lags, and lists the dead for a while.
+      Vms; ///< The list; it lags, and still contains dead VMs for a while.
 };
 
-/// Reads and watches the platform; each call counts against its read limit.
+/// Reads and watches the platform; each call counts towards its read limit.
 class PlatformLink {
 public:
   virtual ~PlatformLink() = default;
-  /// Tickets above \p after; waits up to \p wait for one to appear. Blocks.
-  /// Error (step read-platform) when the platform is down, answers too late, or
-  /// sends what is no ticket page. Thread-safe.
+  /// Reads the tickets above \p after; waits up to \p wait for one to appear.
+  /// Blocks. Error (step read-platform) when the platform is down, responds too
+  /// late, or sends no valid ticket page. Thread-safe.
   virtual absl::StatusOr<TicketPage> readTickets(TicketNumber after,
                                                  Duration wait) = 0;
-  /// The VM list, once its version is above \p after or \p wait has passed.
-  /// Blocks. Errors as above. Thread-safe.
+  /// Reads the VM list as soon as its version is above \p after or \p wait has
+  /// passed. Blocks. Errors as above. Thread-safe.
   virtual absl::StatusOr<VmPage> readVms(uint64_t after, Duration wait) = 0;
-  /// Ends waiting calls with kCancelled. Idempotent. Thread-safe.
+  /// Cancels waiting calls with kCancelled. Idempotent. Thread-safe.
   virtual void stop() = 0;
 };
 
-/// Makes the HTTP link to the platform at \p at. Thread-safe.
+/// Creates the HTTP link to the platform at \p at. Thread-safe.
 std::unique_ptr<PlatformLink> createHttpPlatformLink(const Address &at);
 
 } // namespace balsamrack
--- a/Balsamrack/Platform/PlatformPages.cpp
+++ b/Balsamrack/Platform/PlatformPages.cpp
@@ -21,7 +21,7 @@
                    what);
 }
 
-/// Parses a JSON object without deep nesting.
+/// Parses a JSON object of limited nesting depth.
 absl::StatusOr<json> parsePage(const std::string &text) {
   if (text.size() > MaxPlatformPageBytes)
     return pageError("page too large");
@@ -57,9 +57,9 @@
   return v;
 }
 
-/// Cuts the objects out of the array at the root's member "tickets", as they
-/// stand in the text. The text is known to be valid JSON, so that only strings
-/// and brackets need be told apart.
+/// Extracts the source text of the objects in the array at the root's member
+/// "tickets". The text is known to be valid JSON, so only strings and brackets
+/// have to be recognized.
 class ObjectExtractor {
 public:
   explicit ObjectExtractor(const std::string &text) : Text(text) {}
@@ -105,9 +105,9 @@
 
   const std::string &Text;
   size_t At = 0;
-  size_t ObjectStart = 0; ///< Of the object that is being passed.
+  size_t ObjectStart = 0; ///< Start of the current object.
   int Depth = 0;
-  std::string LastString; ///< Last name or string of the root object.
+  std::string LastString; ///< Last member name or string of the root object.
   std::vector<std::string> Objects;
 };
 
@@ -140,10 +140,11 @@
   if (!highest.ok() || !list.ok())
     return highest.ok() ? list.status() : highest.status();
   TicketPage result{{*highest}, ObjectExtractor(text).extract()};
-  // Differs when an element is no object, or when the page has two members of
-  // that name.
+  // Differs when an element is not an object, or when the page has two members
+  // of that name.
   if (result.Tickets.size() != (*list)->size())
-    return pageError("tickets holds what is no object");
+    return pageError(
+        "tickets occurs twice or has an element that is not an object");
   for (const std::string &ticket : result.Tickets)
     if (ticket.size() > MaxPlatformValueBytes)
       return pageError("ticket too large");
--- a/Balsamrack/Platform/PlatformPages.h
+++ b/Balsamrack/Platform/PlatformPages.h
@@ -9,20 +9,19 @@
 
 namespace balsamrack {
 
-/// Largest value that the platform holds, such as one ticket, in bytes.
+/// Size limit of a value in the platform, such as a ticket, in bytes.
 constexpr size_t MaxPlatformValueBytes = size_t(1) << 20;
 
-/// Largest page that is read, in bytes: several values.
+/// Size limit of a page, which holds several values, in bytes.
 constexpr size_t MaxPlatformPageBytes = size_t(16) << 20;
 
-/// Reads the answer to a read of tickets. Each ticket's text is kept as the
-/// platform sent it, byte for byte; its content is not looked at. Error
-/// kInvalidArgument (step read-platform) when it is no ticket page.
-/// Thread-safe.
+/// Decodes the response to a read of tickets. The text of each ticket is kept
+/// byte for byte; its content is not checked. Error kInvalidArgument (step
+/// read-platform) when it is not a valid ticket page. Thread-safe.
 absl::StatusOr<TicketPage> decodeTicketPage(const std::string &text);
 
-/// Reads the answer to a read of the VM list. Error as above when it is no VM
-/// page, or one of its entries can't be read. Thread-safe.
+/// Decodes the response to a read of the VM list. Error as above when it is not
+/// a valid VM page, or one of its entries is invalid. Thread-safe.
 absl::StatusOr<VmPage> decodeVmPage(const std::string &text);
 
 } // namespace balsamrack
--- a/UnitTests/Platform/HttpPlatformLinkTest.cpp
+++ b/UnitTests/Platform/HttpPlatformLinkTest.cpp
@@ -12,7 +12,7 @@
 namespace balsamrack {
 namespace {
 
-TEST(HttpPlatformLinkTest, AsksAndReads) {
+TEST(HttpPlatformLinkTest, ReadsTicketsAndVms) {
   std::string received;
   ScriptedServer server([&](RawConnection c, int) {
     received = c.readMessage();
@@ -66,19 +66,19 @@
                  absl::StatusCode::kInvalidArgument}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-TEST(HttpPlatformLinkTest, DownIsUnavailable) {
+TEST(HttpPlatformLinkTest, RefusedConnectionIsUnavailable) {
   ReservedPort closedPort;
   auto got = createHttpPlatformLink(closedPort.at())->readVms(0, Duration(0));
   EXPECT_EQ(got.status().code(), absl::StatusCode::kUnavailable);
 }
 
-TEST(HttpPlatformLinkTest, SilenceEndsAfterTheWaitAndTwoSeconds) {
+TEST(HttpPlatformLinkTest, TimesOutTwoSecondsAfterTheWait) {
   ScriptedServer server([](RawConnection c, int) { c.readToEnd(); });
   auto got = createHttpPlatformLink(server.at())->readVms(0, Duration(0));
   EXPECT_EQ(got.status().code(), absl::StatusCode::kDeadlineExceeded);
 }
 
-TEST(HttpPlatformLinkTest, StopEndsAWaitingWatch) {
+TEST(HttpPlatformLinkTest, StopCancelsAWaitingRead) {
   std::atomic<int> entered{0};
   ScriptedServer server([&](RawConnection c, int) {
     c.readMessage();
--- a/UnitTests/Platform/PlatformPagesTest.cpp
+++ b/UnitTests/Platform/PlatformPagesTest.cpp
@@ -8,7 +8,7 @@
 namespace balsamrack {
 namespace {
 
-TEST(PlatformPagesTest, TicketTextsStayAsTheyAre) {
+TEST(PlatformPagesTest, KeepsTicketTextsUnchanged) {
   const std::string first = R"({ "ticket": 7, "x": "}]\"{[", "a":[{}], "a":1})";
   const std::string second = R"({"ticket":8})";
   auto page =
@@ -46,10 +46,10 @@
 
 class EachBadPage : public testing::TestWithParam<BadPage> {};
 
-// Story: the platform is behind a proxy that answers with an error page, or a
-// stray write garbles a value. The daemon keeps what it holds and says what was
-// wrong; a page read by half would look like deleted VMs.
-TEST_P(EachBadPage, IsRefusedWithAReason) {
+// Guards against error pages of a proxy in front of the platform and against
+// corrupt values. The daemon keeps its state and reports the error; a partly
+// read page would look like deleted VMs.
+TEST_P(EachBadPage, IsRejectedWithAReason) {
   auto tickets = decodeTicketPage(GetParam().Text);
   auto vms = decodeVmPage(GetParam().Text);
   ASSERT_FALSE(tickets.ok());
@@ -76,9 +76,11 @@
         BadPage{"NoHighest", R"({"tickets":[]})", "highest"},
         BadPage{"NegativeHighest", R"({"highest":-1,"tickets":[]})", "highest"},
         BadPage{"TicketsAMap", R"({"highest":1,"tickets":{}})", "tickets"},
-        BadPage{"TicketANumber", R"({"highest":1,"tickets":[1]})", "no object"},
+        BadPage{"TicketANumber", R"({"highest":1,"tickets":[1]})",
+                "not an object"},
         BadPage{"TicketsTwice",
-                R"({"highest":1,"tickets":[{}],"tickets":[{}]})", "no object"},
+                R"({"highest":1,"tickets":[{}],"tickets":[{}]})",
+                "not an object"},
         BadPage{"HugeTicket",
                 R"({"highest":1,"tickets":[{"a":")" +
                     std::string(MaxPlatformValueBytes, 'x') + "\"}]}",
@@ -97,7 +99,7 @@
                 "neither"}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-TEST(PlatformPagesTest, MutantsNeverCrash) {
+TEST(PlatformPagesTest, MutatedPagesNeverCrash) {
   const std::string pages[] = {
       R"({"highest": 8, "tickets": [{"ticket": 7, "objects": [{"a": "\u00e9"}]},
       {"ticket": 8}]})",
