--- a/Programs/balsamctl.cpp
+++ b/Programs/balsamctl.cpp
@@ -1,4 +1,4 @@
-// balsamctl: the operators' client. Asks all daemons and prints one answer.
+// balsamctl: the operators' client. Queries all daemons and prints one report.
 
 #include <chrono>
 #include <cstdlib>
@@ -18,13 +18,13 @@
 namespace balsamrack {
 namespace {
 
-/// Between two questions while waiting for a ticket to be in force.
+/// Time between two requests while waiting for a ticket to be in force.
 constexpr std::chrono::milliseconds PollInterval{100};
 
 /// One parsed command line, without the subcommand.
 struct CommandLine {
   std::vector<std::string> Arguments; ///< Positional arguments.
-  std::vector<Address> Daemons;       ///< Whom to ask.
+  std::vector<Address> Daemons;       ///< Operators' ports to query.
   OutputFormat Format = OutputFormat::Text;
   Duration Timeout{2'000'000};
   Duration Wait{0};
@@ -35,10 +35,10 @@
   }
 };
 
-/// A subcommand: its words, its help, and what it does.
+/// A subcommand with its arguments, help text and function.
 struct Command {
-  const char *Name;                               ///< "explain".
-  const char *ArgumentSyntax;                     ///< "KIND ID".
+  const char *Name;                               ///< Such as "explain".
+  const char *ArgumentSyntax;                     ///< Such as "KIND ID".
   size_t ArgumentCount;                           ///< Number of arguments.
   const char *Help;                               ///< One sentence.
   std::function<Report(const CommandLine &)> Run; ///< Runs it.
@@ -48,7 +48,7 @@
   return {"", ExitCodes::Usage, "balsamctl: " + message + "\n"};
 }
 
-/// Asks all daemons one question and reports with \p print.
+/// Sends one request to all daemons and reports with \p makeReport.
 Report ask(const CommandLine &line, const std::string &path,
            const OperatorClient::Query &query,
            Report (*makeReport)(const std::vector<DaemonReply> &,
@@ -69,7 +69,8 @@
              reportDecisions);
 }
 
-/// Asks again until the ticket is in force everywhere or the wait is over.
+/// Repeats the request until the ticket is in force on all daemons or the wait
+/// has passed.
 Report waitUntilInForce(const CommandLine &line) {
   const auto deadline = std::chrono::steady_clock::now() + line.Wait;
   for (;;) {
@@ -190,7 +191,8 @@
   return nullptr;
 }
 
-/// Fills \p line from the parsed options; returns what is wrong, if anything.
+/// Fills \p line from the parsed options; returns an error message, or an empty
+/// string.
 std::string parseOptions(const cxxopts::ParseResult &parsed,
                          CommandLine &line) {
   const std::string format = parsed["output"].as<std::string>();
@@ -217,7 +219,7 @@
 }
 
 int run(int argc, char **argv) {
-  // The first word that is no option names the subcommand.
+  // The first positional argument names the subcommand.
   cxxopts::ParseResult parsed = makeOptions(nullptr).parse(argc, argv);
   if (parsed.count("version")) {
     std::cout << "balsamctl " << BALSAMRACK_VERSION << "\n";
@@ -238,7 +240,7 @@
     return ExitCodes::Good;
   }
 
-  // Read the rest and run it.
+  // Parses the remaining arguments and runs the subcommand.
   CommandLine line;
   line.Arguments.assign(words.begin() + 1, words.end());
   if (line.Arguments.size() != command->ArgumentCount)
@@ -255,7 +257,7 @@
 } // namespace balsamrack
 
 int main(int argc, char **argv) {
-  // cxxopts tells wrong usage by exceptions.
+  // cxxopts reports invalid usage by exceptions.
   try {
     return balsamrack::run(argc, argv);
   } catch (const std::exception &error) {
--- a/Programs/balsamrack-packetd.cpp
+++ b/Programs/balsamrack-packetd.cpp
@@ -1,5 +1,5 @@
-// balsamrack-packetd: the daemon of an entry VM on a packet carrier. A thin
-// main over the library and the platform's folder.
+// balsamrack-packetd: the packet daemon of an entry VM. A thin main function
+// over the library and the platform folder.
 
 #include <csignal>
 #include <iostream>
@@ -16,14 +16,14 @@
 namespace balsamrack {
 namespace {
 
-/// Exit codes, told by --help.
+/// Exit codes, documented by --help.
 constexpr int Good = 0;
 constexpr int Failed = 1;
 constexpr int BadSettings = 2;
 
-/// The settings file may change without a signal; it is looked at so often.
+/// Time between checks of the settings file, which may change without a signal.
 constexpr Duration FileCheckPeriod{1'000'000};
-/// Between tries to start.
+/// Delay before another attempt to start.
 constexpr Duration StartRetryDelay{200'000};
 constexpr int StandardOutput = 1;
 
@@ -44,13 +44,14 @@
   return all;
 }
 
-/// The settings file, read again and again. Bad content never replaces good.
+/// The settings file, which is read repeatedly. Invalid content never replaces
+/// valid content.
 class SettingsFile {
 public:
   SettingsFile(std::string path, EventLog &log)
       : Path(std::move(path)), Log(log) {}
 
-  /// Reads the file; true when it has new, good content.
+  /// Reads the file; true when it has new, valid content.
   bool readIfChanged() {
     auto text = readSettingsText(Path);
     if (!text.ok()) {
@@ -74,7 +75,7 @@
   const PacketSettings &values() const { return Values; }
 
 private:
-  /// Once for each kind of trouble, not at each look.
+  /// Logs an error once, not at each attempt.
   void reportUnreadable(const std::string &text, const std::string &error) {
     if (error == LastReadError)
       return;
@@ -101,8 +102,8 @@
   auto log = EventLog::create(EventLogSettings(), StandardOutput, clock);
   log->write(LogLine(Component::Daemon, Severity::Info, "started")
                  .text("version", BALSAMRACK_VERSION));
-  // A bad file at the start is waited out: an exit would only bring the same
-  // file again.
+  // An invalid file at startup is not fatal: a restart would only find the same
+  // file.
   SettingsFile file(path, *log);
   while (!file.readIfChanged())
     if (isTerminationSignal(signals.wait(FileCheckPeriod)))
@@ -115,8 +116,8 @@
     return Failed;
   }
   auto daemon = PacketDaemon::create(settings, {codec, **source, clock, *log});
-  // An address may be held for a moment by the run before. An exit would only
-  // bring the same start again, later.
+  // The previous run may still hold an address for a moment. A restart would
+  // only repeat the same attempt later.
   while (!daemon.ok()) {
     log->write(LogLine(Component::Daemon, Severity::Error, "not-started")
                    .text("error", describe(daemon.status())));
@@ -182,7 +183,7 @@
 } // namespace balsamrack
 
 int main(int argc, char **argv) {
-  // cxxopts tells wrong usage by exceptions.
+  // cxxopts reports invalid usage by exceptions.
   try {
     return balsamrack::run(argc, argv);
   } catch (const std::exception &error) {
--- a/Programs/balsamrack-replay.cpp
+++ b/Programs/balsamrack-replay.cpp
@@ -1,5 +1,5 @@
-// balsamrack-replay: runs recorded traces through the core and compares what it
-// does with stated outcomes.
+// balsamrack-replay: replays recorded traces through the core and compares the
+// actions with the expected ones.
 
 #include <fstream>
 #include <iostream>
@@ -12,7 +12,7 @@
 namespace balsamrack {
 namespace {
 
-/// Exit codes, told by --help.
+/// Exit codes, documented by --help.
 constexpr int Same = 0;
 constexpr int Different = 1;
 constexpr int BadUsage = 2;
@@ -29,7 +29,7 @@
   return lines;
 }
 
-/// Actions of one trace; an error names the line.
+/// Actions of one trace; an error contains the line number.
 absl::StatusOr<std::vector<std::string>> replay(const std::string &path) {
   const auto lines = readLines(path);
   if (!lines.ok())
@@ -108,7 +108,7 @@
 } // namespace balsamrack
 
 int main(int argc, char **argv) {
-  // cxxopts tells wrong usage by exceptions.
+  // cxxopts reports invalid usage by exceptions.
   try {
     return balsamrack::run(argc, argv);
   } catch (const std::exception &error) {
--- a/Programs/balsamrackd.cpp
+++ b/Programs/balsamrackd.cpp
@@ -1,4 +1,5 @@
-// balsamrackd: the daemon of an entry VM. A thin main over the library.
+// balsamrackd: the daemon of an entry VM. A thin main function over the
+// library.
 
 #include <csignal>
 #include <iostream>
@@ -11,7 +12,7 @@
 namespace balsamrack {
 namespace {
 
-/// Exit codes, told by --help.
+/// Exit codes, documented by --help.
 constexpr int Good = 0;
 constexpr int Failed = 1;
 constexpr int BadSettings = 2;
@@ -32,7 +33,7 @@
   return all;
 }
 
-/// Runs until a signal asks for the end.
+/// Runs until a signal requests shutdown.
 int serve(const Settings &settings, const sigset_t &signals) {
   SystemClock clock;
   auto daemon = Daemon::create(settings, clock);
@@ -79,7 +80,8 @@
     return Good;
   }
 
-  // All threads inherit the mask, so that only sigwait() sees these signals.
+  // All threads inherit the signal mask, so only sigwait() receives these
+  // signals.
   sigset_t signals;
   sigemptyset(&signals);
   for (int it : {SIGTERM, SIGINT, SIGHUP})
@@ -93,7 +95,7 @@
 } // namespace balsamrack
 
 int main(int argc, char **argv) {
-  // cxxopts tells wrong usage by exceptions.
+  // cxxopts reports invalid usage by exceptions.
   try {
     return balsamrack::run(argc, argv);
   } catch (const std::exception &error) {
