--- a/UnitTests/UsersPlatform/EchoPacketsTest.cpp
+++ b/UnitTests/UsersPlatform/EchoPacketsTest.cpp
@@ -17,13 +17,13 @@
                        0x12, 0xc6, 0x41, 0x9c, 0xbb, 0x01, 0x07, 0x00,
                        0x40, 0x64, 0,    0,    0,    0,    0x02, 0x44,
                        0x33, 0x22, 0x11, 0,    0,    0,    0};
-/// The reset that answers it.
+/// The reset in reply to it.
 const Bytes Reset = {0,    0,    0,    0,    0,    0,    0x07, 0x00,
                      0x40, 0x64, 0xbb, 0x01, 0x41, 0x9c, 0x01, 0x00,
                      0x12, 0xc6, 0,    0,    0,    0,    0x08, 0,
                      0,    0,    0,    0,    0,    0,    0};
 
-TEST(EchoPacketsTest, ReadsAnOpening) {
+TEST(EchoPacketsTest, DecodesAnOpening) {
   auto head = EchoPackets().decode(Opening.data(), Opening.size());
   ASSERT_TRUE(head);
   EXPECT_EQ(head->Flow.Caller.str(), "100.64.0.7:40001");
@@ -33,7 +33,7 @@
   EXPECT_EQ(head->CopyNumber, 0);
 }
 
-TEST(EchoPacketsTest, KnowsTheNumberOfACopy) {
+TEST(EchoPacketsTest, DecodesTheCopyNumber) {
   Bytes copy = Opening;
   copy[27] = 2;
   auto head = EchoPackets().decode(copy.data(), copy.size());
@@ -50,7 +50,7 @@
   EXPECT_EQ(out, Reset);
 }
 
-TEST(EchoPacketsTest, AResetOfAFlowStandsAtTheCallersAcknowledgement) {
+TEST(EchoPacketsTest, ResetUsesTheAcknowledgedSequence) {
   EchoPackets codec;
   Bytes packet = Opening;
   packet[22] = 32;
@@ -64,7 +64,7 @@
   EXPECT_EQ(out[24], 0x56);
 }
 
-TEST(EchoPacketsTest, WritesTokenAndTagInTheirOrders) {
+TEST(EchoPacketsTest, WritesTokenAndTagInTheirByteOrder) {
   EchoPackets codec;
   Bytes packet = Opening;
   codec.writeToken(packet.data(), 0x01020304);
@@ -85,7 +85,7 @@
 
 class EachBadEchoPacket : public testing::TestWithParam<BadPacket> {};
 
-TEST_P(EachBadEchoPacket, IsNotRead) {
+TEST_P(EachBadEchoPacket, IsRejected) {
   Bytes packet = Opening;
   packet.resize(GetParam().Bytes);
   if (packet.size() > 22)
@@ -108,8 +108,9 @@
                     BadPacket{"OpensAndResets", 31, 2 | 8, 0}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-// Random bytes are either refused or a head that can be answered.
-TEST(EchoPacketsTest, AnyBytesAreSafe) {
+// Random bytes are either rejected or decoded to a header that a reset can
+// reply to.
+TEST(EchoPacketsTest, RandomBytesAreSafe) {
   SeededRandom random(1);
   EchoPackets codec;
   for (int i = 0; i < 20000; ++i) {
--- a/UnitTests/UsersPlatform/StorePagesTest.cpp
+++ b/UnitTests/UsersPlatform/StorePagesTest.cpp
@@ -28,7 +28,7 @@
                       more ? "true" : "false", R"(,"asOf":530})");
 }
 
-/// A route's kind of request as published, and whether it may run again.
+/// The published request type of a route, and whether it is idempotent.
 struct RequestKind {
   const char *Name;
   const char *Field;
@@ -37,7 +37,7 @@
 
 class EachRequestKind : public testing::TestWithParam<RequestKind> {};
 
-TEST_P(EachRequestKind, SaysWhetherItMayRunAgain) {
+TEST_P(EachRequestKind, SetsIdempotent) {
   size_t unreadable = 0;
   std::string route =
       absl::StrCat(R"({"host":"198.18.0.1","prefix":"/8080/","service":"huvo")",
@@ -68,7 +68,7 @@
                     RequestKind{"NotGiven", "", false}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-TEST(StorePagesTest, ReadsAServer) {
+TEST(StorePagesTest, DecodesAServer) {
   size_t unreadable = 0;
   auto page = decodeListing(
       Servers, listing(item("servers/i-7f3a91c2", GoodServer, 12), true),
@@ -91,7 +91,7 @@
   EXPECT_EQ(server.Born, 1700000000000U);
 }
 
-TEST(StorePagesTest, ReadsConfigurationAndDomainsThatAreOut) {
+TEST(StorePagesTest, DecodesConfigurationAndDomainsOutOfService) {
   size_t unreadable = 0;
   auto page = decodeListing(Operators,
                             listing(item("op/config", GoodConfiguration, 3) +
@@ -123,9 +123,9 @@
 
 class EachBadStoreEntry : public testing::TestWithParam<BadEntry> {};
 
-// Story: another writer's entry stands among the servers. It names no server to
-// use, and the others hold.
-TEST_P(EachBadStoreEntry, NamesNoServerAndSpoilsNothing) {
+// Guards against an invalid entry of another writer among the servers: it is
+// treated as deleted, and the other entries are not affected.
+TEST_P(EachBadStoreEntry, IsSkippedWithoutAffectingOthers) {
   size_t unreadable = 0;
   auto page = decodeListing(Servers,
                             listing(item("servers/i-1", GetParam().Value, 5) +
@@ -182,9 +182,9 @@
                             R"({"items":{},"events":{},"asOf":3})"}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-// Story: an operator's tool writes half a configuration. The last good one
-// stays in force.
-TEST(StorePagesTest, ABadConfigurationIsPassedOver) {
+// Guards against a partly written configuration: the last valid one stays in
+// force.
+TEST(StorePagesTest, InvalidConfigurationIsIgnored) {
   for (
       const std::string &bad :
       {std::string("{\"version\":8}"), std::string("{"),
@@ -202,7 +202,7 @@
   }
 }
 
-TEST(StorePagesTest, ReadsWhatWasDeleted) {
+TEST(StorePagesTest, DecodesDeletions) {
   size_t unreadable = 0;
   auto changes = decodeWatch(
       Servers, {411},
@@ -215,8 +215,8 @@
   EXPECT_EQ(changes->UpTo, Revision{413});
 }
 
-// Any change of a good page is read or refused, and never crashes.
-TEST(StorePagesTest, MutantsAreSafe) {
+// Any mutation of a valid page is either decoded or rejected, without a crash.
+TEST(StorePagesTest, MutatedPagesAreSafe) {
   SeededRandom random(3);
   std::string good = listing(item("servers/i-7f3a91c2", GoodServer, 12) + "," +
                              item("servers/i-8", GoodServer, 13));
