--- a/Balsamrack/Peers/CborValidation.cpp
+++ b/Balsamrack/Peers/CborValidation.cpp
@@ -24,9 +24,9 @@
 constexpr uint64_t FirstSimple = 20; // false
 constexpr uint64_t LastSimple = 22;  // null
 
-/// Walks over one item without recursion: the library's parser recurses for
-/// each level, so that a frame of millions of nested arrays would overflow the
-/// stack before it could report an error.
+/// Checks one item iteratively: the library's parser recurses for each level,
+/// so a frame of millions of nested arrays would overflow the stack before an
+/// error could be reported.
 class CborValidator {
 public:
   CborValidator(const std::string &bytes, const CborLimits &limits)
@@ -56,7 +56,9 @@
   }
   size_t remainingBytes() const { return Input.size() - Offset; }
 
-  /// Reads the value that follows the head byte's low five bits.
+  /// Reads the argument of the initial byte (RFC 8949, section 3): \p
+  /// additionalInfo itself or the bytes that follow it. Returns false if it is
+  /// truncated or of indefinite length.
   bool readArgument(uint8_t additionalInfo, uint64_t &out) {
     out = additionalInfo;
     if (additionalInfo <= LargestInlineValue)
@@ -73,8 +75,8 @@
   }
 
   absl::Status openContainer(uint64_t count) {
-    // Each value takes at least a byte, so a larger count is a lie that would
-    // only make the parser reserve memory.
+    // Each value takes at least one byte, so a larger count is invalid and
+    // would only make the parser reserve memory.
     if (count > remainingBytes())
       return fault("truncated");
     if (OpenLevels.size() > Limits.MaxDepth)
@@ -120,9 +122,9 @@
 
   const std::string &Input;
   const CborLimits &Limits;
-  std::vector<uint64_t> OpenLevels; ///< Values still to come, by open level.
+  std::vector<uint64_t> OpenLevels; ///< Remaining values of each open level.
   size_t Offset = 0;                ///< Offset of the next byte.
-  size_t ItemCount = 0;             ///< Values seen.
+  size_t ItemCount = 0;             ///< Values read so far.
 };
 
 } // namespace
--- a/Balsamrack/Peers/DatagramTransport.cpp
+++ b/Balsamrack/Peers/DatagramTransport.cpp
@@ -18,11 +18,14 @@
 
 namespace {
 
-/// First bytes of each datagram; a later layout gets another one.
+/// First bytes of each datagram; identifies the layout. A changed layout needs
+/// another value.
 constexpr uint32_t Magic = 0x62726431;
-/// Magic, message number, piece number, number of pieces.
+/// Size of the header: magic, message number, fragment index and fragment
+/// count.
 constexpr size_t HeaderBytes = 12;
-/// A burst of a whole configuration to a domain fits in.
+/// Socket buffer size; holds the burst of a whole configuration sent to a
+/// failure domain.
 constexpr int SocketBufferBytes = 512 * 1024;
 
 void put16(char *out, uint16_t v) {
@@ -115,8 +118,8 @@
     socklen_t length = sizeof source;
     ssize_t n = recvfrom(Fd, in.data(), in.size(), 0,
                          reinterpret_cast<sockaddr *>(&source), &length);
-    // An error of an earlier send (nobody listens there) is told here; what
-    // waits behind it is read by the next call.
+    // This may be the error of an earlier send (no process listens there).
+    // Datagrams queued behind it are read by the next call.
     if (n < 0)
       return;
     ++Counters.DatagramsReceived;
--- a/Balsamrack/Peers/DatagramTransport.h
+++ b/Balsamrack/Peers/DatagramTransport.h
@@ -17,10 +17,10 @@
 
 namespace balsamrack {
 
-/// Messages of one type, and their bytes without heads of datagrams.
+/// Number of messages of one type and their bytes, without datagram headers.
 struct MessageCount {
-  uint64_t Messages = 0; ///< Each receiver counts.
-  uint64_t Bytes = 0;    ///< As encoded.
+  uint64_t Messages = 0; ///< One for each receiver.
+  uint64_t Bytes = 0;    ///< Encoded size.
 
   /// Adds one message of \p bytes.
   void add(size_t bytes) {
@@ -28,68 +28,70 @@
     Bytes += bytes;
   }
 };
-/// By index in the PeerMessage variant.
+/// Message counts by index in the PeerMessage variant.
 using MessageCounts =
     std::array<MessageCount, std::variant_size_v<PeerMessage>>;
 
-/// Counts of a DatagramPeers since its start.
+/// Counters of a DatagramTransport since its start.
 struct DatagramCounters {
-  uint64_t BytesSent = 0;         ///< Payload of datagrams.
-  uint64_t BytesReceived = 0;     ///< As above.
+  uint64_t BytesSent = 0;         ///< Payload bytes of sent datagrams.
+  uint64_t BytesReceived = 0;     ///< Payload bytes of received datagrams.
   uint64_t DatagramsSent = 0;     ///< Datagrams.
   uint64_t DatagramsReceived = 0; ///< As above.
-  uint64_t Malformed = 0;    ///< Datagrams or messages that could not be read.
-  uint64_t SendFailures = 0; ///< Datagrams that the system did not take.
-  MessageCounts SentByType;  ///< Messages sent, by type.
-  MessageCounts ReceivedByType; ///< Whole messages that came in, by type.
+  uint64_t Malformed = 0; ///< Datagrams or messages that could not be decoded.
+  uint64_t SendFailures = 0;    ///< Datagrams rejected by the operating system.
+  MessageCounts SentByType;     ///< Messages sent, by type.
+  MessageCounts ReceivedByType; ///< Complete messages received, by type.
 };
 
-/// Carries messages between daemons as UDP datagrams; a long message goes in
-/// pieces. A lost piece loses its message: everything sent this way is repeated
-/// until it is known to have arrived. Datagrams rather than connections, since
-/// a daemon says a few hundred bytes a second to peers that change all the
-/// time, and a connection that falls silent holds up what is said next on it.
-/// Not thread-safe.
+/// Carries messages between daemons as UDP datagrams. Long messages are split
+/// into fragments; when a fragment is lost, so is its message. Everything sent
+/// this way is repeated until its arrival is confirmed. Datagrams are used
+/// instead of connections because a daemon sends a few hundred bytes per second
+/// to peers that change all the time, and a stalled connection delays all later
+/// messages on it. Not thread-safe.
 class DatagramTransport {
 public:
-  /// Bytes of a message in one datagram: fits a usual link's 1,500.
+  /// Maximum message bytes per datagram; fits the usual MTU of 1,500 bytes.
   static constexpr size_t MaxFragmentBytes = 1'400;
-  /// Pieces of one message: 700 KB, more than any configuration we know.
+  /// Maximum fragments per message: 700 KB, larger than any known
+  /// configuration.
   static constexpr size_t MaxFragments = 512;
-  /// Messages that are being put together; the oldest gives way.
+  /// Maximum number of messages in reassembly; the oldest is dropped first.
   static constexpr size_t MaxPartialMessages = 16;
 
-  /// Called for each message that came in, with its sender's address.
+  /// Called for each received message with the address of its sender.
   using MessageHandler =
       std::function<void(const Address &from, PeerMessage message)>;
 
-  /// Opens the socket at \p at. Error (step listen, peer ip:port) when the
-  /// address is taken or not ours. Thread-safe.
+  /// Opens the socket at \p at. Error (step listen, peer ip:port) if the
+  /// address is in use or not local. Thread-safe.
   static absl::StatusOr<std::unique_ptr<DatagramTransport>>
   open(const Address &at);
   DatagramTransport(const DatagramTransport &) = delete;
   DatagramTransport &operator=(const DatagramTransport &) = delete;
   ~DatagramTransport();
 
-  /// Readable when receive() has something.
+  /// Readable when receive() has datagrams to read.
   int fd() const { return Fd; }
-  /// Sends \p message. Error (step send-to-peer) when it is too long or the
-  /// system does not take it; ok promises nothing about arrival.
+  /// Sends \p message. Error (step send-to-peer) if it is too long or the
+  /// operating system rejects it. Success does not imply delivery.
   absl::Status send(const Address &to, const PeerMessage &message);
-  /// Sends \p message to each of \p to; it is encoded once. The first error, as
-  /// of send(); the others get it all the same.
+  /// Sends \p message, encoded once, to each of \p to. Returns the first error,
+  /// as send() does; the remaining receivers are still sent to.
   absl::Status sendAll(const std::vector<Address> &to,
                        const PeerMessage &message);
-  /// Takes in all that waits.
+  /// Receives all queued datagrams and passes each complete message to \p
+  /// handler.
   void receive(const MessageHandler &handler);
-  /// What it has carried so far.
+  /// Counters since the start.
   const DatagramCounters &counters() const { return Counters; }
 
 private:
-  /// A message of which some pieces are here.
+  /// A message of which some fragments have been received.
   struct PartialMessage {
-    uint64_t ArrivalOrder = 0;    ///< Order of arrival.
-    size_t ReceivedFragments = 0; ///< Pieces that have come.
+    uint64_t ArrivalOrder = 0;    ///< Order of the first fragments.
+    size_t ReceivedFragments = 0; ///< Number of received fragments.
     std::vector<std::string> Fragments;
   };
   using PartialKey = std::pair<Address, uint32_t>;
@@ -105,7 +107,7 @@
 
   const int Fd;
   uint32_t LastMessageNumber = 0;    ///< Number of the last message sent.
-  uint64_t PartialMessagesBegun = 0; ///< Counts messages begun.
+  uint64_t PartialMessagesBegun = 0; ///< Partial messages started.
   std::map<PartialKey, PartialMessage> PartialMessages;
   DatagramCounters Counters;
 };
--- a/Balsamrack/Peers/FieldArchive.h
+++ b/Balsamrack/Peers/FieldArchive.h
@@ -16,11 +16,11 @@
 
 namespace balsamrack {
 
-/// Writes the fields of a message into a CBOR map. A zero, false or empty field
-/// is left out, which keeps control traffic small. Not thread-safe.
+/// Writes the fields of a message into a CBOR map. Zero, false and empty fields
+/// are omitted to keep control traffic small. Not thread-safe.
 class FieldWriter {
 public:
-  /// How a field function takes its message.
+  /// Parameter type of a fields() function.
   template <class T> using Ref = const T &;
   static constexpr bool Reads = false;
 
@@ -34,7 +34,7 @@
     if (!isDefault(v))
       Out[name] = std::move(v);
   }
-  /// Writes an enum of which \p last is the highest value.
+  /// Writes an enum; \p last is its highest enumerator.
   template <class E> void oneOf(const char *name, const E &field, E) {
     (*this)(name, static_cast<uint32_t>(field));
   }
@@ -43,7 +43,7 @@
     if (!field.empty())
       Out[name] = byteString(field);
   }
-  /// Writes header fields as byte strings, names and values in turn.
+  /// Writes header fields as byte strings, alternating names and values.
   void headers(const char *name, const HeaderList &field) {
     nlohmann::json list = nlohmann::json::array();
     for (const auto &[key, text] : field) {
@@ -96,18 +96,18 @@
     return map;
   }
 
-  nlohmann::json &Out; ///< The map that is written.
+  nlohmann::json &Out; ///< The map being written.
 };
 
-/// Reads the fields of a message from a CBOR map. An absent field is zero,
-/// false or empty; an unknown one is passed over. Not thread-safe.
+/// Reads the fields of a message from a CBOR map. A missing field is zero,
+/// false or empty; an unknown one is ignored. Not thread-safe.
 class FieldReader {
 public:
-  /// How a field function takes its message.
+  /// Parameter type of a fields() function.
   template <class T> using Ref = T &;
   static constexpr bool Reads = true;
 
-  /// Names and other short texts may be this long, in bytes.
+  /// Maximum size of names and other short texts, in bytes.
   static constexpr size_t MaxNameBytes = 1024;
 
   /// Precondition: \p in and \p fault outlive the reader.
@@ -125,7 +125,7 @@
     else if (!value(*v, field))
       fail(name);
   }
-  /// Reads an enum; a value above \p last is a fault.
+  /// Reads an enum; values above \p last are errors.
   template <class E> void oneOf(const char *name, E &field, E last) {
     uint32_t raw = 0;
     (*this)(name, raw);
@@ -156,12 +156,12 @@
       field.push_back(std::move(one));
     }
   }
-  /// Notes the first fault; later ones are ignored.
+  /// Records the first error; later ones are ignored.
   void fail(const char *name) {
     if (Fault.empty())
       Fault = std::string("bad field: ") + name;
   }
-  /// True when \p name is there.
+  /// True if the field \p name is present.
   bool has(const char *name) const { return find(name) != nullptr; }
 
 private:
@@ -262,15 +262,15 @@
     field = NamedId<Tag>();
   }
   template <class Tag> void clear(NumberId<Tag> &field) { field = {}; }
-  /// A struct whose own defaults are not zero is read from an empty map, since
-  /// that is what the writer left out.
+  /// Reads a struct from an empty map instead of default-constructing it,
+  /// because its own defaults may not be zero while the writer omits zeros.
   template <class T> std::enable_if_t<std::is_class_v<T>> clear(T &field) {
     const nlohmann::json empty = nlohmann::json::object();
     value(empty, field);
   }
 
-  const nlohmann::json &In; ///< The map that is read.
-  std::string &Fault;       ///< First fault of the whole message.
+  const nlohmann::json &In; ///< The map being read.
+  std::string &Fault;       ///< First error of the whole message.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Peers/FleetKeyProof.h
+++ b/Balsamrack/Peers/FleetKeyProof.h
@@ -5,24 +5,25 @@
 
 namespace balsamrack {
 
-/// Which end of a connection proves that it knows the fleet's key.
+/// The end of a connection that proves knowledge of the fleet's key.
 enum class ProofSide { Dialer, Acceptor };
 
 /// Proves knowledge of the fleet's key without sending it: HMAC-SHA-256 over
-/// the side and both ends' nonces. A proof that was overheard is worth nothing
-/// on another connection, and one side's can't be sent back as the other's.
+/// the side and the nonces of both ends. An intercepted proof is invalid on any
+/// other connection, and the proof of one side can't be reflected as the
+/// other's.
 class FleetKeyProof {
 public:
-  /// 32 random hex digits. Thread-safe.
+  /// Returns a nonce of 32 random hex digits. Thread-safe.
   static std::string makeNonce();
-  /// True for a text of the form that makeNonce() gives. Thread-safe.
+  /// True if \p text has the form of a nonce from makeNonce(). Thread-safe.
   static bool isNonce(const std::string &text);
-  /// The proof of \p side, 64 hex digits. Thread-safe.
+  /// Computes the proof of \p side, 64 hex digits. Thread-safe.
   static std::string make(const std::string &key, ProofSide side,
                           const std::string &dialerNonce,
                           const std::string &acceptorNonce);
-  /// True when both texts are the same; takes as long for any difference.
-  /// Thread-safe.
+  /// True if both texts are equal. Takes the same time for all texts of one
+  /// size. Thread-safe.
   static bool equal(const std::string &a, const std::string &b);
 };
 
--- a/Balsamrack/Peers/PeerAcceptor.cpp
+++ b/Balsamrack/Peers/PeerAcceptor.cpp
@@ -24,10 +24,12 @@
 using ErrorCode = websocketpp::lib::error_code;
 
 constexpr size_t MaxPeerConnections = 1024;
-constexpr long HelloTimeoutMillis = 2000; ///< From the handshake to Hello.
+constexpr long HelloTimeoutMillis =
+    2000; ///< From the end of the handshake to Hello.
 
-/// True for the codes that say that a frame could not be taken. websocketpp
-/// uses internal_endpoint_error for some, such as a length in too many bytes.
+/// True for the close codes of an invalid frame. websocketpp uses
+/// internal_endpoint_error for some of these, such as a length that is not
+/// minimally encoded.
 bool isFrameError(close_code::value code) {
   return code == close_code::protocol_error ||
          code == close_code::unsupported_data ||
@@ -36,18 +38,18 @@
          code == close_code::internal_endpoint_error;
 }
 
-/// A connection that a peer opened.
+/// A connection opened by a peer.
 struct InboundConnection {
   enum class Stage { Proof, Hello, Ready };
 
   Stage CurrentStage = Stage::Proof;
   std::string Ip;
-  std::string ExpectedProof;  ///< What the peer must show.
-  EntryVm Vm;                 ///< Who it is, once Ready.
-  bool ClosedByError = false; ///< We have cut it off, and said so.
+  std::string ExpectedProof;  ///< Proof expected from the peer.
+  EntryVm Vm;                 ///< The peer; valid once Ready.
+  bool ClosedByError = false; ///< Closed by this side, and reported.
 };
 
-/// Touched by the context's thread only, but for create() and at().
+/// Used by the context's thread only, except create() and at().
 class WebsocketAcceptor final : public PeerAcceptor {
 public:
   WebsocketAcceptor(const PeerTransportSettings &settings,
@@ -96,7 +98,8 @@
 };
 
 absl::Status WebsocketAcceptor::start() {
-  // websocketpp does not tell why it can't listen; this does.
+  // websocketpp doesn't report why it can't listen; opening a socket first
+  // does.
   BoundAddress = Settings.Listen;
   auto probe = ListenSocket::open(BoundAddress);
   if (!probe.ok())
@@ -149,13 +152,14 @@
       c->get_raw_socket().remote_endpoint(bec).address().to_string();
   if (!Allowed.contains(ip))
     return rejectHandshake(c, ip, http_code::forbidden,
-                           "address is not a peer's");
+                           "peer address is not allowed");
   if (Connections.size() >= MaxPeerConnections)
     return rejectHandshake(c, ip, http_code::service_unavailable,
-                           "too many connections");
+                           "too many peer connections");
   const std::string dialerNonce = c->get_request_header(NonceHeader);
   if (!FleetKeyProof::isNonce(dialerNonce))
-    return rejectHandshake(c, ip, http_code::bad_request, "no nonce");
+    return rejectHandshake(c, ip, http_code::bad_request,
+                           "nonce is missing or malformed");
   const std::string acceptorNonce = FleetKeyProof::makeNonce();
   c->append_header(NonceHeader, acceptorNonce);
   c->append_header(ProofHeader,
@@ -245,8 +249,8 @@
                                     const PeerMessage &message) {
   inbound.Vm = std::get<Hello>(message).Vm;
   inbound.CurrentStage = InboundConnection::Stage::Ready;
-  // A daemon that was restarted sends work at once; the answers must not fail
-  // because connects to its earlier run did.
+  // A restarted daemon sends requests at once; its answers must not fail
+  // because connects to its previous run failed.
   OnHello(inbound.Vm.Id);
   std::string hello = encodePeerMessage(Hello{Settings.Self, Settings.Run});
   ErrorCode ec;
@@ -254,8 +258,8 @@
   Stats.countSent(false, hello.size());
   auto [it, isNew] = NewestConnections.emplace(inbound.Vm.Id, h);
   if (!isNew)
-    // The earlier one is broken, even if the update about it is still on its
-    // way.
+    // The earlier connection is broken, even if its close event has not arrived
+    // yet.
     Endpoint.close(std::exchange(it->second, h), close_code::going_away,
                    "replaced", ec);
 }
@@ -268,8 +272,8 @@
   Connections.erase(it);
   ErrorCode ec;
   auto c = Endpoint.get_con_from_hdl(h, ec);
-  // websocketpp itself refuses what breaks its own protocol, and tells only by
-  // the code with which it closed.
+  // websocketpp rejects violations of its own protocol itself and reports them
+  // only by the close code.
   if (!ec && !inbound.ClosedByError &&
       isFrameError(c->get_local_close_code())) {
     ++Stats.BadFrames;
--- a/Balsamrack/Peers/PeerAcceptor.h
+++ b/Balsamrack/Peers/PeerAcceptor.h
@@ -14,24 +14,24 @@
 
 namespace balsamrack {
 
-/// The connections that peers open, on which we receive.
+/// Accepts the connections that peers open. This daemon only receives on them.
 class PeerAcceptor {
 public:
-  /// Told on the context's thread, before any of its messages, that a peer has
-  /// said Hello.
+  /// Called on the context's thread when a peer has sent Hello, before any
+  /// other message of that peer.
   using HelloCallback = std::function<void(const VmId &)>;
-  /// Starts to listen. Precondition: all arguments outlive the result. Error
-  /// (step listen) when that fails. Thread-safe.
+  /// Starts listening. Precondition: all arguments outlive the result. Error
+  /// (step listen) if that fails. Thread-safe.
   static absl::StatusOr<std::unique_ptr<PeerAcceptor>>
   create(const PeerTransportSettings &settings, PeerListener &listener,
          TransportStats &stats, boost::asio::io_context &context,
          HelloCallback onHello);
   virtual ~PeerAcceptor() = default;
-  /// Where it listens, with the real port. Thread-safe.
+  /// The listen address with the actual port. Thread-safe.
   virtual Address at() const = 0;
-  /// Accepts no more and closes the connections. On the context's thread.
+  /// Stops accepting and closes all connections. Call on the context's thread.
   virtual void close() = 0;
-  /// True when no connection is left. On the context's thread.
+  /// True if no connection is left. Call on the context's thread.
   virtual bool isClosed() const = 0;
 };
 
--- a/Balsamrack/Peers/PeerCodec.cpp
+++ b/Balsamrack/Peers/PeerCodec.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Names by index in the PeerMessage variant.
+/// Type names by index in the PeerMessage variant.
 constexpr std::array<const char *, std::variant_size_v<PeerMessage>> TypeNames =
     {"Hello",
      "Ping",
--- a/Balsamrack/Peers/PeerDialer.cpp
+++ b/Balsamrack/Peers/PeerDialer.cpp
@@ -23,12 +23,12 @@
 using ErrorCode = websocketpp::lib::error_code;
 using std::chrono::steady_clock;
 
-/// More is not handed to a connection that has not yet written as much; it
-/// waits in the link, from where it can still be tried elsewhere.
+/// Limit of unwritten bytes per connection. Further frames wait in the link,
+/// from which they can still be returned as unsent.
 constexpr size_t MaxBufferedBytes = size_t(1) << 20;
 constexpr long FullBufferRetryMillis = 5;
 
-/// A link and its connection. All but the link itself is touched by the
+/// A link and its connection. Everything but the link itself is used by the
 /// context's thread only.
 struct OutboundChannel {
   OutboundChannel(const PeerTransportSettings &settings, const VmId &peer)
@@ -39,8 +39,8 @@
   PeerLink Link;
   State CurrentState = State::Idle;
   Client::connection_ptr Connection; ///< Null while idle.
-  Address RemoteAddress;             ///< Where Connection leads to.
-  std::string Nonce;                 ///< Of this connection.
+  Address RemoteAddress;             ///< Address of Connection.
+  std::string Nonce;                 ///< Nonce of this connection.
 };
 
 using ChannelPtr = std::shared_ptr<OutboundChannel>;
@@ -57,7 +57,8 @@
     Endpoint.set_max_message_size(Settings.MaxFrameBytes);
   }
 
-  /// A connection's handlers hold its route, and the route the connection.
+  /// Releases the connections, whose handlers refer to the channel and form a
+  /// reference cycle with it.
   ~WebsocketDialer() override {
     for (const ChannelPtr &channel : allChannels())
       channel->Connection.reset();
@@ -95,8 +96,8 @@
   TransportStats &Stats;
   boost::asio::io_context &Context;
   Client Endpoint;
-  SeededRandom Random;     ///< Context's thread only.
-  mutable std::mutex Lock; ///< Guards what follows.
+  SeededRandom Random;     ///< Used by the context's thread only.
+  mutable std::mutex Lock; ///< Guards the following members.
   std::map<VmId, ChannelPtr> Channels;
   bool RejectsNewFrames = false;
 };
@@ -163,8 +164,8 @@
 
 void WebsocketDialer::setHandlers(const ChannelPtr &channel,
                                   const Client::connection_ptr &c) {
-  // A route may have gone on to another connection when an event of an earlier
-  // one arrives; that one must not be taken for an update of the later.
+  // An event of an earlier connection may arrive when the channel already has
+  // another one; it must not be attributed to the new connection.
   auto ifCurrent = [this, channel,
                     id = std::weak_ptr<Client::connection_type>(c)](auto then) {
     return [this, channel, id, then](const CurlHandle &) {
@@ -209,7 +210,8 @@
   if (!FleetKeyProof::equal(expectedProof,
                             c->get_response_header(ProofHeader))) {
     ++Stats.PeersRefused;
-    return handleConnectFailure(channel, "peer does not know the fleet's key");
+    return handleConnectFailure(channel,
+                                "peer sent a wrong proof of the fleet's key");
   }
   std::string proof = FleetKeyProof::make(Settings.FleetKey, ProofSide::Dialer,
                                           channel->Nonce, acceptorNonce);
@@ -232,8 +234,8 @@
     return channel->Connection->close(close_code::protocol_error,
                                       "Hello expected", ec);
   }
-  // The VM list lags: another VM may have the address by now, and would take
-  // what is meant for the old one.
+  // The VM list may be outdated: another VM may have the address by now and
+  // would receive messages meant for the previous one.
   if (hello->Vm.Id != channel->Link.peer())
     return handleConnectFailure(channel,
                                 "address belongs to " + hello->Vm.Id.str());
@@ -254,8 +256,8 @@
     }
     if (!channel->Link.pop(frame))
       return;
-    // The connection is closing and took nothing; what waits goes out on the
-    // next one.
+    // The connection is closing and did not accept the frame; queued frames are
+    // sent on the next one.
     if (c->send(frame.Bytes, binary))
       return channel->Link.putBack(std::move(frame));
     Stats.countSent(frame.IsData, frame.Bytes.size());
@@ -271,7 +273,7 @@
   channel->Connection.reset();
   ++Stats.ConnectionsLost;
   Listener.onPeerLost(channel->Link.peer());
-  processQueue(channel); // What still waits did not leave.
+  processQueue(channel); // Frames still queued were not sent.
 }
 
 void WebsocketDialer::handleConnectFailure(const ChannelPtr &channel,
@@ -343,9 +345,9 @@
 PeerDialer::create(const PeerTransportSettings &settings,
                    PeerListener &listener, TransportStats &stats,
                    boost::asio::io_context &context) {
-  // Guards against a race inside websocketpp: its byte order test fills a
-  // static on first use, from whichever threads send first. One thread does it
-  // here, before any other one sends.
+  // Works around a data race in websocketpp: its byte order test initializes a
+  // static variable on first use, on whichever threads send first. Initialize
+  // it on one thread before any other one sends.
   static const uint64_t byteOrderTested = websocketpp::lib::net::_htonll(1);
   (void)byteOrderTested;
   return std::make_unique<WebsocketDialer>(settings, listener, stats, context);
--- a/Balsamrack/Peers/PeerDialer.h
+++ b/Balsamrack/Peers/PeerDialer.h
@@ -12,7 +12,7 @@
 
 namespace balsamrack {
 
-/// The connections that we open, on which we send.
+/// Opens the connections on which this daemon sends.
 class PeerDialer {
 public:
   /// Precondition: all arguments outlive the result. Thread-safe.
@@ -20,19 +20,21 @@
   create(const PeerTransportSettings &settings, PeerListener &listener,
          TransportStats &stats, boost::asio::io_context &context);
   virtual ~PeerDialer() = default;
-  /// Queues a frame, see PeerTransport::send(). Thread-safe.
+  /// Queues a frame; see PeerTransport::send(). Thread-safe.
   virtual absl::Status send(const EntryVm &to, QueuedFrame frame) = 0;
-  /// \p peer has connected to us, so that it lives: the next frame for it may
-  /// connect at once, whatever failed before. Thread-safe.
+  /// Resets the connect backoff of \p peer after it has connected to this
+  /// daemon: the next frame for it may connect at once, whatever failed before.
+  /// Thread-safe.
   virtual void resetBackoff(const VmId &peer) = 0;
-  /// Lets nothing more in. Thread-safe.
+  /// Rejects all further frames. Thread-safe.
   virtual void rejectNewFrames() = 0;
-  /// True when nothing waits for a connection. On the context's thread.
-  virtual bool isDrained() const = 0;
-  /// Closes the connections after what was handed to them. On the context's
+  /// True if no frame is waiting for a connection. Call on the context's
   /// thread.
+  virtual bool isDrained() const = 0;
+  /// Closes the connections after all frames passed to them are sent. Call on
+  /// the context's thread.
   virtual void close() = 0;
-  /// True when no connection is left. On the context's thread.
+  /// True if no connection is left. Call on the context's thread.
   virtual bool isClosed() const = 0;
 };
 
--- a/Balsamrack/Peers/PeerFields.h
+++ b/Balsamrack/Peers/PeerFields.h
@@ -7,10 +7,10 @@
 
 namespace balsamrack {
 
-// Each function names the fields of one struct once, for writing and for
-// reading (Ar is FieldWriter or FieldReader). Names are one or two letters,
-// because they travel on every probe; a name is never used again for something
-// else within a struct.
+// Each function lists the fields of one struct once, for both writing and
+// reading (Ar is FieldWriter or FieldReader). Names have one or two letters
+// because they are part of every probe; a name is never reused with another
+// meaning within a struct.
 
 template <class Ar> void fields(Ar &ar, typename Ar::template Ref<EntryVm> m) {
   ar("i", m.Id);
@@ -86,8 +86,8 @@
   ar("l", m.DrainLimit);
 }
 
-/// Reads or writes a state of type \p T. Its id is that of the object's key and
-/// does not travel twice.
+/// Reads or writes a state of type \p T. Its id is equal to the name in the
+/// object's key and is not sent twice.
 template <class T, class Ar>
 void stateFields(Ar &ar, typename Ar::template Ref<ObjectState> m) {
   if constexpr (Ar::Reads) {
--- a/Balsamrack/Peers/PeerHandshake.h
+++ b/Balsamrack/Peers/PeerHandshake.h
@@ -11,13 +11,13 @@
 
 namespace balsamrack {
 
-/// HTTP fields of the opening handshake, and limits that both ends share; see
+/// HTTP fields and path of the opening handshake, shared by both ends; see
 /// PROTOCOLS.
 constexpr const char *NonceHeader = "Balsamrack-Nonce";
 constexpr const char *ProofHeader = "Balsamrack-Proof";
 constexpr const char *PeerPath = "/peer";
 
-/// Sets a peer connection's socket options; see
+/// Sets the socket options of a peer connection; see
 /// PeerTransportSettings::StallTimeout. Thread-safe.
 inline void tunePeerSocket(int fd, Duration stallTimeout) {
   constexpr int64_t MicrosPerMilli = 1000;
--- a/Balsamrack/Peers/PeerLink.cpp
+++ b/Balsamrack/Peers/PeerLink.cpp
@@ -17,20 +17,21 @@
   std::lock_guard<std::mutex> hold(Lock);
   if (Closed)
     return makeSendError(absl::StatusCode::kUnavailable,
-                         "transport has stopped");
-  // The VM was replaced by one at another address: what the old one did says
-  // nothing of the new one.
+                         "transport is stopped");
+  // The VM was replaced by one at another address: failures of the old address
+  // do not apply to the new one.
   if (RemoteAddress != to.PeerAt)
     NextConnectTime = Instant();
   RemoteAddress = to.PeerAt;
-  // A peer that refused a moment ago is not asked again for each message: the
-  // sender hears at once, and can try another.
+  // No connect is attempted per message after a recent failure: the sender gets
+  // the error at once and can try another peer.
   if (now < NextConnectTime)
-    return makeSendError(absl::StatusCode::kUnavailable, "last connect failed");
+    return makeSendError(absl::StatusCode::kUnavailable,
+                         "the last connect failed; backing off");
   if (Frames.size() >= Settings.MaxQueuedMessages ||
       QueuedBytes + frame.Bytes.size() > Settings.MaxQueuedBytes)
     return makeSendError(absl::StatusCode::kResourceExhausted,
-                         "too much waits");
+                         "send queue is full");
   QueuedBytes += frame.Bytes.size();
   Frames.push_back(std::move(frame));
   wake = !std::exchange(WakePending, true);
@@ -72,8 +73,8 @@
                                                        RandomSource &random) {
   std::lock_guard<std::mutex> hold(Lock);
   Backoff = std::clamp(2 * Backoff, Settings.MinBackoff, Settings.MaxBackoff);
-  // Half of it at random, so that a fleet does not come back in step to a
-  // daemon that was restarted.
+  // Half of the delay is random, so that the daemons of a fleet do not
+  // reconnect to a restarted daemon at the same time.
   NextConnectTime = now + Backoff / 2 +
                     Duration(random.below(static_cast<uint64_t>(
                         std::max<Duration::rep>(Backoff.count() / 2, 1))));
--- a/Balsamrack/Peers/PeerLink.h
+++ b/Balsamrack/Peers/PeerLink.h
@@ -20,7 +20,7 @@
   bool IsData = false; ///< True for data, false for control traffic.
 };
 
-/// What waits for one peer, and when it may be connected to again. Thread-safe.
+/// Send queue and connect backoff of one peer. Thread-safe.
 class PeerLink {
 public:
   using Instant = std::chrono::steady_clock::time_point;
@@ -29,30 +29,30 @@
   PeerLink(const PeerTransportSettings &settings, VmId peer)
       : Settings(settings), Peer(std::move(peer)) {}
 
-  /// Whom the link leads to.
+  /// The peer at the other end.
   const VmId &peer() const { return Peer; }
-  /// Takes a frame in. Error (step send-to-peer) when too much waits already,
-  /// when the last connect failed just now, or when the link is closed; the
-  /// frame is not kept then. Sets \p wake when whoever serves the link must be
-  /// told.
+  /// Queues a frame. Error (step send-to-peer) if the queue is full, the last
+  /// connect failed recently, or the link is closed; the frame is dropped then.
+  /// Sets \p wake if the thread that processes the link must be woken.
   absl::Status push(const EntryVm &to, QueuedFrame frame, Instant now,
                     bool &wake);
-  /// Where to connect to.
+  /// The address to connect to.
   Address address() const;
-  /// Whoever serves the link is about to look at it.
+  /// Clears the pending wake-up. Called before the link is processed.
   void clearWakePending();
-  /// Takes the oldest frame out; false when none waits.
+  /// Removes the oldest frame; returns false if the queue is empty.
   bool pop(QueuedFrame &frame);
-  /// Puts a frame that was taken out back as the oldest.
+  /// Returns a removed frame to the front of the queue.
   void putBack(QueuedFrame frame);
-  /// True when nothing waits.
+  /// True if the queue is empty.
   bool empty() const;
-  /// A connect failed: lets nothing in for a while, and returns what waited.
+  /// Records a failed connect: rejects frames until the backoff is over, and
+  /// returns the queued ones.
   std::deque<QueuedFrame> recordConnectFailure(Instant now,
                                                RandomSource &random);
-  /// A connect succeeded, in either direction.
+  /// Records a successful connect, in either direction, and resets the backoff.
   void recordConnectSuccess();
-  /// Lets nothing more in.
+  /// Rejects all further frames.
   void close();
 
 private:
@@ -60,14 +60,15 @@
 
   const PeerTransportSettings &Settings;
   const VmId Peer;
-  mutable std::mutex Lock; ///< Guards what follows.
+  mutable std::mutex Lock; ///< Guards the following members.
   std::deque<QueuedFrame> Frames;
-  size_t QueuedBytes = 0; ///< Of all frames.
+  size_t QueuedBytes = 0; ///< Total size of all frames.
   Address RemoteAddress;
-  bool WakePending = false; ///< Whoever serves the link has been told.
+  bool WakePending = false; ///< The processing thread has been woken.
   bool Closed = false;
-  Duration Backoff{0}; ///< After the next failed connect; zero for the least.
-  Instant NextConnectTime; ///< No connect before that.
+  Duration Backoff{
+      0}; ///< Delay after the last failed connect; zero: none failed.
+  Instant NextConnectTime; ///< Earliest time of the next connect.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Peers/PeerMessage.h
+++ b/Balsamrack/Peers/PeerMessage.h
@@ -11,36 +11,37 @@
 
 namespace balsamrack {
 
-/// First message on a connection, both ways.
+/// First message on a connection, in both directions.
 struct Hello {
-  EntryVm Vm;      ///< Who speaks.
-  Incarnation Run; ///< Which run of it.
+  EntryVm Vm;      ///< VM of the sender.
+  Incarnation Run; ///< Incarnation of the sender.
 };
 
-/// An entry passes a request on to a backend server's owner. Sent at most once
-/// for each attempt and owner.
+/// Passes a request from an entry VM to the owner of a backend server. Sent at
+/// most once for each attempt and owner.
 struct Forward {
-  Envelope Head;       ///< What decisions look at.
-  ServerId Server;     ///< For this server.
-  TicketNumber Ticket; ///< Highest ticket in force at the entry.
-  bool Accept =
-      false; ///< Take an unknown established flow in: nobody else knew it.
-  bool ByToken = false; ///< The caller's token named the server: the flow lives
-                        ///< there even if the owner forgot.
-  Message Content;      ///< Passed on as it is.
+  Envelope Head;       ///< Envelope of the request.
+  ServerId Server;     ///< Server chosen by the entry VM.
+  TicketNumber Ticket; ///< Highest ticket in force at the entry VM.
+  bool Accept = false; ///< Accept an established flow that the owner does not
+                       ///< know: no other daemon knew it.
+  bool ByToken =
+      false; ///< The caller's token named the server: the flow belongs to it
+             ///< even if the owner no longer knows the flow.
+  Message Content; ///< Passed to the server unchanged.
 };
 
-/// The owner tells the entry how a forwarded request ended.
+/// Reports the outcome of a forwarded request from the owner to the entry VM.
 struct OutcomeReport {
-  Outcome Result; ///< With the answer, when there is one.
+  Outcome Result; ///< Includes the answer, if any.
 };
 
-/// The entry's caller is gone or its time is over.
+/// Cancels a forwarded request whose caller disconnected or whose time is over.
 struct CancelRequest {
-  RequestId Request; ///< The attempt to give up.
+  RequestId Request; ///< The attempt to cancel.
 };
 
-/// All that daemons say to each other.
+/// All messages between daemons.
 using PeerMessage =
     std::variant<Hello, Ping, PingRequest, Ack, StateRequest, StateUpdate,
                  OwnershipHandOver, Forward, OutcomeReport, CancelRequest,
--- a/Balsamrack/Peers/PublishedFields.h
+++ b/Balsamrack/Peers/PublishedFields.h
@@ -11,11 +11,11 @@
 
 namespace balsamrack {
 
-// Fields of what is published, for PeerFields.h; see there.
+// Fields of the published state; see PeerFields.h.
 
-/// What an object is, on the wire. Number 1 stood for a configuration whose
-/// routes were listed one by one; a daemon that knows only that form refuses
-/// the message and reads the publishing service by itself.
+/// Kind of a published object on the wire. Number 1 was a configuration with
+/// ungrouped routes; a daemon that supports only that form rejects the message
+/// and reads the publishing service itself.
 enum class PublishedKind {
   Deleted = 0,
   Server = 2,
@@ -51,7 +51,7 @@
 
 template <class Ar>
 void fields(Ar &ar, typename Ar::template Ref<PublishedService> m) {
-  // Frames carry no floating point numbers; thousandths are exact enough.
+  // Frames have no floating point numbers; thousandths are precise enough.
   constexpr double Thousandths = 1000;
   auto cold =
       static_cast<uint64_t>(std::llround(m.ColdPerSecond * Thousandths));
@@ -121,7 +121,7 @@
   case PublishedKind::Server: {
     sharedState<PublishedServer>(ar, m.Content);
     if constexpr (Ar::Reads) {
-      // The server's id is the object's name and does not travel twice.
+      // The server's id is the object's name and is not sent twice.
       auto named = std::make_shared<PublishedServer>(
           *std::get<std::shared_ptr<const PublishedServer>>(m.Content));
       named->Server.Id = ServerId(m.Name);
@@ -135,7 +135,8 @@
     ar("o", std::get<DomainOutOfService>(m.Content));
     return;
   }
-  // Reached by a number that names no kind; writing names one always.
+  // Reached only when reading a number that is no kind; writing always has a
+  // valid one.
   if constexpr (Ar::Reads)
     ar.fail("k");
 }
--- a/Balsamrack/Peers/RouteGroups.cpp
+++ b/Balsamrack/Peers/RouteGroups.cpp
@@ -16,7 +16,7 @@
 constexpr size_t PortBytes = 2;
 constexpr size_t AddressBytes = IpBytes + PortBytes;
 
-/// All fields of a route but its address, in an order.
+/// All fields of a route except its address, as an ordered key.
 using CommonKey = std::tuple<std::vector<std::pair<std::string, uint32_t>>,
                              Duration, Duration, bool>;
 
--- a/Balsamrack/Peers/RouteGroups.h
+++ b/Balsamrack/Peers/RouteGroups.h
@@ -9,20 +9,20 @@
 
 namespace balsamrack {
 
-/// Routes that differ in their address only. Most of the routes of a
-/// configuration are alike, so a group costs six bytes a route on the wire.
+/// Routes that differ only in their addresses. Most routes of a configuration
+/// share all other fields, so a route in a group takes six bytes on the wire.
 struct RouteGroup {
-  PublishedRoute Common; ///< What they share; its address is unused.
-  std::string Addresses; ///< Four bytes of IP and two of port for each route,
-                         ///< in network byte order.
+  PublishedRoute Common; ///< Common fields; the address is unused.
+  std::string Addresses; ///< Four bytes of IP address and two of port per
+                         ///< route, in network byte order.
 };
 
-/// Packs \p routes into groups, in order of the first route of each.
-/// Precondition: all addresses are IPv4. Thread-safe.
+/// Groups \p routes, ordered by the first route of each group. Precondition:
+/// all addresses are IPv4. Thread-safe.
 std::vector<RouteGroup> groupRoutes(const std::vector<PublishedRoute> &routes);
 
-/// The routes of \p groups. Error kInvalidArgument (step decode-peer-message)
-/// when a list of addresses is cut off. Thread-safe.
+/// Returns the routes of \p groups. Error kInvalidArgument (step
+/// decode-peer-message) if a list of addresses is truncated. Thread-safe.
 absl::StatusOr<std::vector<PublishedRoute>>
 ungroupRoutes(const std::vector<RouteGroup> &groups);
 
--- a/Balsamrack/Peers/TransportStats.h
+++ b/Balsamrack/Peers/TransportStats.h
@@ -9,20 +9,20 @@
 
 namespace balsamrack {
 
-/// Counts what a transport carries. Thread-safe.
+/// Counts the frames and bytes of a transport. Thread-safe.
 class TransportStats {
 public:
-  /// Counts a frame that was handed to a connection.
+  /// Counts a frame that was passed to a connection.
   void countSent(bool data, size_t bytes) {
     (data ? DataSent : ControlSent) += bytes;
     ++FramesSent;
   }
-  /// Counts a frame that came in.
+  /// Counts a received frame.
   void countReceived(bool data, size_t bytes) {
     (data ? DataReceived : ControlReceived) += bytes;
     ++FramesReceived;
   }
-  /// The counts so far.
+  /// Returns the current counters.
   TransportCounters snapshot() const {
     TransportCounters c;
     c.ControlBytesSent = ControlSent;
--- a/Balsamrack/Peers/WebsocketTransport.cpp
+++ b/Balsamrack/Peers/WebsocketTransport.cpp
@@ -20,10 +20,11 @@
 
 using std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds DrainTimeout(1000); ///< For what waits.
+constexpr std::chrono::milliseconds DrainTimeout(1000); ///< For queued frames.
 constexpr std::chrono::milliseconds
-    CloseTimeout(500); ///< For the leave messages.
-constexpr std::chrono::milliseconds StopPollInterval(2); ///< Between two looks.
+    CloseTimeout(500); ///< For the closing handshakes.
+constexpr std::chrono::milliseconds
+    StopPollInterval(2); ///< Between checks for completion.
 
 class AsioTransport final : public WebsocketTransport {
 public:
@@ -53,7 +54,8 @@
 };
 
 absl::Status AsioTransport::start(PeerListener &listener) {
-  // Nothing comes in before the thread runs, and the dialer is there by then.
+  // The acceptor receives nothing before the thread runs, and the dialer exists
+  // by then.
   auto acceptor = PeerAcceptor::create(
       Settings, listener, Stats, Context,
       [this](const VmId &peer) { Dialer->resetBackoff(peer); });
@@ -74,19 +76,19 @@
                                  const PeerMessage &message) {
   if (std::holds_alternative<Hello>(message))
     return makeError(absl::StatusCode::kInvalidArgument, Step::SendToPeer,
-                     to.Id.str(), "Hello is the transport's own");
+                     to.Id.str(), "Hello is sent by the transport only");
   QueuedFrame frame{encodePeerMessage(message), isDataMessage(message)};
   if (frame.Bytes.size() > Settings.MaxFrameBytes)
     return makeError(absl::StatusCode::kInvalidArgument, Step::SendToPeer,
-                     to.Id.str(), "message too large");
+                     to.Id.str(), "message is too large");
   return Dialer->send(to, std::move(frame));
 }
 
 void AsioTransport::run() {
   auto work = boost::asio::make_work_guard(Context);
   while (!Context.stopped()) {
-    // websocketpp reports some errors by exceptions; one connection's must not
-    // end the thread that serves them all.
+    // websocketpp reports some errors by exceptions; an error of one connection
+    // must not end the thread that serves all of them.
     try {
       Context.run();
     } catch (const std::exception &e) {
--- a/Balsamrack/Peers/WebsocketTransport.h
+++ b/Balsamrack/Peers/WebsocketTransport.h
@@ -17,42 +17,42 @@
 
 /// Settings and limits of a WebsocketTransport.
 struct PeerTransportSettings {
-  Address Listen;       ///< Where peers connect to; port zero: a free one.
-  EntryVm Self;         ///< Who we say that we are.
-  Incarnation Run;      ///< Which run of us this is.
+  Address Listen;       ///< Address peers connect to; port zero: any free port.
+  EntryVm Self;         ///< This daemon's VM.
+  Incarnation Run;      ///< Incarnation of this daemon.
   std::string FleetKey; ///< Shared by all daemons of the fleet.
-  std::vector<std::string> Allowed; ///< Peers' addresses: dotted quads or
-                                    ///< a.b.c.d/bits.
-  size_t MaxFrameBytes = MaxPeerFrameBytes; ///< Larger ones are not sent, and
-                                            ///< close a connection.
-  Duration ConnectTimeout{500'000};         ///< Until the peer has said Hello.
-  Duration StallTimeout{5'000'000}; ///< A connection on which the peer takes
-                                    ///< nothing for so long is broken, whether
-                                    ///< it is gone or only reads no more. TCP
-                                    ///< itself goes on for a quarter of an
-                                    ///< hour, and after a cut between failure
-                                    ///< domains heals it may wait minutes
-                                    ///< before it tries again.
-  Duration MinBackoff{50'000};      ///< After a first failed connect; doubles.
-  Duration MaxBackoff{1'000'000};   ///< The longest one.
-  size_t MaxQueuedMessages = 4096;  ///< That wait for one peer.
-  size_t MaxQueuedBytes = size_t(32) << 20; ///< That wait for one peer.
+  std::vector<std::string>
+      Allowed; ///< Allowed peer addresses: IPv4 addresses or a.b.c.d/bits.
+  size_t MaxFrameBytes =
+      MaxPeerFrameBytes; ///< Larger frames are not sent, and close a connection
+                         ///< when received.
+  Duration ConnectTimeout{500'000}; ///< Until the peer has sent Hello.
+  Duration StallTimeout{
+      5'000'000}; ///< A connection on which the peer accepts no data for this
+                  ///< time is broken, whether the peer is gone or just not
+                  ///< reading. TCP itself retries for a quarter of an hour, and
+                  ///< after a partition between failure domains heals it may
+                  ///< wait minutes before its next retry.
+  Duration MinBackoff{50'000}; ///< Delay after a first failed connect; doubles.
+  Duration MaxBackoff{1'000'000};           ///< Maximum delay.
+  size_t MaxQueuedMessages = 4096;          ///< Queue limit per peer.
+  size_t MaxQueuedBytes = size_t(32) << 20; ///< Queue limit per peer.
   std::function<void(const absl::Status &)>
-      OnFault; ///< Told of peers and frames that were refused, with step and
-               ///< peer; may be empty. Called on the transport's thread.
+      OnFault; ///< Called for rejected peers and frames, with step and peer;
+               ///< may be empty. Called on the transport's thread.
 };
 
 /// Carries peer messages over websocketpp. Each side sends on the connection
-/// that it opened itself, so that a message goes out on one connection at most;
-/// one thread serves all of them.
+/// that it opened itself, so a message is sent on at most one connection. One
+/// thread serves all connections.
 class WebsocketTransport : public PeerTransport {
 public:
-  /// Starts to listen. Precondition: \p listener outlives the result. Error
-  /// (step listen) when the port is taken, the address is not ours, or Allowed
-  /// can't be read. Thread-safe.
+  /// Starts listening. Precondition: \p listener outlives the result. Error
+  /// (step listen) if the port is in use, the address is not local, or Allowed
+  /// is malformed. Thread-safe.
   static absl::StatusOr<std::unique_ptr<WebsocketTransport>>
   create(const PeerTransportSettings &settings, PeerListener &listener);
-  /// Where it listens, with the real port. Thread-safe.
+  /// The listen address with the actual port. Thread-safe.
   virtual Address at() const = 0;
 };
 
--- a/UnitTests/Peers/BadPeerTest.cpp
+++ b/UnitTests/Peers/BadPeerTest.cpp
@@ -13,8 +13,8 @@
 constexpr char Close = 8;
 constexpr const char *Nonce = "00112233445566778899aabbccddeeff";
 
-/// One websocket frame of a client (RFC 6455, section 5.2), with a mask of
-/// zero. \p length is what the header says.
+/// Returns a websocket frame of a client (RFC 6455, section 5.2) with a mask of
+/// zero. \p length is the payload length in the header.
 std::string frame(char opcode, const std::string &payload, uint64_t length) {
   std::string f;
   f.push_back(static_cast<char>(0x80 | opcode));
@@ -49,7 +49,7 @@
          nonceLine + "\r\n";
 }
 
-/// The proof that belongs to the server's answer \p header.
+/// The dialer's proof for the acceptor's response \p header.
 std::string proofFor(const std::string &header, const std::string &key) {
   size_t at = header.find("Balsamrack-Nonce: ") + 18;
   return FleetKeyProof::make(key, ProofSide::Dialer, Nonce,
@@ -58,19 +58,19 @@
 
 struct BadPeer {
   const char *Name;
-  const char *Key;           ///< Empty: sends no proof of its own.
-  std::string Frames;        ///< After the proof.
-  uint64_t BadFrames;        ///< What is counted.
-  uint64_t Refused;          ///< What is counted.
-  const char *ExpectedError; ///< In the fault and in the close frame.
+  const char *Key;           ///< Empty: sends no valid proof.
+  std::string Frames;        ///< Frames sent after the proof.
+  uint64_t BadFrames;        ///< Expected counter value.
+  uint64_t Refused;          ///< Expected counter value.
+  const char *ExpectedError; ///< Part of the error and the close frame.
 };
 
 class EachBadPeer : public testing::TestWithParam<BadPeer> {};
 
-// Story: a port scanner, a daemon of another version, or one whose memory went
-// bad connects to the peers' port. It is told why and cut off, the fault is
-// counted and reported, and the other peers notice nothing.
-TEST_P(EachBadPeer, IsCutOffWithAReason) {
+// Guards against connections of port scanners, daemons of other versions or
+// daemons with corrupt memory that disturb other peers. Such a connection is
+// closed with a reason, and the error is counted and reported.
+TEST_P(EachBadPeer, IsDisconnectedWithAReason) {
   const BadPeer &p = GetParam();
   TransportPeer b("vm-b");
   RawConnection c = RawConnection::connectTo(b.vm().PeerAt);
@@ -125,7 +125,7 @@
                 "too large"}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-TEST(BadPeerTest, NoNonceIsABadRequest) {
+TEST(BadPeerTest, MissingOrMalformedNonceIsABadRequest) {
   TransportPeer b("vm-b");
   for (const char *line : {"", "Balsamrack-Nonce: 12\r\n"}) {
     RawConnection c = RawConnection::connectTo(b.vm().PeerAt);
--- a/UnitTests/Peers/DatagramTransportTest.cpp
+++ b/UnitTests/Peers/DatagramTransportTest.cpp
@@ -18,7 +18,7 @@
 protected:
   void SetUp() override {
     for (auto *it : {&A, &B}) {
-      // A free port: bound by nobody, and taken at once.
+      // Finds a free port by binding to it.
       for (uint16_t port = 31000; !*it && port < 31900; ++port) {
         auto opened = DatagramTransport::open({"127.0.0.1", port});
         if (opened.ok()) {
@@ -60,9 +60,9 @@
   }
 }
 
-// Guards against a configuration of thousands of routes, none like another,
-// that is lost for its length.
-TEST_F(DatagramTransportTest, ALongMessageComesInPieces) {
+// Guards against losing a configuration of thousands of different routes
+// because it exceeds one datagram.
+TEST_F(DatagramTransportTest, SplitsALongMessageIntoFragments) {
   auto c = std::make_shared<OperatorConfiguration>();
   for (uint16_t i = 0; i < 3000; ++i)
     c->Routes.push_back({{"198.18.1.1", static_cast<uint16_t>(i + 1)},
@@ -83,14 +83,14 @@
   EXPECT_GT(A->counters().DatagramsSent, 50U);
 }
 
-TEST_F(DatagramTransportTest, AMessageThatIsTooLongIsAnError) {
+TEST_F(DatagramTransportTest, TooLongMessageIsAnError) {
   StateRequest request;
   request.BucketHashes.assign(200'000, UINT64_MAX);
   EXPECT_EQ(A->send(At[1], request).code(),
             absl::StatusCode::kResourceExhausted);
 }
 
-// Story: somebody else's datagrams come to the port of peers.
+// Datagrams of unrelated senders arrive at the peer port.
 TEST_F(DatagramTransportTest, GarbageIsCountedAndHarmless) {
   int fd = socket(AF_INET, SOCK_DGRAM, 0);
   sockaddr_in to{};
--- a/UnitTests/Peers/PeerCodecTest.cpp
+++ b/UnitTests/Peers/PeerCodecTest.cpp
@@ -11,8 +11,8 @@
 namespace balsamrack {
 namespace {
 
-/// Control bytes that a daemon may spend while one configuration comes into
-/// force: 3 KB a second for six seconds.
+/// Budget of control bytes per daemon while one configuration comes into force:
+/// 3 KB per second for six seconds.
 constexpr size_t MaxConfigurationBytes = 18'000;
 
 class EachMessage : public testing::TestWithParam<size_t> {
@@ -20,7 +20,7 @@
   PeerMessage Sample = samplePeerMessages()[GetParam()];
 };
 
-TEST_P(EachMessage, ComesBackAsItWas) {
+TEST_P(EachMessage, SurvivesARoundTrip) {
   ASSERT_EQ(Sample.index(), GetParam());
   std::string frame = encodePeerMessage(Sample);
   auto back = decodePeerMessage(frame);
@@ -29,9 +29,9 @@
   EXPECT_EQ(encodePeerMessage(*back), frame);
 }
 
-// Story: a peer is killed in the middle of a write, or its memory goes bad.
-// The daemon that receives the rest of the frame must report it and go on;
-// a parser that trusts a length or recurses without bound takes it down.
+// A peer is killed in the middle of a write, or its memory is corrupt. The
+// receiver must report the truncated frame and continue; a parser that trusts a
+// length or recurses without bound would crash it.
 TEST_P(EachMessage, EveryTruncationIsAnError) {
   std::string frame = encodePeerMessage(Sample);
   for (size_t n = 0; n < frame.size(); ++n) {
@@ -42,8 +42,8 @@
   }
 }
 
-// Story: as above, with bytes changed, put in or taken out at random. Each
-// mutant is either refused or is a message that can be encoded again.
+// As above, with bytes changed, inserted or removed at random. Each mutant is
+// either rejected or is a message that can be encoded again.
 TEST_P(EachMessage, MutantsNeverCrash) {
   constexpr int Mutants = 2000;
   std::string frame = encodePeerMessage(Sample);
@@ -144,7 +144,7 @@
         BadFrame{"MapLengthOverflows", bytes({0xbb, 0x80, 0, 0, 0, 0, 0, 0, 0}),
                  "truncated"},
         BadFrame{"IndefiniteLength", bytes({0xbf, 0xff}), "not definite"},
-        BadFrame{"TagNobodyUses", bytes({0xc1, 0x00}), "no message uses"},
+        BadFrame{"UnsupportedTag", bytes({0xc1, 0x00}), "no message uses"},
         BadFrame{"TwoItems", bytes({0xa0, 0xa0}), "after the end"},
         BadFrame{"NotAMap", bytes({0x80}), "not a CBOR map"},
         BadFrame{"NoVersion", bytes({0xa0}), "unknown version"},
@@ -161,9 +161,9 @@
                  "Ping: bad field: q"}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-// Guards against a configuration that grows by many routes and fills the links
-// of small VMs: each daemon gets a copy or more of it.
-TEST(PeerCodecTest, ALargeConfigurationFitsTheBytesOfItsChange) {
+// Guards against a configuration with many routes that fills the links of small
+// VMs: each daemon receives at least one copy.
+TEST(PeerCodecTest, LargeConfigurationFitsTheByteBudget) {
   auto large = std::make_shared<OperatorConfiguration>();
   for (uint16_t i = 0; i < 1400; ++i)
     large->Routes.push_back({{"198.18." + std::to_string(i / 200) + ".1", i},
--- a/UnitTests/Peers/PeerSamples.h
+++ b/UnitTests/Peers/PeerSamples.h
@@ -7,8 +7,8 @@
 
 namespace balsamrack {
 
-/// One message of each type, in the order of the PeerMessage variant, with no
-/// field at its default.
+/// Returns one message of each type, in the order of the PeerMessage variant,
+/// with no field at its default.
 std::vector<PeerMessage> samplePeerMessages();
 
 } // namespace balsamrack
--- a/UnitTests/Peers/TransportPeer.cpp
+++ b/UnitTests/Peers/TransportPeer.cpp
@@ -15,7 +15,7 @@
   s.FleetKey = "key of the fleet";
   s.Allowed = {"127.0.0.1"};
   s.ConnectTimeout = Duration(5'000'000);
-  // Under a sanitizer a peer decodes a large frame for seconds, and reads
+  // With a sanitizer, a peer may take seconds to decode a large frame and reads
   // nothing meanwhile.
   s.StallTimeout = Duration(60'000'000);
   return s;
--- a/UnitTests/Peers/TransportPeer.h
+++ b/UnitTests/Peers/TransportPeer.h
@@ -10,25 +10,25 @@
 
 namespace balsamrack {
 
-/// A daemon of a test, as far as its transport goes: notes what arrives.
+/// The transport of a daemon under test; records what it receives.
 class TransportPeer final : public PeerListener {
 public:
-  /// Settings of a peer called \p name that lets 127.0.0.1 in.
+  /// Settings of a peer named \p name that accepts connections from 127.0.0.1.
   static PeerTransportSettings settingsFor(const std::string &name);
 
   explicit TransportPeer(const std::string &name)
       : TransportPeer(settingsFor(name)) {}
   explicit TransportPeer(PeerTransportSettings settings);
 
-  /// The peer as others know it.
+  /// This peer as known to others.
   EntryVm vm() const;
-  /// What arrived, as frames, in order.
+  /// Received messages as sender and frame, in order.
   std::vector<std::string> received() const;
   /// Events in order: "lost vm-1", "failed vm-1 Ping".
   std::vector<std::string> events() const;
-  /// Faults that the transport reported, described.
+  /// Descriptions of the errors that the transport reported.
   std::vector<std::string> faults() const;
-  /// True when \p event has been seen.
+  /// True if \p event has occurred.
   bool hasEvent(const std::string &event) const;
 
   void onPeerMessage(const EntryVm &from, PeerMessage message) override;
@@ -44,9 +44,10 @@
 
 public:
   std::mutex
-      ReceiveGate; ///< While a test holds it, this peer stays at work on the
-                   ///< message that it has just taken, and reads no more.
-  std::unique_ptr<WebsocketTransport> Transport; ///< Ends before the rest.
+      ReceiveGate; ///< While a test holds it, this peer blocks in the handler
+                   ///< of the last received message and reads no further ones.
+  std::unique_ptr<WebsocketTransport>
+      Transport; ///< Destroyed before the other members.
 };
 
 } // namespace balsamrack
--- a/UnitTests/Peers/WebsocketTransportTest.cpp
+++ b/UnitTests/Peers/WebsocketTransportTest.cpp
@@ -81,7 +81,8 @@
   EXPECT_EQ(peerOf(tooLarge), "vm-b");
 }
 
-/// How long a peer reads nothing, and whether its connection lives on.
+/// A sender with a given stall timeout, and whether its connection to a stalled
+/// peer survives.
 struct StalledPeer {
   const char *Name;
   int64_t StallTimeoutMillis;
@@ -90,10 +91,10 @@
 
 class EachStalledPeer : public testing::TestWithParam<StalledPeer> {};
 
-// Story: a peer works on a message for a second and a half, and what comes
-// behind it fills its receive buffer. TCP counts a full buffer as silence, so
-// that the connection ends once the stall timeout is over, and what was written
-// to it is lost though the peer lives.
+// A peer works on a message for 1.5 s, and the messages behind it fill its
+// receive buffer. TCP treats a full buffer as silence, so the connection ends
+// after the stall timeout, and messages written to it are lost although the
+// peer is alive.
 TEST_P(EachStalledPeer, LosesItsConnectionAfterTheStallTimeout) {
   PeerTransportSettings settings = TransportPeer::settingsFor("vm-a");
   settings.StallTimeout = Duration(GetParam().StallTimeoutMillis * 1000);
@@ -103,8 +104,8 @@
   ASSERT_TRUE(a.Transport->send(b.vm(), Small).ok());
   ASSERT_TRUE(waitUntil([&] { return b.received().size() == 1; }));
   ASSERT_TRUE(a.Transport->send(b.vm(), withBody(4 << 20)).ok());
-  // How long the frame takes to its first byte on the wire is not known, so
-  // the shorter timeout is waited for while the peer still reads nothing.
+  // The time until the first byte of the frame is sent is unknown, so the test
+  // of the shorter timeout waits while the peer still reads nothing.
   if (GetParam().ExpectArrival) {
     std::this_thread::sleep_for(std::chrono::milliseconds(1500));
     blocked.unlock();
@@ -122,10 +123,10 @@
                            return std::string(info.param.Name);
                          });
 
-// Story: an owner's VM is gone. The entry must learn which requests did not
-// leave, since only those may be placed again, and must not wait for a connect
-// timeout on Each further one.
-TEST(WebsocketTransportTest, UnreachablePeerGivesTheMessagesBack) {
+// An owner's VM is gone. The entry VM must learn which requests were not sent,
+// since only those may be placed again, and must not wait for a connect timeout
+// on each further one.
+TEST(WebsocketTransportTest, ReturnsMessagesForAnUnreachablePeer) {
   PeerTransportSettings settings = TransportPeer::settingsFor("vm-a");
   settings.MinBackoff = settings.MaxBackoff = Duration(300'000);
   TransportPeer a(settings);
@@ -141,9 +142,9 @@
   EXPECT_TRUE(waitUntil([&] { return a.Transport->send(gone, Small).ok(); }));
 }
 
-// Story: a daemon is killed while it has a deposit in hand. What was written to
-// it may have run; it must not come back as not sent.
-TEST(WebsocketTransportTest, WrittenMessagesAreOnlyLost) {
+// A daemon is killed while it runs a request. Written messages may have run;
+// they must not be reported as unsent.
+TEST(WebsocketTransportTest, WrittenMessagesAreNotReturned) {
   TransportPeer a("vm-a");
   auto b = std::make_unique<TransportPeer>("vm-b");
   ASSERT_TRUE(a.Transport->send(b->vm(), withBody(9)).ok());
@@ -153,7 +154,7 @@
   EXPECT_EQ(a.events(), std::vector<std::string>{"lost vm-b"});
 }
 
-TEST(WebsocketTransportTest, PeerThatComesBackIsReachedAgain) {
+TEST(WebsocketTransportTest, RestartedPeerIsReachedAgain) {
   ReservedPort port;
   PeerTransportSettings settings = TransportPeer::settingsFor("vm-b");
   settings.Listen = port.at();
@@ -171,8 +172,9 @@
   }));
 }
 
-// Story: a VM was replaced and its address given to another one, while the VM
-// list still names the old. The new one must not get the old one's requests.
+// A VM was replaced and its address given to another VM, while the VM list
+// still contains the old one. The new VM must not receive the old one's
+// requests.
 TEST(WebsocketTransportTest, AnotherVmAtTheAddressGetsNothing) {
   TransportPeer a("vm-a");
   TransportPeer b("vm-b");
@@ -184,7 +186,7 @@
   EXPECT_TRUE(b.received().empty());
 }
 
-TEST(WebsocketTransportTest, SilentPeerEndsByTheConnectTimeout) {
+TEST(WebsocketTransportTest, SilentPeerFailsAfterTheConnectTimeout) {
   ScriptedServer silent([](RawConnection c, int) { c.readToEnd(); });
   PeerTransportSettings settings = TransportPeer::settingsFor("vm-a");
   settings.ConnectTimeout = Duration(100'000);
@@ -222,7 +224,7 @@
   EXPECT_TRUE(waitUntil([&] { return b.received().size() == MessageTotal; }));
 }
 
-TEST(WebsocketTransportTest, SaysWhyItCannotListen) {
+TEST(WebsocketTransportTest, ReportsListenErrors) {
   TransportPeer a("vm-a");
   PeerTransportSettings settings = TransportPeer::settingsFor("vm-b");
   settings.Listen = a.vm().PeerAt;
@@ -243,9 +245,9 @@
 
 class EachUnauthorizedPeer : public testing::TestWithParam<UnauthorizedPeer> {};
 
-// Story: a daemon of a test fleet is pointed at a production VM by mistake. Its
-// old tickets and its view of the members must not get in.
-TEST_P(EachUnauthorizedPeer, IsNotLetIn) {
+// A daemon of a test fleet is configured with a production VM by mistake. Its
+// old tickets and its member list must not be accepted.
+TEST_P(EachUnauthorizedPeer, IsRejected) {
   PeerTransportSettings acceptorSettings = TransportPeer::settingsFor("vm-b");
   acceptorSettings.Allowed = {GetParam().Allowed};
   TransportPeer b(acceptorSettings);
@@ -262,7 +264,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Strangers, EachUnauthorizedPeer,
+    Peers, EachUnauthorizedPeer,
     testing::Values(UnauthorizedPeer{"OtherKey", "another key", "127.0.0.1"},
                     UnauthorizedPeer{"NoKey", "", "127.0.0.1"},
                     UnauthorizedPeer{"OtherAddress", "key of the fleet",
