--- a/Balsamrack/Configuration/ConfigurationMessages.h
+++ b/Balsamrack/Configuration/ConfigurationMessages.h
@@ -8,27 +8,28 @@
 
 namespace balsamrack {
 
-/// What a daemon holds, small enough to ride on every probe.
+/// Digest of the configuration that a daemon holds, small enough to be part of
+/// every probe.
 struct StateDigest {
   TicketNumber Highest; ///< Highest ticket number held.
-  uint64_t Hash =
-      0; ///< Order-free hash over (object, ticket number) of all objects held.
+  uint64_t Hash = 0; ///< Order-independent hash over (object, ticket number) of
+                     ///< all objects held.
 };
 
-/// Asks a peer for what we lack: one hash a bucket of objects, so that only
-/// differing buckets are sent.
+/// Requests missing objects from a peer. Has one hash per bucket of objects, so
+/// that only differing buckets are sent.
 struct StateRequest {
-  StateDigest Held; ///< What the asker holds.
-  std::vector<uint64_t>
-      BucketHashes; ///< Order-free hash of each bucket; empty: send all.
+  StateDigest Held;                   ///< Digest of the requester.
+  std::vector<uint64_t> BucketHashes; ///< Order-independent hash of each
+                                      ///< bucket; empty: send all objects.
 };
 
-/// Objects that the asker lacks, or updates of a fresh ticket; merged by
-/// number, so repeats do no harm.
+/// Objects missing at the requester, or the objects of a new ticket. Merged by
+/// ticket number, so repetition is harmless.
 struct StateUpdate {
-  StateDigest Held;                 ///< What the sender holds.
-  std::vector<ObjectState> Objects; ///< Objects of the buckets that differ; may
-                                    ///< come in several messages.
+  StateDigest Held;                 ///< Digest of the sender.
+  std::vector<ObjectState> Objects; ///< Objects of the differing buckets; may
+                                    ///< be split into several messages.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Configuration/ConfigurationStore.cpp
+++ b/Balsamrack/Configuration/ConfigurationStore.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Estimated encoded size of what every object carries besides its strings.
+/// Estimated encoded size of an object without its strings.
 constexpr size_t ObjectOverheadBytes = 220;
 /// Estimated encoded size of one port.
 constexpr size_t PortBytes = 4;
@@ -15,7 +15,8 @@
   return stableHash(key.Name, static_cast<uint64_t>(key.Kind) + 1);
 }
 
-/// Summed up over objects, so that the order in which they came is lost.
+/// Hashes are added up over objects, so that the sum is independent of their
+/// order.
 uint64_t stateHash(const ObjectState &object) {
   return combineHash(keyHash(object.Key), object.Ticket.Value);
 }
@@ -33,7 +34,7 @@
   return bytes;
 }
 
-/// Cuts \p objects into messages of about \p maxBytes.
+/// Splits \p objects into messages of about \p maxBytes.
 std::vector<StateUpdate>
 splitIntoUpdates(const std::vector<const ObjectState *> &objects,
                  const StateDigest &held, size_t maxBytes) {
@@ -92,7 +93,7 @@
   for (const ObjectState &object : objects)
     if (mergeObject(object))
       result.Changed.push_back(object.Key);
-  // Repeats are the usual case; they cost no new snapshot.
+  // Most merges are repetitions; they create no new snapshot.
   if (!result.Changed.empty())
     View = ConfigurationView::create(Objects, Highest);
   result.View = View;
@@ -119,7 +120,7 @@
 StateRequest ConfigurationStore::request() const {
   std::lock_guard<std::mutex> guard(Lock);
   StateRequest result{digestLocked(), {}};
-  // An empty store asks for everything; its bucket hashes would say no more.
+  // An empty store requests everything; bucket hashes would add nothing.
   if (!Objects.empty())
     result.BucketHashes.assign(Buckets.begin(), Buckets.end());
   return result;
--- a/Balsamrack/Configuration/ConfigurationView.h
+++ b/Balsamrack/Configuration/ConfigurationView.h
@@ -14,12 +14,11 @@
 /// never changes; pointers into it live as long as it does.
 class ConfigurationView {
 public:
-  /// Builds a snapshot of \p objects. Deleted ones are left out; the last of
-  /// two with one key counts. Thread-safe.
+  /// Builds a snapshot of \p objects without the deleted ones. Thread-safe.
   static std::shared_ptr<const ConfigurationView>
   create(const std::map<ObjectKey, ObjectState> &objects, TicketNumber highest);
 
-  /// Highest ticket number that went into it.
+  /// Highest ticket number included.
   TicketNumber highest() const { return Highest; }
   /// Failure domains by id.
   const std::map<DomainId, FailureDomain> &domains() const { return Domains; }
@@ -31,22 +30,22 @@
   /// The servers of \p service, ordered by id; empty for an unknown service.
   const std::vector<const BackendServer *> &
   serversOf(const ServiceId &service) const;
-  /// The servers that stand in \p domain, ordered by id.
+  /// The servers in \p domain, ordered by id.
   const std::vector<const BackendServer *> &
   serversIn(const DomainId &domain) const;
-  /// The service that callers reach at \p port, or null. A port that two
-  /// services claim belongs to neither: guards against packets that reach
-  /// another service because a ticket names its port by mistake; they are
-  /// refused as not run instead, whatever order the tickets came in.
+  /// The service at \p port, or null. A port claimed by two services belongs to
+  /// neither: if a ticket names the port of another service by mistake, packets
+  /// must not reach the wrong service; they are refused as not run instead,
+  /// independent of the order of the tickets.
   const Service *serviceAtPort(uint16_t port) const;
   /// The server with this id, or null.
   const BackendServer *server(const ServerId &id) const;
   /// The service with this id, or null.
   const Service *service(const ServiceId &id) const;
-  /// True for a domain that operators have in service. A domain that no ticket
-  /// described is out: its servers are dangling.
+  /// True if operators have \p domain in service. A domain without a ticket is
+  /// out of service: references of its servers are dangling.
   bool isDomainInService(const DomainId &domain) const;
-  /// The ticket that gave the object its state; zero when there is none.
+  /// The ticket of the object's state; zero if there is none.
   TicketNumber ticketOf(const ObjectKey &key) const;
 
 private:
@@ -58,12 +57,13 @@
   std::map<DomainId, FailureDomain> Domains; ///< By id.
   std::map<ServiceId, Service> Services;     ///< By id.
   std::map<ServerId, BackendServer> Servers; ///< By id.
-  std::map<ObjectKey, TicketNumber> Tickets; ///< Which ticket gave the state.
+  std::map<ObjectKey, TicketNumber> Tickets; ///< Ticket of each object.
   std::map<ServiceId, std::vector<const BackendServer *>>
       ByService; ///< Servers of each service.
   std::map<DomainId, std::vector<const BackendServer *>>
-      ByDomain;                               ///< Servers in each domain.
-  std::map<uint16_t, const Service *> ByPort; ///< Null: claimed twice.
+      ByDomain; ///< Servers in each domain.
+  std::map<uint16_t, const Service *>
+      ByPort; ///< Null: claimed by several services.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Configuration/ObjectState.h
+++ b/Balsamrack/Configuration/ObjectState.h
@@ -11,10 +11,10 @@
 
 namespace balsamrack {
 
-/// Kinds of object that a ticket may touch.
+/// Kinds of configured objects.
 enum class ObjectKind { Domain, Service, Server };
 
-/// Name of one configured object.
+/// Identifies one configured object.
 struct ObjectKey {
   ObjectKind Kind = ObjectKind::Domain; ///< Kind of the object.
   std::string Name;                     ///< Its id.
@@ -30,22 +30,22 @@
   }
 };
 
-/// The whole state of one object under one ticket. Deletion is a state too, so
-/// that it can't be undone by old updates.
+/// The complete state of one object under one ticket. Deletion is a state too,
+/// so that outdated updates can not undo it.
 struct ObjectState {
-  ObjectKey Key;       ///< Which object.
-  TicketNumber Ticket; ///< The ticket that gave it this state.
+  ObjectKey Key;       ///< The object.
+  TicketNumber Ticket; ///< The ticket that set this state.
   std::variant<std::monostate, FailureDomain, Service, BackendServer>
       State; ///< monostate: deleted.
 
-  /// True when the ticket deleted the object. Thread-safe.
+  /// True if the ticket deleted the object. Thread-safe.
   bool deleted() const { return std::holds_alternative<std::monostate>(State); }
 };
 
-/// A numbered change ticket: the whole new state of each object that it
-/// touches.
+/// A numbered change ticket: the complete new state of each object that it
+/// affects.
 struct Ticket {
-  TicketNumber Number;              ///< Its number; higher is later.
+  TicketNumber Number;              ///< Ticket number; higher is later.
   std::vector<ObjectState> Objects; ///< Each with Ticket == Number.
 };
 
--- a/Balsamrack/Configuration/TicketCheck.cpp
+++ b/Balsamrack/Configuration/TicketCheck.cpp
@@ -41,7 +41,7 @@
       if (!inserted)
         warnings.push_back(absl::StrCat(
             "port ", port, " is claimed by the services ", it->second, " and ",
-            id.str(), "; neither gets its packets"));
+            id.str(), "; packets to it reach neither"));
     }
 }
 
@@ -57,7 +57,8 @@
   for (size_t i = 0; i < ticket.Objects.size(); ++i) {
     const ObjectState &object = ticket.Objects[i];
     if (object.Ticket != ticket.Number)
-      return fault(pointerTo(i), "has another ticket's number");
+      return fault(pointerTo(i),
+                   "ticket number differs from that of the ticket");
     if (!seen.insert(object.Key).second)
       return fault(pointerTo(i),
                    absl::StrCat("object ", object.Key.Name, " occurs twice"));
--- a/Balsamrack/Configuration/TicketCheck.h
+++ b/Balsamrack/Configuration/TicketCheck.h
@@ -10,17 +10,17 @@
 
 namespace balsamrack {
 
-/// Content rules beyond those of single fields: no object twice, no port twice
-/// among the ticket's services, a ticket number above zero. Daemons and the
-/// operators' client run this same function. Guards against daemons that
-/// disagree on a ticket: the verdict depends on the ticket alone, never on
-/// what a daemon holds, so it is the same whatever order tickets came in.
-/// Error kInvalidArgument (step check-ticket). Thread-safe.
+/// Checks the rules beyond single fields: the ticket number is above zero, and
+/// no object and no port of the ticket's services occurs twice. Daemons and the
+/// operators' client use this same function. The result depends on the ticket
+/// alone, never on the state of a daemon, so all daemons agree on a ticket in
+/// whatever order tickets arrive. Error kInvalidArgument (step check-ticket).
+/// Thread-safe.
 absl::Status checkTicket(const Ticket &ticket);
 
-/// What an operator should know of a configuration although it is accepted:
-/// a server whose service or domain does not exist, a port that two services
-/// claim. Such objects are simply not routed to. Thread-safe.
+/// Returns warnings for an accepted configuration: servers whose service or
+/// domain does not exist, and ports claimed by two services. Nothing is routed
+/// to such servers and ports. Thread-safe.
 std::vector<std::string> configurationWarnings(const ConfigurationView &view);
 
 } // namespace balsamrack
--- a/Balsamrack/Configuration/TicketCodec.cpp
+++ b/Balsamrack/Configuration/TicketCodec.cpp
@@ -46,10 +46,11 @@
   return Duration(static_cast<int64_t>(n) * MicrosPerSecond);
 }
 
-/// Watches the parser for what JSON itself leaves open.
+/// Parser callback for rules beyond the JSON syntax: nesting depth and unique
+/// keys.
 class StructureCheck {
 public:
-  /// Called by the parser for each element.
+  /// Called by the parser for each element; returns false on an error.
   bool operator()(int depth, json::parse_event_t event, json &parsed) {
     auto level = static_cast<size_t>(depth);
     if (depth > MaxDepth)
@@ -58,8 +59,8 @@
       Keys.resize(level);
     if (event == json::parse_event_t::object_start)
       Keys.resize(level + 1);
-    // Guards against two readings of one text: parsers differ in which of two
-    // equal keys they keep, so such a text is turned down.
+    // Parsers differ in which of two equal keys they keep, so a text with
+    // duplicate keys is rejected.
     if (event == json::parse_event_t::key && level >= 1 &&
         level <= Keys.size() &&
         !Keys[level - 1].insert(parsed.get<std::string>()).second)
@@ -67,12 +68,12 @@
                            " occurs twice");
     return Fault.empty();
   }
-  /// The fault found; empty for none.
+  /// The error found; empty for none.
   const std::string &fault() const { return Fault; }
 
 private:
   std::vector<std::set<std::string>> Keys; ///< Keys of each open object.
-  std::string Fault;                       ///< The last fault.
+  std::string Fault;                       ///< The last error found.
 };
 
 FailureDomain readDomain(TicketFieldReader &in, const std::string &id) {
@@ -165,7 +166,7 @@
   return in.finish();
 }
 
-/// Reads the fields that all objects have; \p in stays open for more.
+/// Reads the fields common to all objects.
 absl::Status readObject(TicketFieldReader &in, ObjectState &object) {
   object.Key.Kind = readKind(in);
   object.Key.Name = in.name("id");
--- a/Balsamrack/Configuration/TicketCodec.h
+++ b/Balsamrack/Configuration/TicketCodec.h
@@ -11,27 +11,28 @@
 
 namespace balsamrack {
 
-/// Largest ticket text that is read, in bytes: the platform's limit on a value.
+/// Maximum size of a ticket text, in bytes: the size limit of a value on the
+/// platform.
 constexpr size_t MaxTicketBytes = 1'048'576;
 
-/// Reads a ticket (form: docs/PROTOCOLS.md). The whole ticket is read or none
-/// of it: a field that is unknown, missing, of a wrong type or out of its range
-/// is an error. The error (step check-ticket) names the place as a JSON
-/// pointer. The verdict depends on \p text alone. Thread-safe.
+/// Parses a ticket (format: docs/PROTOCOLS.md). Rejects the whole ticket if any
+/// field is unknown, missing, of the wrong type or out of range. The error
+/// (step check-ticket) contains the JSON pointer of the field. The result
+/// depends on \p text alone. Thread-safe.
 absl::StatusOr<Ticket> parseTicket(const std::string &text);
 
-/// One object in the form of a ticket's objects, with its ticket number as
-/// "ticket". Thread-safe.
+/// Encodes one object in the format of a ticket's objects, with its ticket
+/// number as "ticket". Thread-safe.
 nlohmann::json objectToJson(const ObjectState &object);
 
-/// Name of a kind of objects, as it stands in a ticket. Thread-safe.
+/// Name of an object kind as used in tickets. Thread-safe.
 const char *objectKindName(ObjectKind kind);
 
-/// Reads what objectToJson wrote, with the same checks as a ticket's objects.
-/// Errors as parseTicket. Thread-safe.
+/// Decodes the output of objectToJson() with the same checks as for a ticket's
+/// objects. Errors as for parseTicket(). Thread-safe.
 absl::StatusOr<ObjectState> objectFromJson(const nlohmann::json &value);
 
-/// The ticket in the form of docs/PROTOCOLS.md. Thread-safe.
+/// Encodes a ticket in the format of docs/PROTOCOLS.md. Thread-safe.
 std::string ticketToText(const Ticket &ticket);
 
 } // namespace balsamrack
--- a/Balsamrack/Configuration/TicketFieldReader.cpp
+++ b/Balsamrack/Configuration/TicketFieldReader.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr size_t MaxNameLength = 64;
-/// Faulty field names are shown up to this length.
+/// Longer names of unknown fields are truncated in messages.
 constexpr size_t MaxShownLength = 64;
 
 bool isNameChar(char c) {
--- a/UnitTests/Configuration/ConfigurationStoreTest.cpp
+++ b/UnitTests/Configuration/ConfigurationStoreTest.cpp
@@ -13,7 +13,7 @@
 namespace balsamrack {
 namespace {
 
-/// The same cases in every run, so that the verdict is always the same.
+/// The same cases in every run, so that the result is reproducible.
 const int FixedSeed = setenv("RC_PARAMS", "seed=20030131", 0);
 
 ObjectState domainState(const std::string &name, uint64_t ticket, bool in) {
@@ -30,8 +30,8 @@
   return {{ObjectKind::Service, name}, TicketNumber{ticket}, service};
 }
 
-/// Few names and numbers, so that collisions are frequent. The state follows
-/// from name and number, as it does for tickets of one platform.
+/// Few names and numbers, so that collisions are frequent. The state is a
+/// function of name and number, as for tickets of one platform.
 ObjectState stateOf(int name, uint64_t number) {
   std::string id(1, static_cast<char>('a' + name % 5));
   if (stableHash(id, number) % 4 == 0)
@@ -95,7 +95,7 @@
   }));
 }
 
-TEST(ConfigurationStoreTest, TwoStoresBecomeEqualByAskingOnce) {
+TEST(ConfigurationStoreTest, TwoStoresConvergeInOneExchange) {
   EXPECT_TRUE(rc::check([] {
     auto one = storeOf(*anyStates());
     auto two = storeOf(*anyStates());
@@ -108,18 +108,19 @@
   }));
 }
 
-// A seller's domain was taken out by ticket 9. The platform fails over to a
-// replica that is behind and shows ticket 4, which has the domain in service.
-// If a daemon followed it, packets would go to the domain again.
-TEST(ConfigurationStoreTest, IgnoresAnOlderAnswerOfThePlatform) {
+// A failure domain was taken out of service by ticket 9. The platform fails
+// over to a lagging replica that shows ticket 4, which has the domain in
+// service. Applying it would route packets to the domain again.
+TEST(ConfigurationStoreTest, IgnoresOutdatedPlatformData) {
   auto store = storeOf({domainState("bern-a", 9, false)});
   EXPECT_TRUE(store->merge({domainState("bern-a", 4, true)}).Changed.empty());
   EXPECT_FALSE(store->view()->isDomainInService(DomainId("bern-a")));
   EXPECT_EQ(store->digest().Highest, TicketNumber{9});
 }
 
-// A joiner asks a peer for all it lacks and the connection breaks half way. It
-// must not claim the highest ticket while it lacks objects of lower ones.
+// A joining daemon requests missing objects from a peer and the connection
+// breaks halfway. It must not claim the highest ticket while objects of lower
+// ones are missing.
 TEST(ConfigurationStoreTest, SendsTheLowestTicketsFirst) {
   auto full = storeOf({domainState("a", 3, true), domainState("b", 1, true),
                        domainState("c", 2, true)});
@@ -131,8 +132,9 @@
   EXPECT_FALSE(asker->isInForce(TicketNumber{3}));
 }
 
-// An operator gives the plan archive the port of booking by mistake. Packets
-// for booking must not reach the archive, whichever ticket a daemon saw first.
+// An operator gives the archive service the port of the booking service by
+// mistake. Packets for booking must not reach the archive, whichever ticket a
+// daemon received first.
 TEST(ConfigurationStoreTest, PortOfTwoServicesBelongsToNeither) {
   auto store = storeOf({serviceState("booking", 1, 7001)});
   ASSERT_NE(store->view()->serviceAtPort(7001), nullptr);
@@ -141,7 +143,7 @@
   EXPECT_EQ(configurationWarnings(*merged.View).size(), 1U);
 }
 
-TEST(ConfigurationStoreTest, TellsWhatATicketWouldChange) {
+TEST(ConfigurationStoreTest, PreviewsTheChangesOfATicket) {
   using Kind = ObjectChange::Kind;
   auto store = storeOf({domainState("a", 5, true), domainState("b", 1, true)});
   Ticket ticket{TicketNumber{3}, {}};
--- a/UnitTests/Configuration/TicketCodecTest.cpp
+++ b/UnitTests/Configuration/TicketCodecTest.cpp
@@ -58,17 +58,17 @@
 }
 
 struct Fault {
-  const char *Name;    ///< Of the case.
-  std::string Text;    ///< The ticket.
-  const char *Pointer; ///< JSON pointer that the error must name.
+  const char *Name;    ///< Name of the test case.
+  std::string Text;    ///< Ticket text.
+  const char *Pointer; ///< JSON pointer expected in the error.
 };
 
 class TicketFaultTest : public testing::TestWithParam<Fault> {};
 
-// An operator publishes a ticket with a mistake in it. If one daemon took the
-// ticket in part, or another read it differently, the fleet would never agree
-// again. Each fault rejects the whole ticket and says where it is.
-TEST_P(TicketFaultTest, RejectsTheWholeTicketAndNamesThePlace) {
+// An operator publishes an invalid ticket. If one daemon applied it in part, or
+// another parsed it differently, the fleet would never converge again. Each
+// error rejects the whole ticket and contains its location.
+TEST_P(TicketFaultTest, RejectsTheWholeTicketWithAPointer) {
   absl::StatusOr<Ticket> ticket = parseTicket(GetParam().Text);
   ASSERT_FALSE(ticket.ok());
   EXPECT_EQ(ticket.status().code(), absl::StatusCode::kInvalidArgument);
