--- a/Balsamrack/Settings/PacketSettings.cpp
+++ b/Balsamrack/Settings/PacketSettings.cpp
@@ -35,7 +35,8 @@
   for (size_t i = 0; i < document.at(at).size(); ++i) {
     Address seed;
     readAddress(document, absl::StrCat("/peers/seeds/", i), seed, faults);
-    // Only the host counts: daemons speak to each other on the peers' port.
+    // Only the host of a seed is used: all daemons listen on the same peer
+    // port.
     seed.Port = out.PeerAddress.Port;
     out.Seeds.push_back(seed);
   }
@@ -105,7 +106,7 @@
   PacketSettingsResult result;
   json document = json::parse(text, nullptr, false);
   if (document.is_discarded()) {
-    result.Faults.push_back({"", "no JSON", "a JSON object"});
+    result.Faults.push_back({"", "invalid JSON", "a JSON object"});
     return result;
   }
   static const json schema = json::parse(packetSettingsSchema());
--- a/Balsamrack/Settings/PacketSettings.h
+++ b/Balsamrack/Settings/PacketSettings.h
@@ -8,35 +8,37 @@
 
 namespace balsamrack {
 
-/// Settings of a daemon of the packet carrier. Plain data.
+/// Settings of a packet daemon. Plain data.
 struct PacketSettings {
-  std::string Name;           ///< For logs; the VM's own name.
-  DomainId Domain;            ///< The failure domain that it stands in.
-  Address PacketAddress;      ///< Where callers' packets come in.
-  Address ReadyAddress;       ///< Where the fabric asks whether to send.
-  std::string ReadyPath;      ///< What it asks for.
-  Address PeerAddress;        ///< Where other daemons send to; the port is the
-                              ///< same on all VMs.
-  std::vector<Address> Seeds; ///< Daemons that may be there.
-  Address PublishedAddress;   ///< Where operators and servers publish.
-  Address MetricsAddress;     ///< Prometheus text; port zero: nowhere.
-  Duration ShutdownGrace{6'000'000}; ///< From SIGTERM to SIGKILL.
-  uint32_t MaxFlows = 100'000;       ///< Flows remembered.
-
-  /// This daemon as its peers know it: by its address, which is unique in the
-  /// fleet at any time. Thread-safe.
+  std::string Name;      ///< Name of the VM, for logs.
+  DomainId Domain;       ///< The VM's failure domain.
+  Address PacketAddress; ///< Listen address for callers' packets.
+  Address ReadyAddress;  ///< Listen address of the fabric's readiness checks.
+  std::string ReadyPath; ///< Path of the readiness checks.
+  Address PeerAddress;   ///< Listen address for messages of other daemons; the
+                         ///< port is the same on all VMs.
+  std::vector<Address> Seeds; ///< Addresses of daemons that may exist.
+  Address PublishedAddress;   ///< Address of the publishing service.
+  Address MetricsAddress; ///< Listen address for Prometheus metrics; port zero:
+                          ///< none.
+  Duration ShutdownGrace{6'000'000}; ///< Time from SIGTERM to SIGKILL.
+  uint32_t MaxFlows = 100'000;       ///< Capacity of the flow table.
+
+  /// This daemon as known to its peers: its id is its address, which is unique
+  /// in the fleet at any time. Thread-safe.
   EntryVm self() const;
   /// The seeds as peers, without this daemon. Thread-safe.
   std::vector<EntryVm> seedPeers() const;
 };
 
-/// Settings, or every fault that was found.
+/// Settings, or all faults found.
 struct PacketSettingsResult {
-  PacketSettings Values;             ///< Meaningful only without faults.
-  std::vector<SettingsFault> Faults; ///< Empty when all is well.
+  PacketSettings Values;             ///< Valid only without faults.
+  std::vector<SettingsFault> Faults; ///< Empty if the settings are valid.
 };
 
-/// Checks \p text against the schema. Never fails otherwise. Thread-safe.
+/// Parses \p text and checks it against the schema. All errors are reported as
+/// faults. Thread-safe.
 PacketSettingsResult parsePacketSettings(const std::string &text);
 
 /// The JSON schema of these settings. Thread-safe.
--- a/Balsamrack/Settings/SchemaCheck.cpp
+++ b/Balsamrack/Settings/SchemaCheck.cpp
@@ -18,7 +18,8 @@
 
 using nlohmann::json;
 
-constexpr size_t MaxShownChars = 80; ///< Longer values are cut in messages.
+constexpr size_t MaxShownChars =
+    80; ///< Longer values are truncated in messages.
 
 std::string formatValue(const json &value) {
   std::string text = value.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -26,7 +27,7 @@
                                       : text.substr(0, MaxShownChars) + "...";
 }
 
-/// What a schema node allows, in words.
+/// Describes the values that a schema node allows.
 std::string describeAllowed(const json &node) {
   std::string text = node.value("type", std::string("value"));
   if (node.contains("enum"))
@@ -46,8 +47,8 @@
   return text;
 }
 
-/// Walks along one error's context ("<root>", "[name]", ...) in schema and
-/// document at the same time.
+/// Follows an error's context ("<root>", "[name]", ...) in schema and document
+/// at the same time.
 struct SchemaCursor {
   json::json_pointer Pointer;
   const json *Schema;
@@ -80,7 +81,7 @@
   return text.empty() ? "/" : text;
 }
 
-/// Faults of the members of the object at \p place: unknown and missing ones.
+/// Adds faults for unknown and missing members of the object at \p cursor.
 void addMemberFaults(const SchemaCursor &cursor,
                      std::vector<SettingsFault> &faults) {
   const json &known = (*cursor.Schema)["properties"];
@@ -104,7 +105,7 @@
                         describeAllowed(known[name.get<std::string>()])});
 }
 
-/// Collects faults below \p place in pointer order.
+/// Collects the faults at and below \p cursor in pointer order.
 void collectFaults(const SchemaCursor &cursor,
                    const std::set<std::string> &invalidPointers,
                    std::vector<SettingsFault> &faults) {
@@ -134,7 +135,6 @@
 
 std::vector<SettingsFault> checkAgainstSchema(const json &schema,
                                               const json &document) {
-  // Let valijson judge.
   valijson::Schema rules;
   valijson::SchemaParser parser;
   valijson::adapters::NlohmannJsonAdapter schemaAdapter(schema);
@@ -145,8 +145,9 @@
   if (validator.validate(rules, adapter, &results))
     return {};
 
-  // Its messages name neither the value nor the limits, and it repeats an
-  // error for each level above; keep the places and word them ourselves.
+  // Messages of valijson contain neither the value nor the limits, and errors
+  // are repeated for each level above. Keep the locations only and format the
+  // messages here.
   std::set<std::string> invalidPointers;
   valijson::ValidationResults::Error error;
   while (results.popError(error)) {
--- a/Balsamrack/Settings/SchemaCheck.h
+++ b/Balsamrack/Settings/SchemaCheck.h
@@ -9,8 +9,8 @@
 
 namespace balsamrack {
 
-/// Every place where \p document breaks \p schema, as pointer, what was found
-/// and what is allowed, in the order of their pointers. Precondition: \p schema
+/// Returns all violations of \p schema in \p document, each as JSON pointer,
+/// value found and values allowed, ordered by pointer. Precondition: \p schema
 /// is a valid JSON schema (draft 7) without references. Thread-safe.
 std::vector<SettingsFault> checkAgainstSchema(const nlohmann::json &schema,
                                               const nlohmann::json &document);
--- a/Balsamrack/Settings/Settings.cpp
+++ b/Balsamrack/Settings/Settings.cpp
@@ -22,7 +22,8 @@
 
 constexpr const char *AddressForm = "an IPv4 address and port, as 10.0.0.1:80";
 
-/// Reads checked fields; collects what the schema can't say.
+/// Reads fields that have passed the schema check; collects faults that a
+/// schema can not express.
 class SettingsReader {
 public:
   SettingsReader(const json &document, std::vector<SettingsFault> &faults)
@@ -122,7 +123,8 @@
   reader.duration("/membership/suspicion_ms", Millisecond, out.MinSuspicion);
   reader.duration("/membership/lease_ms", Millisecond, out.LeaseTime);
   out.IndirectTimeout = out.ProbeTimeout * 2;
-  // The departed matter to idempotency keys for as long as keys are remembered.
+  // Departed daemons matter to idempotency keys for as long as keys are
+  // remembered.
   out.ForgetAfter = std::max(out.ForgetAfter, keys.Memory);
 }
 
@@ -137,13 +139,13 @@
   reader.number("/journal/decisions", out.JournalDecisions);
 }
 
-/// Rules between fields, which a schema can't state.
+/// Checks the rules between fields, which a schema can not express.
 void checkCrossFieldRules(const Settings &values,
                           std::vector<SettingsFault> &faults) {
   const absl::Status timing = values.Timing.check();
   if (!timing.ok())
-    faults.push_back({"/membership", "times that don't fit together",
-                      std::string(timing.message())});
+    faults.push_back(
+        {"/membership", "inconsistent times", std::string(timing.message())});
   if (values.Platform.MaxBackoff < values.Platform.MinBackoff)
     faults.push_back({"/platform/max_backoff_ms",
                       absl::StrCat(values.Platform.MaxBackoff / Millisecond),
@@ -166,14 +168,14 @@
   SettingsResult result;
   const json document = json::parse(text, nullptr, false, true);
   if (document.is_discarded()) {
-    result.Faults.push_back({"/", "text that is no JSON", "a JSON object"});
+    result.Faults.push_back({"/", "invalid JSON", "a JSON object"});
     return result;
   }
   result.Faults = checkAgainstSchema(json::parse(settingsSchema()), document);
   if (!result.Faults.empty())
     return result;
 
-  // Types and limits hold from here on.
+  // The schema check guarantees types and limits from here on.
   Settings &out = result.Values;
   SettingsReader reader(document, result.Faults);
   out.Vm = VmId(document["vm"].get<std::string>());
--- a/Balsamrack/Settings/SettingsSchema.cpp
+++ b/Balsamrack/Settings/SettingsSchema.cpp
@@ -2,8 +2,8 @@
 
 namespace balsamrack {
 
-// Kept in the program so that a VM without disks needs no second file; the
-// schema is the one place where limits of settings stand.
+// The schema is compiled in so that a VM without disks needs no second file. It
+// is the only place that defines the limits of settings.
 const char *settingsSchema() {
   return R"json({
   "$schema": "http://json-schema.org/draft-07/schema#",
--- a/UnitTests/Settings/PacketSettingsTest.cpp
+++ b/UnitTests/Settings/PacketSettingsTest.cpp
@@ -8,15 +8,16 @@
 const std::string Good =
     R"({"vm":"front-1","failure_domain":"bern-a","packets":{"listen":"10.1.0.10:8172"},"ready":{"listen":"10.1.0.10:8167","path":"/-/ready"},"peers":{"listen":"10.1.0.10:7720","seeds":["10.1.0.10:8166","10.2.0.40:8166"]},"published":{"address":"10.200.1.7:8169"},"metrics":{"listen":"10.1.0.10:9464"},"shutdown":{"grace_s":6},"new_field":{"any":1}})";
 
-TEST(PacketSettingsTest, ReadsAGoodFile) {
+TEST(PacketSettingsTest, ParsesValidSettings) {
   PacketSettingsResult read = parsePacketSettings(Good);
   ASSERT_TRUE(read.Faults.empty()) << read.Faults[0].str();
   EXPECT_EQ(read.Values.Domain.str(), "bern-a");
   EXPECT_EQ(read.Values.self().Id.str(), "10.1.0.10");
   EXPECT_EQ(read.Values.ShutdownGrace, Duration(6'000'000));
   auto seeds = read.Values.seedPeers();
-  ASSERT_EQ(seeds.size(), 1U) << "itself left out";
-  EXPECT_EQ(seeds[0].PeerAt.str(), "10.2.0.40:7720") << "on the peers' port";
+  ASSERT_EQ(seeds.size(), 1U) << "must not include this daemon";
+  EXPECT_EQ(seeds[0].PeerAt.str(), "10.2.0.40:7720")
+      << "must use the peer port";
 }
 
 struct BadFile {
@@ -28,7 +29,7 @@
 
 class EachBadPacketSetting : public testing::TestWithParam<BadFile> {};
 
-TEST_P(EachBadPacketSetting, IsNamedWithItsReason) {
+TEST_P(EachBadPacketSetting, IsReportedWithItsPointer) {
   std::string text = Good;
   size_t at = text.find(GetParam().Original);
   ASSERT_NE(at, std::string::npos);
--- a/UnitTests/Settings/SettingsTest.cpp
+++ b/UnitTests/Settings/SettingsTest.cpp
@@ -21,15 +21,15 @@
 }
 
 struct FaultCase {
-  const char *Name;    ///< Of the case.
-  const char *Pointer; ///< Field that is changed, and that must be named.
-  const char *Value;   ///< JSON put there; empty: the field is removed.
-  const char *Allowed; ///< Part of what the fault must say is allowed.
+  const char *Name;    ///< Name of the test case.
+  const char *Pointer; ///< Field that is changed and must be reported.
+  const char *Value; ///< JSON value of the field; empty: the field is removed.
+  const char *Allowed; ///< Part of the expected SettingsFault::Allowed.
 };
 
 class SettingsFaultTest : public testing::TestWithParam<FaultCase> {};
 
-TEST_P(SettingsFaultTest, NamesFieldAndWhatIsAllowed) {
+TEST_P(SettingsFaultTest, ReportsFieldAndAllowedValues) {
   const FaultCase &it = GetParam();
   json document = goodSettings();
   const json::json_pointer at(it.Pointer);
@@ -63,7 +63,7 @@
         FaultCase{"lease", "/membership", "{\"lease_ms\": 500}", "lease"}),
     [](const auto &info) { return info.param.Name; });
 
-TEST(SettingsTest, GoodFileHasNoFaultsAndKeepsItsValues) {
+TEST(SettingsTest, ValidSettingsAreParsedWithoutFaults) {
   json document = goodSettings();
   document["keys"] = {{"memory_s", 5}, {"when_cut", "run_with_reachable"}};
   const SettingsResult result = parseSettings(document.dump());
@@ -74,7 +74,7 @@
   EXPECT_EQ(result.Values.Peers.Seeds.at(0).Id, VmId("vm-2"));
 }
 
-TEST(SettingsTest, EveryFaultHasALineOfItsOwn) {
+TEST(SettingsTest, ReportsEachFaultSeparately) {
   json document = goodSettings();
   document["vm"] = "";
   document["log"] = {{"level", "loud"}};
