--- a/Balsamrack/Core/Address.h
+++ b/Balsamrack/Core/Address.h
@@ -9,15 +9,14 @@
 
 namespace balsamrack {
 
-/// An IPv4 address as a dotted quad, with a TCP port. Not thread-safe for
-/// writing.
+/// An IPv4 address as a dotted quad, with a port. Not thread-safe for writing.
 struct Address {
-  std::string Ip;    ///< Dotted quad; names are not resolved anywhere.
-  uint16_t Port = 0; ///< Zero for "none".
+  std::string Ip;    ///< Dotted quad; host names are never resolved.
+  uint16_t Port = 0; ///< Zero if there is none.
 
-  /// Parses "ip:port". Error kInvalidArgument when it is neither. Thread-safe.
+  /// Parses "ip:port". Returns kInvalidArgument for anything else. Thread-safe.
   static absl::StatusOr<Address> parse(const std::string &text);
-  /// The address as "ip:port". Thread-safe.
+  /// Formats the address as "ip:port". Thread-safe.
   std::string str() const;
 
   friend bool operator==(const Address &a, const Address &b) {
--- a/Balsamrack/Core/AddressSet.cpp
+++ b/Balsamrack/Core/AddressSet.cpp
@@ -34,8 +34,9 @@
       ok = ok && absl::SimpleAtoi(text.substr(slash + 1), &bits) &&
            bits <= AddressBits;
     if (!ok)
-      return absl::InvalidArgumentError(absl::StrCat(
-          "not an IPv4 address or a.b.c.d/bits: ", text.substr(0, 64)));
+      return absl::InvalidArgumentError(
+          absl::StrCat("not an IPv4 address or CIDR range (a.b.c.d/bits): ",
+                       text.substr(0, 64)));
     uint32_t mask = bits == 0 ? 0 : ~uint32_t(0) << (AddressBits - bits);
     set.Ranges.push_back({*address & mask, mask});
   }
--- a/Balsamrack/Core/AddressSet.h
+++ b/Balsamrack/Core/AddressSet.h
@@ -9,25 +9,25 @@
 
 namespace balsamrack {
 
-/// A set of IPv4 addresses, from which peers or operators are let in. Not
-/// changed once made, so thread-safe.
+/// A set of IPv4 addresses from which peers or operators may connect. Immutable
+/// and therefore thread-safe.
 class AddressSet {
 public:
-  /// Parses dotted quads and ranges written as a.b.c.d/bits. Error
+  /// Parses dotted quads and CIDR ranges (a.b.c.d/bits). Returns
   /// kInvalidArgument for anything else. Thread-safe.
   static absl::StatusOr<AddressSet> parse(const std::vector<std::string> &list);
 
-  /// True when the set holds \p ip, a dotted quad. Anything else is not held.
+  /// True if the set contains \p ip, a dotted quad. False for any other text.
   bool contains(const std::string &ip) const;
 
 private:
-  /// Addresses whose bits under the mask are the same.
+  /// A CIDR range: addresses that are equal under the mask.
   struct Range {
-    uint32_t First; ///< In host byte order, masked.
+    uint32_t First; ///< First address, in host byte order.
     uint32_t Mask;  ///< In host byte order.
   };
 
-  std::vector<Range> Ranges; ///< Few, so a linear search does.
+  std::vector<Range> Ranges; ///< Few, so linear search is sufficient.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Core/DatagramSocket.cpp
+++ b/Balsamrack/Core/DatagramSocket.cpp
@@ -17,7 +17,7 @@
   if (fd < 0)
     return makeError(absl::StatusCode::kUnavailable, Step::Listen,
                      address.str(), std::strerror(errno));
-  // Smaller buffers than asked for only lose more in a burst.
+  // Errors are ignored: smaller buffers only drop more datagrams in a burst.
   (void)setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &bufferBytes, sizeof bufferBytes);
   (void)setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &bufferBytes, sizeof bufferBytes);
   sockaddr_in socketAddress{};
--- a/Balsamrack/Core/DatagramSocket.h
+++ b/Balsamrack/Core/DatagramSocket.h
@@ -6,10 +6,10 @@
 
 namespace balsamrack {
 
-/// Opens a non-blocking UDP socket bound to \p at, with receive and send
+/// Opens a non-blocking UDP socket bound to \p address, with receive and send
 /// buffers of \p bufferBytes as far as the system grants them. The caller
-/// closes it. Error (step listen, peer ip:port) when the address is taken or
-/// not ours. Thread-safe.
+/// closes it. Returns an error (step listen, peer ip:port) if the address is in
+/// use or not local. Thread-safe.
 absl::StatusOr<int> openDatagramSocket(const Address &address, int bufferBytes);
 
 } // namespace balsamrack
--- a/Balsamrack/Core/Errors.h
+++ b/Balsamrack/Core/Errors.h
@@ -7,48 +7,48 @@
 
 namespace balsamrack {
 
-/// The step of the work at which an error arose. Its name (stepName) is what
-/// logs and Proxy-Status show.
+/// Processing step in which an error occurred. Logs and Proxy-Status show its
+/// name (stepName).
 enum class Step {
-  ReadSettings,
-  Listen,
-  DecodeEnvelope,
-  Place,
-  ForwardToOwner,
-  Admit,
-  Dispatch,
-  AwaitResponse,
-  DecodePeerMessage,
-  SendToPeer,
-  ReadPlatform,
-  CheckTicket,
-  Probe,
-  HandOver,
-  HandleOperatorRequest,
-  Record,
-  Replay,
+  ReadSettings,          ///< Reading and checking settings.
+  Listen,                ///< Opening a listening or datagram socket.
+  DecodeEnvelope,        ///< Parsing a request's envelope.
+  Place,                 ///< Selecting a backend server.
+  ForwardToOwner,        ///< Forwarding a request to the server's owner.
+  Admit,                 ///< Admission by the owner.
+  Dispatch,              ///< Sending a request to a backend server.
+  AwaitResponse,         ///< Waiting for the response of a backend server.
+  DecodePeerMessage,     ///< Parsing a message from a peer.
+  SendToPeer,            ///< Sending a message to a peer.
+  ReadPlatform,          ///< Reading the platform's pages.
+  CheckTicket,           ///< Checking a change ticket.
+  Probe,                 ///< Probing a peer.
+  HandOver,              ///< Handing a backend server over to its next owner.
+  HandleOperatorRequest, ///< Handling an operator's request.
+  Record,                ///< Recording a trace.
+  Replay,                ///< Replaying a trace.
 };
 
-/// The step's name in lower case with hyphens. Thread-safe.
+/// Name of a step in lower case with hyphens. Thread-safe.
 const char *stepName(Step step);
 
-/// Makes an error that carries the step and the peer at which it arose.
+/// Creates an error with the step and the peer at which it occurred.
 /// Precondition: \p code is not kOk. Thread-safe.
 absl::Status makeError(absl::StatusCode code, Step step,
                        const std::string &peer, const std::string &message);
 
-/// Adds step and peer to an error that has none yet; an ok status and one that
-/// has them stay as they are. Thread-safe.
+/// Adds step and peer to an error that has none yet. An ok status, or an error
+/// that already has them, is returned unchanged. Thread-safe.
 absl::Status addErrorContext(absl::Status status, Step step,
                              const std::string &peer);
 
-/// Name of the step that \p status carries, or an empty string. Thread-safe.
+/// Returns the name of the step in \p status, or an empty string. Thread-safe.
 std::string stepOf(const absl::Status &status);
 
-/// The peer that \p status carries, or an empty string. Thread-safe.
+/// Returns the peer in \p status, or an empty string. Thread-safe.
 std::string peerOf(const absl::Status &status);
 
-/// One line for logs: code, message, step and peer. Thread-safe.
+/// Formats code, message, step and peer as one line for logs. Thread-safe.
 std::string describe(const absl::Status &status);
 
 } // namespace balsamrack
--- a/Balsamrack/Core/Ids.h
+++ b/Balsamrack/Core/Ids.h
@@ -10,25 +10,25 @@
 
 namespace balsamrack {
 
-/// Returns a 64-bit hash of \p bytes that is the same on every VM and in every
-/// run (XXH3). Thread-safe.
+/// Returns a 64-bit hash (XXH3) of \p bytes that is the same on every VM and in
+/// every run. Thread-safe.
 uint64_t stableHash(std::string_view bytes, uint64_t seed = 0);
 
-/// Mixes two hashes into one; order matters. Thread-safe.
+/// Combines two hashes into one; the order matters. Thread-safe.
 uint64_t combineHash(uint64_t first, uint64_t second);
 
-/// An id that operators give as a name. \p Tag keeps ids of different kinds
-/// apart. Not thread-safe for writing; copies are independent.
+/// A name used as an id. \p Tag makes ids of different kinds distinct types.
+/// Not thread-safe for writing; copies are independent.
 template <class Tag> class NamedId {
 public:
   NamedId() = default;
   explicit NamedId(std::string name) : Name(std::move(name)) {}
 
-  /// The name as the operators wrote it.
+  /// The name as configured by operators.
   const std::string &str() const { return Name; }
-  /// True for an id that names nothing.
+  /// True if no id is set.
   bool empty() const { return Name.empty(); }
-  /// A hash that every VM computes alike.
+  /// Hash of the name, the same on every VM.
   uint64_t hash() const { return stableHash(Name); }
 
   friend bool operator==(const NamedId &a, const NamedId &b) {
@@ -45,13 +45,13 @@
   }
 
 private:
-  std::string Name; ///< Empty for "none".
+  std::string Name; ///< Empty if no id is set.
 };
 
-/// An id that is a number. \p Tag keeps ids of different kinds apart. Not
-/// thread-safe for writing.
+/// A number used as an id. \p Tag makes ids of different kinds distinct types.
+/// Not thread-safe for writing.
 template <class Tag> struct NumberId {
-  uint64_t Value = 0; ///< Zero for "none".
+  uint64_t Value = 0; ///< Zero if no id is set.
 
   friend constexpr bool operator==(NumberId a, NumberId b) {
     return a.Value == b.Value;
@@ -79,31 +79,31 @@
 using VmId = NamedId<struct VmTag>; ///< An entry VM, and the daemon on it.
 using DomainId = NamedId<struct DomainTag>; ///< A failure domain.
 using RegionId =
-    NamedId<struct RegionTag>; ///< A region, which holds failure domains.
+    NamedId<struct RegionTag>; ///< A region, a group of failure domains.
 using ServiceId = NamedId<struct ServiceTag>; ///< A service that operators run.
 using ServerId = NamedId<struct ServerTag>;   ///< A backend server.
 using InstanceId =
-    NamedId<struct InstanceTag>; ///< One run of a backend server process, as it
-                                 ///< names itself.
+    NamedId<struct InstanceTag>; ///< One run of a backend server process, as
+                                 ///< reported by the process.
 
 using FlowId = NumberId<struct FlowTag>;     ///< A flow: hash of the caller's
                                              ///< address, port and the service.
-using CallerId = NumberId<struct CallerTag>; ///< A caller: hash of its address
+using CallerId = NumberId<struct CallerTag>; ///< A caller: hash of its address,
                                              ///< without the port.
 using RequestId = NumberId<struct RequestTag>; ///< One attempt of a request,
                                                ///< unique across daemons.
 using TicketNumber =
-    NumberId<struct TicketTag>; ///< A change ticket; higher is later.
+    NumberId<struct TicketTag>; ///< A change ticket; higher numbers are newer.
 using Incarnation =
-    NumberId<struct IncarnationTag>; ///< One run of a daemon; higher is later
-                                     ///< on the same VM.
+    NumberId<struct IncarnationTag>; ///< One run of a daemon; higher numbers
+                                     ///< are newer on the same VM.
 
-/// Digest of an Idempotency-Key and the service that it was sent to.
+/// Digest of an Idempotency-Key field and the service that it was sent to.
 struct KeyDigest {
-  uint64_t High = 0; ///< Both zero for "no key".
+  uint64_t High = 0; ///< Both halves are zero if there is no key.
   uint64_t Low = 0;
 
-  /// True when the request carries no key. Thread-safe.
+  /// True if the request has no key. Thread-safe.
   constexpr bool empty() const { return High == 0 && Low == 0; }
   friend constexpr bool operator==(KeyDigest a, KeyDigest b) {
     return a.High == b.High && a.Low == b.Low;
@@ -119,8 +119,8 @@
   }
 };
 
-/// Digest of \p key as sent to \p service. Never empty for a non-empty key.
-/// Thread-safe.
+/// Computes the digest of \p key as sent to \p service. Never empty for a
+/// non-empty key. Thread-safe.
 KeyDigest digestKey(const ServiceId &service, std::string_view key);
 
 } // namespace balsamrack
--- a/Balsamrack/Core/ListenSocket.cpp
+++ b/Balsamrack/Core/ListenSocket.cpp
@@ -15,7 +15,8 @@
 
 namespace {
 
-constexpr int Backlog = 1024; ///< Connections that wait to be accepted.
+constexpr int Backlog =
+    1024; ///< Maximum number of connections waiting to be accepted.
 
 absl::Status listenError(int error, const Address &address, const char *call) {
   auto code = error == EADDRINUSE ? absl::StatusCode::kAlreadyExists
@@ -38,8 +39,8 @@
   if (fd < 0)
     return listenError(errno, address, "socket");
   ListenSocket result(fd, address);
-  // Without this a daemon that is started again could not listen for a minute,
-  // while connections of its earlier run are in TIME_WAIT.
+  // Without SO_REUSEADDR, a restarted daemon could not listen for a minute
+  // while connections of its previous run are in TIME_WAIT.
   int enable = 1;
   ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof enable);
   auto *addr = reinterpret_cast<sockaddr *>(&socketAddress);
--- a/Balsamrack/Core/ListenSocket.h
+++ b/Balsamrack/Core/ListenSocket.h
@@ -6,13 +6,13 @@
 
 namespace balsamrack {
 
-/// A TCP socket that listens. Closes itself. Not thread-safe.
+/// A listening TCP socket, closed by the destructor. Not thread-safe.
 class ListenSocket {
 public:
-  /// Opens a socket that listens at \p at; port zero takes a free one. Error
-  /// (step listen, peer ip:port) with the system's reason: kAlreadyExists when
-  /// the port is taken, kUnavailable when the address is not ours or may not be
-  /// used. Thread-safe.
+  /// Opens a socket that listens on \p address; port zero selects a free port.
+  /// On failure returns an error (step listen, peer ip:port) with the system's
+  /// reason: kAlreadyExists if the port is in use, kUnavailable if the address
+  /// is not local or not permitted. Thread-safe.
   static absl::StatusOr<ListenSocket> open(const Address &address);
 
   ListenSocket(ListenSocket &&other) noexcept;
@@ -21,15 +21,15 @@
 
   /// The file descriptor, still owned by this object.
   int fd() const { return Fd; }
-  /// Where it listens, with the real port.
+  /// The address that it listens on, with the actual port.
   const Address &address() const { return BoundAddress; }
 
 private:
   ListenSocket(int fd, Address address)
       : Fd(fd), BoundAddress(std::move(address)) {}
 
-  int Fd;               ///< -1 once moved from.
-  Address BoundAddress; ///< Where it listens.
+  int Fd;               ///< -1 after a move.
+  Address BoundAddress; ///< Address that it listens on.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Core/Random.h
+++ b/Balsamrack/Core/Random.h
@@ -5,29 +5,30 @@
 
 namespace balsamrack {
 
-/// Source of random numbers that is handed to whatever needs one, so that a
-/// replay sees the same choices.
+/// Source of random numbers. Passed as a parameter to code that needs one, so
+/// that a replay makes the same choices.
 class RandomSource {
 public:
   virtual ~RandomSource() = default;
-  /// The next 64 random bits. Not thread-safe: each shard has a source of its
-  /// own.
+  /// Returns the next 64 random bits. Not thread-safe: each shard has its own
+  /// source.
   virtual uint64_t next() = 0;
-  /// A number in [0, \p bound). Precondition: \p bound > 0. Not thread-safe.
+  /// Returns a number in [0, \p bound). Precondition: \p bound > 0. Not
+  /// thread-safe.
   uint64_t below(uint64_t bound) { return next() % bound; }
-  /// A number in [0, 1). Not thread-safe.
+  /// Returns a number in [0, 1). Not thread-safe.
   double nextDouble() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
 };
 
-/// splitmix64 (Steele, Lea, Flood 2014): small state, good enough for jitter
-/// and probing order.
+/// splitmix64 (Steele, Lea, Flood 2014): small state, sufficient for jitter and
+/// probing order.
 class SeededRandom final : public RandomSource {
 public:
   explicit SeededRandom(uint64_t seed) : State(seed) {}
   uint64_t next() override;
 
 private:
-  uint64_t State; ///< Advances by a constant on each call.
+  uint64_t State; ///< Incremented by a constant on each call.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Core/SignalPipe.cpp
+++ b/Balsamrack/Core/SignalPipe.cpp
@@ -15,13 +15,13 @@
 
 constexpr int64_t MicrosPerMilli = 1000;
 
-/// Where the handler writes to; -1: nowhere.
+/// Descriptor that the signal handler writes to; -1 if there is none.
 std::atomic<int> SignalWriteEnd{-1};
 
 extern "C" void writeSignal(int signal) {
   int savedErrno = errno;
   auto byte = static_cast<uint8_t>(signal);
-  // A full pipe holds signals enough to act on.
+  // A full pipe is ignored: it already contains signals to process.
   (void)!write(SignalWriteEnd.load(), &byte, 1);
   errno = savedErrno;
 }
@@ -33,7 +33,7 @@
   int pipeEnds[2];
   if (SignalWriteEnd.load() >= 0 ||
       pipe2(pipeEnds, O_NONBLOCK | O_CLOEXEC) != 0)
-    return absl::InternalError("cannot take signals over");
+    return absl::InternalError("cannot install the signal handlers");
   SignalWriteEnd = pipeEnds[1];
   struct sigaction action {};
   action.sa_handler = writeSignal;
@@ -51,7 +51,8 @@
 
 int SignalPipe::wait(Duration timeout) {
   pollfd polled{ReadEnd, POLLIN, 0};
-  // A signal may end the wait early, on this thread or by its byte.
+  // A signal may end poll() early, by interrupting this thread or by its byte
+  // in the pipe.
   poll(&polled, 1, static_cast<int>(timeout.count() / MicrosPerMilli));
   uint8_t signal = 0;
   return read(ReadEnd, &signal, 1) == 1 ? signal : 0;
--- a/Balsamrack/Core/SignalPipe.h
+++ b/Balsamrack/Core/SignalPipe.h
@@ -9,23 +9,25 @@
 
 namespace balsamrack {
 
-/// Turns signals into bytes of a pipe, so that one that comes while its thread
-/// is busy is found by the next wait. One object a process. Not thread-safe.
+/// Converts signals into bytes of a pipe (self-pipe), so that a signal that
+/// arrives while its thread is busy is found by the next wait. At most one
+/// object per process. Not thread-safe.
 ///
-/// No thread blocks the signals: one that is asked to end while it reads its
-/// settings must hear of it. The handler may run on any thread; system calls
-/// are restarted, but for waits, whose callers all look around and wait again.
+/// No thread blocks the signals, so that a process asked to stop while it reads
+/// its settings still notices. The handler may run on any thread. System calls
+/// are restarted, except for waits, whose callers all check their conditions
+/// and wait again.
 class SignalPipe {
 public:
-  /// Takes \p signals over for the whole process. Error kInternal when the
-  /// system refuses, or when there is one already.
+  /// Installs handlers for \p signals in the whole process. Returns kInternal
+  /// if the system call fails or an object already exists.
   static absl::StatusOr<std::unique_ptr<SignalPipe>>
   create(std::initializer_list<int> signals);
   SignalPipe(const SignalPipe &) = delete;
   SignalPipe &operator=(const SignalPipe &) = delete;
   ~SignalPipe();
 
-  /// The next signal, or zero when none comes within \p most.
+  /// Returns the next signal, or zero if none arrives within \p timeout.
   int wait(Duration timeout);
 
 private:
--- a/Balsamrack/Core/Time.h
+++ b/Balsamrack/Core/Time.h
@@ -7,11 +7,12 @@
 
 namespace balsamrack {
 
-/// All durations inside the system. Microseconds keep recorded traces exact.
+/// Type of all durations. Integer microseconds are recorded in traces without
+/// loss.
 using Duration = std::chrono::microseconds;
 
-/// Names the monotonic time line of one process; times of two VMs can't be
-/// mixed up with wall time.
+/// Time base of one process's monotonic clock. As a type of its own, it
+/// prevents mixing monotonic time with wall clock time.
 struct MonotonicTimeBase {
   using duration = Duration;
   using rep = Duration::rep;
@@ -20,42 +21,41 @@
   static constexpr bool is_steady = true;
 };
 
-/// A moment on the monotonic clock of this process.
+/// A point in time on the monotonic clock of this process.
 using TimePoint = MonotonicTimeBase::time_point;
 
-/// Source of the current time; decisions never read a clock on their own, they
-/// are handed a TimePoint.
+/// Source of the current time. Decision classes never read a clock; they get
+/// the TimePoint as a parameter.
 class Clock {
 public:
   virtual ~Clock() = default;
-  /// The current monotonic time. Thread-safe.
+  /// Returns the current monotonic time. Thread-safe.
   virtual TimePoint now() const = 0;
 };
 
-/// The operating system's monotonic clock (CLOCK_BOOTTIME, so that a suspended
-/// VM sees the time it lost).
+/// The operating system's monotonic clock (CLOCK_BOOTTIME, so that time during
+/// which the VM was suspended counts).
 class SystemClock final : public Clock {
 public:
   TimePoint now() const override;
 };
 
-/// A clock that moves only when it is told to: for tests and replay.
-/// Thread-safe.
+/// A clock that is advanced explicitly, for tests and replay. Thread-safe.
 class ManualClock final : public Clock {
 public:
   TimePoint now() const override { return TimePoint(Duration(Micros.load())); }
-  /// Moves the clock on. Precondition: \p step is not negative.
+  /// Advances the clock. Precondition: \p step is not negative.
   void advance(Duration step) { Micros += step.count(); }
   /// Sets the clock. Precondition: \p when is not before now().
   void set(TimePoint when) { Micros = when.time_since_epoch().count(); }
 
 private:
   std::atomic<int64_t> Micros{
-      1'000'000}; ///< Starts at one second, so that zero stays "never".
+      1'000'000}; ///< Starts at one second, because zero means "never".
 };
 
-/// Event of a decision class: time has passed. Due when its nextWakeup() says
-/// so, harmless otherwise.
+/// Timer event of a decision class. Due at the time returned by its
+/// nextWakeup(); has no effect at other times.
 struct Ticked {};
 
 } // namespace balsamrack
--- a/UnitTests/IdsTest.cpp
+++ b/UnitTests/IdsTest.cpp
@@ -7,20 +7,20 @@
 namespace balsamrack {
 namespace {
 
-// The hash places flows on every VM alike, so its values are part of the
-// protocol: a change of the hash library must show here.
+// Flow placement uses this hash on every VM, so its values are part of the
+// protocol. Guards against a hash library that computes other values.
 TEST(IdsTest, HashIsPartOfTheProtocol) {
   EXPECT_EQ(ServerId("booking-01").hash(), stableHash("booking-01"));
   EXPECT_EQ(stableHash(""), 0x2D06800538D394C2ULL);
 }
 
-TEST(IdsTest, OneKeyAtTwoServicesIsTwoKeys) {
+TEST(IdsTest, KeyDigestDependsOnService) {
   EXPECT_NE(digestKey(ServiceId("booking"), "k"),
             digestKey(ServiceId("archive"), "k"));
   EXPECT_TRUE(digestKey(ServiceId("booking"), "").empty());
 }
 
-TEST(ErrorsTest, FirstStepAndPeerStay) {
+TEST(ErrorsTest, KeepsFirstStepAndPeer) {
   absl::Status status = makeError(absl::StatusCode::kUnavailable,
                                   Step::Dispatch, "booking-01", "refused");
   status = addErrorContext(status, Step::ForwardToOwner, "vm-2");
