--- a/Balsamrack/Observability/EventLog.cpp
+++ b/Balsamrack/Observability/EventLog.cpp
@@ -27,7 +27,7 @@
       out += '\\';
       out += c;
     } else if (u < 0x20 || u >= 0x7f) {
-      // Whatever came in, a line stays one line of plain ASCII.
+      // Escaped so that each record is a single line of plain ASCII.
       char text[8];
       std::snprintf(text, sizeof text, "\\u%04x", u);
       out += text;
@@ -60,7 +60,7 @@
   }
 
 private:
-  /// Lines of one event within the current second.
+  /// Counts of one event within the current second.
   struct EventRate {
     uint32_t Lines = 0;
     uint64_t Dropped = 0;
@@ -74,14 +74,14 @@
   const EventLogSettings Settings;
   const int Fd;
   const Clock &Time;
-  mutable std::mutex Lock; ///< Guards what follows.
+  mutable std::mutex Lock; ///< Guards the members below.
   std::condition_variable WakeWriter;
   std::vector<std::string> QueuedLines;
-  std::map<std::string, EventRate> Rates; ///< By event.
+  std::map<std::string, EventRate> Rates; ///< By event name.
   TimePoint SecondStart;
   uint64_t Dropped = 0;
   bool Stopping = false;
-  std::thread Writer; ///< Last, so that all above is there when it starts.
+  std::thread Writer; ///< Last member, since the thread uses those above.
 };
 
 void AsyncEventLog::enqueue(const LogLine &line) {
@@ -130,7 +130,7 @@
   size_t written = 0;
   while (written < text.size()) {
     ssize_t n = ::write(Fd, text.data() + written, text.size() - written);
-    // Nobody reads any more: there is no place left to say so.
+    // The reader is gone, and there is no other place to report it.
     if (n <= 0)
       return;
     written += static_cast<size_t>(n);
--- a/Balsamrack/Observability/EventLog.h
+++ b/Balsamrack/Observability/EventLog.h
@@ -10,14 +10,14 @@
 
 namespace balsamrack {
 
-/// One line of the event log: a JSON object that is built field by field. Not
+/// A line of the event log: a JSON object that is built field by field. Not
 /// thread-safe.
 class LogLine {
 public:
-  /// Begins a line of \p part about \p event, a name with hyphens.
+  /// Starts a line of \p component about \p event, a name with hyphens.
   LogLine(Component component, Severity severity, const char *event);
 
-  /// Adds a text. Control characters and quotes are escaped.
+  /// Adds a string. Control characters and quotes are escaped.
   LogLine &text(const char *name, const std::string &value);
   /// Adds a number.
   LogLine &number(const char *name, uint64_t value);
@@ -25,14 +25,14 @@
   LogLine &decimal(const char *name, double value);
   /// Adds a duration in milliseconds, with three decimals.
   LogLine &millis(const char *name, Duration value);
-  /// Adds a truth value.
+  /// Adds a boolean.
   LogLine &flag(const char *name, bool value);
 
-  /// The event's name.
+  /// Name of the event.
   const char *event() const { return EventName; }
-  /// How much it matters.
+  /// Severity of the line.
   Severity severity() const { return EventSeverity; }
-  /// What was built so far, without the closing brace.
+  /// Returns the fields added so far, without the enclosing braces.
   const std::string &str() const { return Text; }
 
 private:
@@ -46,27 +46,28 @@
 /// Limits of the event log.
 struct EventLogSettings {
   uint32_t MaxLinesPerSecond =
-      100; ///< Of one event; 33 KB a second for the usual
-           ///< line of 330 bytes. A small site's daemon
-           ///< places some fifty flows a second.
-  uint32_t MaxQueuedLines = 2'000; ///< Lines that wait to be written, 700 KB.
-  Duration FlushInterval{250'000}; ///< Lines are written so often, in one call.
+      100; ///< Limit per event name; 33 KB/s at the usual 330 bytes per line.
+           ///< The daemon of a small site places about 50 flows per second.
+  uint32_t MaxQueuedLines =
+      2'000; ///< Capacity of the queue of lines to be written, about 700 KB.
+  Duration FlushInterval{
+      250'000}; ///< Interval at which queued lines are written, in one call.
 };
 
-/// Structured log, a JSON object a line. Never blocks: lines wait in a bounded
-/// ring for a thread of their own; what is over a bound is dropped and counted,
-/// and the counts are written as lines. Thread-safe.
+/// Structured log with one JSON object per line. Never blocks: a separate
+/// thread writes the lines from a bounded queue. Lines above a limit are
+/// dropped and counted, and the counts are logged. Thread-safe.
 class EventLog {
 public:
-  /// Writes to the file descriptor \p fd, which stays open. Preconditions: \p
-  /// clock outlives the log. Thread-safe.
+  /// Creates a log that writes to the file descriptor \p fd and
+  /// does not close it. Precondition: \p clock outlives the log. Thread-safe.
   static std::unique_ptr<EventLog> create(const EventLogSettings &settings,
                                           int fd, const Clock &clock);
-  /// Writes what waits.
+  /// Writes the queued lines.
   virtual ~EventLog() = default;
-  /// Takes a line in.
+  /// Queues a line.
   virtual void write(const LogLine &line) = 0;
-  /// Lines dropped so far.
+  /// Returns the number of lines dropped so far.
   virtual uint64_t dropped() const = 0;
 };
 
--- a/Balsamrack/Observability/Journal.h
+++ b/Balsamrack/Observability/Journal.h
@@ -18,26 +18,28 @@
 
 namespace balsamrack {
 
-/// The last decisions of this daemon, to be asked about. Thread-safe; decisions
-/// are spread over shards by their flow, each under its own lock.
+/// Stores the most recent decisions of this daemon for operators' queries.
+/// Thread-safe: decisions are distributed over shards by their flow, each with
+/// its own lock.
 class Journal {
 public:
-  /// Holds about \p capacity decisions in all.
+  /// Creates a journal for a total of about \p capacity decisions.
   explicit Journal(size_t capacity);
 
-  /// Keeps a decision, in place of its shard's oldest when that is full.
+  /// Stores a decision; replaces the oldest one of its shard if the shard is
+  /// full.
   void add(Decision decision);
-  /// Decisions about one request, oldest first.
+  /// Returns the decisions about a request, oldest first.
   std::vector<Decision> findByRequest(RequestId request) const;
-  /// Decisions about one flow, oldest first.
+  /// Returns the decisions about a flow, oldest first.
   std::vector<Decision> findByFlow(FlowId flow) const;
-  /// Decisions about one backend server, oldest first.
+  /// Returns the decisions about a backend server, oldest first.
   std::vector<Decision> findByServer(const ServerId &server) const;
-  /// How one ticket was judged, oldest first.
+  /// Returns the decisions to apply or reject a ticket, oldest first.
   std::vector<Decision> findByTicket(TicketNumber ticket) const;
-  /// One of the above by the operators' words: \p kind is "request" or "flow"
-  /// (\p id in hex), "server" or "ticket" (\p id decimal). Error
-  /// kInvalidArgument, without step, when they can't be read.
+  /// Runs one of the above queries as given by operators: \p kind is "request"
+  /// or "flow" (\p id in hex), "server" or "ticket" (\p id in decimal). Returns
+  /// kInvalidArgument, without a step, if they can't be parsed.
   absl::StatusOr<std::vector<Decision>> query(const std::string &kind,
                                               const std::string &id) const;
 
@@ -45,11 +47,11 @@
   static constexpr size_t ShardCount = 16;
 
   struct Entry {
-    uint64_t Sequence; ///< Place in the order of all decisions.
+    uint64_t Sequence; ///< Position in the order of all decisions.
     Decision Value;
   };
   struct Shard {
-    mutable std::mutex Lock; ///< Guards what follows.
+    mutable std::mutex Lock; ///< Guards Ring.
     std::deque<Entry> Ring;  ///< Oldest first.
   };
 
@@ -61,11 +63,11 @@
   std::array<Shard, ShardCount> AllShards;
 };
 
-/// One plain sentence that tells what was decided, by which rule, on which
-/// inputs, under which ticket, at which step and peer. Thread-safe.
+/// Describes a decision in one sentence: result, rule, inputs, ticket, step and
+/// peer. Thread-safe.
 std::string decisionSentence(const Decision &decision);
 
-/// A decision's fields and its sentence. Thread-safe.
+/// Returns a decision's fields and its sentence as JSON. Thread-safe.
 nlohmann::json decisionToJson(const Decision &decision);
 
 } // namespace balsamrack
--- a/Balsamrack/Observability/Log.cpp
+++ b/Balsamrack/Observability/Log.cpp
@@ -32,13 +32,14 @@
 
 constexpr const char *LogIdAttribute = "LogId";
 
-/// Boost.Log has one core a process; each Log has an id by which its sink
-/// tells its own records.
+/// Boost.Log has one core per process; the sink of each Log selects its own
+/// records by this id.
 std::atomic<uint64_t> NextLogId{1};
 
 void keepStream(std::ostream * /*stream*/) {}
 
-/// A line break in a field would look like a second line of ours.
+/// Replaces control characters by spaces: a line break in a field would look
+/// like a separate log line.
 std::string replaceControlCharacters(std::string text) {
   for (char &c : text)
     if (static_cast<unsigned char>(c) < ' ')
@@ -127,7 +128,7 @@
                      const std::string &peer) {
   if (severity < MinSeverity)
     return;
-  // A source of its own for each record: sources are not thread-safe.
+  // Each record uses a separate source, since sources are not thread-safe.
   logging::sources::logger source;
   source.add_attribute(LogIdAttribute,
                        logging::attributes::constant<uint64_t>(Id));
--- a/Balsamrack/Observability/LogNames.h
+++ b/Balsamrack/Observability/LogNames.h
@@ -5,7 +5,7 @@
 
 namespace balsamrack {
 
-/// Name of a part, which every log line of it begins with. Thread-safe.
+/// Name of a component, shown in each of its log lines. Thread-safe.
 const char *componentName(Component component);
 
 /// Name of a severity in lower case. Thread-safe.
--- a/Balsamrack/Observability/Metrics.cpp
+++ b/Balsamrack/Observability/Metrics.cpp
@@ -19,22 +19,23 @@
 constexpr size_t ShardCount = 16;
 constexpr const char *OverflowLabelValue = "other";
 
-/// Name, then labels; orders a family's series behind each other.
+/// Name and labels; sorts the series of a family next to each other.
 using SeriesKey = std::pair<std::string, MetricLabels>;
 
 struct Series {
   const MetricFamily *Family = nullptr;
-  double Value = 0;   ///< Of a counter or gauge; a summary's sum in seconds.
-  uint64_t Count = 0; ///< Of a summary.
+  double Value =
+      0; ///< Value of a counter or gauge; sum of a summary in seconds.
+  uint64_t Count = 0; ///< Number of observations of a summary.
   std::optional<QuantileWindow> Quantiles;
 };
 
 struct Shard {
-  mutable std::mutex Lock; ///< Guards what follows.
+  mutable std::mutex Lock; ///< Guards SeriesByKey.
   std::map<SeriesKey, Series> SeriesByKey;
 };
 
-/// What is shown of one series.
+/// Values of a series for output.
 struct Sample {
   const MetricFamily *Family;
   MetricLabels Labels;
@@ -57,7 +58,7 @@
   return out;
 }
 
-/// Enough digits that a counter of many millions still shows each step.
+/// 15 digits, so that a counter of many millions still shows every increment.
 std::string formatNumber(double value) {
   return absl::StrFormat("%.15g", value);
 }
@@ -191,7 +192,7 @@
       if (s.Quantiles)
         sample.Quantiles = s.Quantiles->quantilesAt(now);
       auto [it, isNew] = all.emplace(key, sample);
-      if (!isNew) { // "other" of several shards
+      if (!isNew) { // Overflow series of several shards are merged.
         it->second.Value += s.Value;
         it->second.Count += s.Count;
       }
--- a/Balsamrack/Observability/Metrics.h
+++ b/Balsamrack/Observability/Metrics.h
@@ -14,33 +14,34 @@
 
 namespace balsamrack {
 
-/// How a metric behaves.
+/// Type of a metric.
 enum class MetricKind {
-  Counter, ///< Only rises.
-  Gauge,   ///< Rises and falls.
+  Counter, ///< Only increases.
+  Gauge,   ///< May increase and decrease.
   Summary, ///< Count, sum and quantiles of observed durations, in seconds.
 };
 
-/// A metric's name, kind and help text; to be defined once, as a constant.
+/// Name, help text and kind of a metric; to be defined once, as a constant.
 struct MetricFamily {
-  const char *Name; ///< Such as balsamrack_packets_total.
-  const char *Help; ///< One line for readers.
-  MetricKind Kind;  ///< Which calls may be made with it.
+  const char *Name; ///< Name, such as balsamrack_packets_total.
+  const char *Help; ///< One-line description.
+  MetricKind Kind;  ///< Determines which calls are permitted.
 };
 
-/// Label names and values, in the order in which they are shown.
+/// Label names and values, in the order of output.
 using MetricLabels = std::vector<std::pair<std::string, std::string>>;
 
-/// Counters, gauges and quantiles (Boost.Accumulators). Thread-safe; series are
-/// spread over shards, each under its own lock.
+/// Counters, gauges and summaries (Boost.Accumulators). Thread-safe: series are
+/// distributed over shards, each with its own lock.
 class Metrics {
 public:
-  /// Series of one shard; one more is counted with all its label values
-  /// "other", so that names made up by callers can't use the memory up.
+  /// Maximum number of series per shard. Further ones are counted with all
+  /// label values set to "other", so that names invented by callers can't
+  /// exhaust the memory.
   static constexpr size_t MaxSeriesPerShard = 256;
 
-  /// Quantiles are of the last \p window to twice that. Precondition: \p clock
-  /// outlives the result.
+  /// Creates an empty registry. Quantiles cover the last one to two \p window.
+  /// Precondition: \p clock outlives the result.
   static std::unique_ptr<Metrics>
   create(const Clock &clock, Duration window = std::chrono::seconds(60));
   virtual ~Metrics() = default;
@@ -53,9 +54,9 @@
   /// Adds a duration to a summary.
   virtual void observe(const MetricFamily &family, const MetricLabels &labels,
                        Duration value) = 0;
-  /// Everything in Prometheus' text format, families by name.
+  /// Formats all metrics in the Prometheus text format, ordered by name.
   virtual std::string toPrometheusText() const = 0;
-  /// Everything as JSON: an array of families with their series.
+  /// Returns all metrics as JSON: an array of families with their series.
   virtual nlohmann::json toJson() const = 0;
 };
 
--- a/Balsamrack/Observability/QuantileWindow.cpp
+++ b/Balsamrack/Observability/QuantileWindow.cpp
@@ -16,8 +16,8 @@
 using Accumulator =
     acc::accumulator_set<double, acc::stats<acc::tag::extended_p_square>>;
 
-/// Until there are so many values, the estimate is worth nothing, and the
-/// quantile is taken from the values themselves.
+/// The P-square estimate is unusable for fewer values than this, so the
+/// quantile is computed from the values themselves.
 constexpr size_t MaxExactValues = 32;
 
 } // namespace
@@ -50,8 +50,9 @@
   }
 
   Accumulator PSquare;
-  std::vector<double> ExactSamples; ///< The first values, as they came.
-  uint64_t EstimatedCount = 0;      ///< Values beyond those.
+  std::vector<double>
+      ExactSamples;            ///< The first values, in the order of arrival.
+  uint64_t EstimatedCount = 0; ///< Number of values after those.
 };
 
 QuantileWindow::QuantileWindow(Duration window) : Length(window) {}
--- a/Balsamrack/Observability/QuantileWindow.h
+++ b/Balsamrack/Observability/QuantileWindow.h
@@ -9,22 +9,24 @@
 
 namespace balsamrack {
 
-/// Median and 99th percentile of what was observed lately, in constant memory.
-/// Not thread-safe.
+/// Estimates the median and 99th percentile of recent observations in constant
+/// memory. Not thread-safe.
 class QuantileWindow {
 public:
-  /// The probabilities whose quantiles are estimated.
+  /// Probabilities of the estimated quantiles.
   static constexpr std::array<double, 2> Probabilities = {0.5, 0.99};
+  /// One quantile per probability.
   using Quantiles = std::array<double, Probabilities.size()>;
 
+  /// Creates an estimator for windows of the length \p window.
   explicit QuantileWindow(Duration window);
   QuantileWindow(QuantileWindow &&other) noexcept;
   ~QuantileWindow();
 
-  /// Adds a value that was observed at \p now.
+  /// Adds a value observed at \p now.
   void add(TimePoint now, double value);
-  /// The quantiles of the window before the running one, or of the running one
-  /// while there is none before; zeros without values.
+  /// Returns the quantiles of the previous window, or of the current one if
+  /// there is no previous one; zeros if there are no values.
   Quantiles quantilesAt(TimePoint now) const;
 
 private:
@@ -32,8 +34,8 @@
 
   void rotate(TimePoint now);
 
-  Duration Length;                     ///< Of a window.
-  TimePoint WindowStart;               ///< Of the running window.
+  Duration Length;                     ///< Length of a window.
+  TimePoint WindowStart;               ///< Start of the current window.
   std::unique_ptr<Estimator> Current;  ///< Null without values.
   std::unique_ptr<Estimator> Previous; ///< Null without values.
 };
--- a/Balsamrack/Observability/SpanSink.cpp
+++ b/Balsamrack/Observability/SpanSink.cpp
@@ -23,8 +23,8 @@
 using nlohmann::json;
 
 constexpr size_t ShardCount = 16;
-constexpr int SpanKindServer = 2; ///< SPAN_KIND_SERVER of OTLP.
-constexpr int SpanKindClient = 3; ///< SPAN_KIND_CLIENT of OTLP.
+constexpr int SpanKindServer = 2; ///< SPAN_KIND_SERVER in OTLP.
+constexpr int SpanKindClient = 3; ///< SPAN_KIND_CLIENT in OTLP.
 constexpr int StatusCodeError = 2;
 
 json makeAttribute(const char *key, const std::string &value) {
@@ -51,7 +51,8 @@
   json findSpans(const std::string &traceId) const override;
 
 private:
-  /// From our monotonic clock to the wall clock, as it was at the start.
+  /// Returns the offset from the monotonic clock to the wall clock at the
+  /// start.
   static Duration computeEpochOffset(const Clock &clock) {
     auto wall = std::chrono::system_clock::now().time_since_epoch();
     return std::chrono::duration_cast<Duration>(wall) -
--- a/Balsamrack/Observability/TraceContext.cpp
+++ b/Balsamrack/Observability/TraceContext.cpp
@@ -14,7 +14,8 @@
 constexpr size_t SpanIdOffset = 36;
 constexpr size_t FlagsOffset = 53;
 
-/// Reads \p n lower-case hex digits, the only ones that the standard allows.
+/// Parses \p digits hex digits in lower case, the only ones that the standard
+/// allows.
 bool parseHex(const std::string &text, size_t offset, size_t digits,
               uint64_t &out) {
   for (size_t i = offset; i < offset + digits; ++i)
@@ -46,7 +47,7 @@
             parseHex(text, TraceIdOffset + 16, 16, context.TraceLow) &&
             parseHex(text, SpanIdOffset, 16, context.Span) &&
             parseHex(text, FlagsOffset, 2, flags);
-  // Only a later version may go on behind the flags.
+  // Only versions above 00 may have further fields after the flags.
   ok = ok && (text.size() == TraceparentLength ||
               (version != 0 && text[TraceparentLength] == '-'));
   if (!ok || version == ForbiddenVersion || context.Span == 0 ||
--- a/Balsamrack/Observability/TraceContext.h
+++ b/Balsamrack/Observability/TraceContext.h
@@ -9,27 +9,27 @@
 
 namespace balsamrack {
 
-/// Place of a span in a trace, as W3C Trace Context's traceparent carries it.
-/// Plain data.
+/// Position of a span in a trace, as in the traceparent field of W3C Trace
+/// Context. Plain data.
 struct TraceContext {
   uint64_t TraceHigh = 0; ///< Upper half of the trace id.
-  uint64_t TraceLow = 0;  ///< Lower half; an id of zero is no trace.
-  uint64_t Span = 0;      ///< Id of the span; zero is no span.
+  uint64_t TraceLow = 0;  ///< Lower half; an id of zero is invalid.
+  uint64_t Span = 0;      ///< Id of the span; zero is invalid.
   uint8_t Flags = 1;      ///< Bit 0: sampled.
 
-  /// Reads a traceparent. Of versions above 00 the fields that 00 has are read,
-  /// as the standard asks. Error kInvalidArgument for anything else.
-  /// Thread-safe.
+  /// Parses a traceparent. For versions above 00, the fields of version 00 are
+  /// parsed, as the standard requires. Returns kInvalidArgument for anything
+  /// else. Thread-safe.
   static absl::StatusOr<TraceContext> parse(const std::string &text);
-  /// A new trace. Thread-safe for different \p random.
+  /// Starts a new trace. Thread-safe for different \p random.
   static TraceContext start(RandomSource &random);
-  /// A new span of this trace. Thread-safe for different \p random.
+  /// Creates a child span in this trace. Thread-safe for different \p random.
   TraceContext child(RandomSource &random) const;
-  /// The traceparent, version 00. Thread-safe.
+  /// Formats the traceparent, version 00. Thread-safe.
   std::string str() const;
-  /// The trace id, 32 hex digits. Thread-safe.
+  /// Formats the trace id as 32 hex digits. Thread-safe.
   std::string traceId() const;
-  /// The span id, 16 hex digits. Thread-safe.
+  /// Formats the span id as 16 hex digits. Thread-safe.
   std::string spanId() const;
 };
 
--- a/UnitTests/Observability/EventLogTest.cpp
+++ b/UnitTests/Observability/EventLogTest.cpp
@@ -22,7 +22,7 @@
   return text;
 }
 
-TEST(EventLogTest, WritesOneJsonObjectALine) {
+TEST(EventLogTest, WritesOneJsonObjectPerLine) {
   int pipeEnds[2];
   ASSERT_EQ(pipe(pipeEnds), 0);
   ManualClock clock;
@@ -45,8 +45,9 @@
   EXPECT_EQ(line["late"], true);
 }
 
-// Story: a flood of refusals. The log stays bounded and says what it left out.
-TEST(EventLogTest, LeavesOutAndCountsWhatIsOverTheRate) {
+// Guards against unbounded logging during a burst of refusals: lines above the
+// rate limit are dropped, and their number is logged.
+TEST(EventLogTest, DropsAndCountsLinesAboveRateLimit) {
   int pipeEnds[2];
   ASSERT_EQ(pipe(pipeEnds), 0);
   ManualClock clock;
@@ -68,9 +69,9 @@
   EXPECT_NE(text.find("\"of\":\"refused\",\"count\":95"), std::string::npos);
 }
 
-// Story: whoever reads the log has stopped reading. The daemon goes on.
-TEST(EventLogTest, NeverBlocksTheWriter) {
-  // Closing the pipe's other end below ends the write that waits.
+// The reader of the log has stopped reading. The daemon must not block.
+TEST(EventLogTest, NeverBlocksCaller) {
+  // Closing the read end below makes the blocked write fail.
   signal(SIGPIPE, SIG_IGN);
   int pipeEnds[2];
   ASSERT_EQ(pipe(pipeEnds), 0);
--- a/UnitTests/Observability/JournalTest.cpp
+++ b/UnitTests/Observability/JournalTest.cpp
@@ -41,7 +41,7 @@
   EXPECT_EQ(journal.findByFlow({3}).size(), 5U);
 }
 
-TEST(JournalTest, HoldsTheLastOnly) {
+TEST(JournalTest, KeepsOnlyMostRecentDecisions) {
   Journal journal(160);
   for (uint64_t i = 1; i <= 100; ++i)
     journal.add(makeDecision(i, 9, "a"));
@@ -50,7 +50,7 @@
   EXPECT_EQ(decisions.back().Request, RequestId{100});
 }
 
-TEST(JournalTest, ManyThreadsAddAndAsk) {
+TEST(JournalTest, SupportsConcurrentAddAndFind) {
   Journal journal(16'000);
   std::vector<std::thread> threads;
   threads.reserve(4);
@@ -69,12 +69,12 @@
 struct JournalQuery {
   const char *Kind;
   const char *Id;
-  int ExpectedCount; ///< -1: can't be read.
+  int ExpectedCount; ///< -1 if the query can't be parsed.
 };
 
 class JournalQueryTest : public testing::TestWithParam<JournalQuery> {};
 
-TEST_P(JournalQueryTest, IsAnsweredOrRefused) {
+TEST_P(JournalQueryTest, ReturnsDecisionsOrError) {
   Journal journal(100);
   journal.add(makeDecision(0xab, 0xcd, "booking-03"));
   auto found = journal.query(GetParam().Kind, GetParam().Id);
@@ -92,7 +92,7 @@
         JournalQuery{"server", "booking-04", 0}, JournalQuery{"ticket", "7", 0},
         JournalQuery{"ticket", "x", -1}, JournalQuery{"seller", "1", -1}));
 
-TEST(JournalTest, TellsADecisionInOneSentence) {
+TEST(JournalTest, FormatsDecisionAsSentence) {
   EXPECT_EQ(decisionSentence(makeDecision(0xab, 0xcd, "booking-03")),
             "placed for request 00000000000000ab of flow 00000000000000cd: "
             "dispatched to booking-03, by rule bounded-load on in progress = "
--- a/UnitTests/Observability/LogAndSpanTest.cpp
+++ b/UnitTests/Observability/LogAndSpanTest.cpp
@@ -17,7 +17,7 @@
 namespace balsamrack {
 namespace {
 
-/// A file of a test, gone afterwards.
+/// Temporary file that is removed at the end of the test.
 class TestFile {
 public:
   TestFile()
@@ -55,7 +55,7 @@
                                  "step=send-to-peer peer=vm-2");
 }
 
-TEST(LogTest, JsonLinesAreJsonWhateverTheText) {
+TEST(LogTest, JsonLinesAreValidForAnyText) {
   TestFile file;
   auto log = Log::create({"debug", "json", file.Path});
   ASSERT_TRUE(log.ok());
@@ -68,7 +68,7 @@
   EXPECT_EQ(line.count("peer"), 0U);
 }
 
-TEST(LogTest, TwoLogsStayApartAndThreadsDoNotMix) {
+TEST(LogTest, SeparatesLogsAndKeepsLinesWhole) {
   TestFile file;
   auto log = Log::create({"info", "text", file.Path});
   auto other = Log::create({"info", "text", "/dev/null"});
@@ -98,7 +98,7 @@
 class LogSettingsErrorTest : public testing::TestWithParam<InvalidLogSettings> {
 };
 
-TEST_P(LogSettingsErrorTest, IsAnError) {
+TEST_P(LogSettingsErrorTest, ReturnsError) {
   auto log = Log::create(GetParam().Settings);
   EXPECT_EQ(log.status().code(), GetParam().ExpectedCode);
   EXPECT_EQ(stepOf(log.status()), "read-settings");
@@ -127,7 +127,7 @@
   return s;
 }
 
-TEST(SpanSinkTest, HoldsATraceAndWritesOtlpLines) {
+TEST(SpanSinkTest, StoresTraceAndWritesOtlpLines) {
   TestFile file;
   ManualClock clock;
   auto sink = SpanSink::create({"vm-1", file.Path}, clock);
@@ -175,7 +175,7 @@
   EXPECT_GT(bytes, 0U);
 }
 
-TEST(SpanSinkTest, AsksForAnUnreadableTraceAreEmpty) {
+TEST(SpanSinkTest, FindsNoSpansForUnknownTrace) {
   ManualClock clock;
   auto sink = SpanSink::create({"vm-1", ""}, clock);
   ASSERT_TRUE(sink.ok());
--- a/UnitTests/Observability/MetricsTest.cpp
+++ b/UnitTests/Observability/MetricsTest.cpp
@@ -46,8 +46,8 @@
   EXPECT_EQ(json[0]["series"][0]["p50_s"], 0.25);
 }
 
-// Story: a caller sends each request to another made-up name. The daemon's
-// memory must not grow with them, and no count may be lost.
+// A caller sends each request to a different invented name. The daemon's memory
+// must stay bounded, and no count may be lost.
 TEST(MetricsTest, CardinalityIsBounded) {
   constexpr uint64_t Names = 20'000;
   ManualClock clock;
@@ -62,7 +62,7 @@
   EXPECT_LE(json[0]["series"].size(), 16 * Metrics::MaxSeriesPerShard + 1);
 }
 
-TEST(MetricsTest, ManyThreadsLoseNothing) {
+TEST(MetricsTest, CountsAllUpdatesOfConcurrentThreads) {
   ManualClock clock;
   auto metrics = Metrics::create(clock);
   std::vector<std::thread> threads;
@@ -95,7 +95,7 @@
   EXPECT_EQ(window.quantilesAt(clock.now())[1], 5);
 }
 
-TEST(QuantileWindowTest, ManyValuesAreCloseToTheTruth) {
+TEST(QuantileWindowTest, ManyValuesAreEstimatedAccurately) {
   ManualClock clock;
   QuantileWindow window(Minute);
   SeededRandom random(1);
@@ -105,9 +105,9 @@
   EXPECT_NEAR(window.quantilesAt(clock.now())[1], 0.99, 0.01);
 }
 
-// Story: a server was slow in the morning. In the evening its p99 must speak of
-// the evening.
-TEST(QuantileWindowTest, OldValuesAreForgotten) {
+// Guards against quantiles that never age: a server that was slow earlier must
+// not keep a high p99 after it has recovered.
+TEST(QuantileWindowTest, OldValuesExpire) {
   ManualClock clock;
   QuantileWindow window(Minute);
   window.add(clock.now(), 9);
--- a/UnitTests/Observability/TraceContextTest.cpp
+++ b/UnitTests/Observability/TraceContextTest.cpp
@@ -8,7 +8,7 @@
 constexpr const char *ValidTraceparent =
     "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
-TEST(TraceContextTest, ComesBackAsItWas) {
+TEST(TraceContextTest, ParsesAndFormatsUnchanged) {
   auto c = TraceContext::parse(ValidTraceparent);
   ASSERT_TRUE(c.ok());
   EXPECT_EQ(c->str(), ValidTraceparent);
@@ -16,7 +16,7 @@
   EXPECT_EQ(c->spanId(), "b7ad6b7169203331");
 }
 
-TEST(TraceContextTest, ChildStaysInTheTrace) {
+TEST(TraceContextTest, ChildHasSameTraceId) {
   SeededRandom random(1);
   TraceContext root = TraceContext::start(random);
   TraceContext child = root.child(random);
@@ -33,7 +33,7 @@
 
 class TraceparentTest : public testing::TestWithParam<TraceparentCase> {};
 
-TEST_P(TraceparentTest, IsReadAsTheStandardSays) {
+TEST_P(TraceparentTest, IsParsedAsTheStandardRequires) {
   EXPECT_EQ(TraceContext::parse(GetParam().Value).ok(), GetParam().IsValid);
 }
 
@@ -54,7 +54,8 @@
         TraceparentCase{"LaterVersion", replaceAt(0, "01"), true},
         TraceparentCase{"LongerOfLaterVersion", replaceAt(0, "01") + "-x",
                         true},
-        TraceparentCase{"LaterVersionGluedOn", replaceAt(0, "01") + "x", false},
+        TraceparentCase{"LaterVersionWithoutSeparator",
+                        replaceAt(0, "01") + "x", false},
         TraceparentCase{"ForbiddenVersion", replaceAt(0, "ff"), false},
         TraceparentCase{"UpperCase", replaceAt(4, "A"), false},
         TraceparentCase{"Sign", replaceAt(3, "+"), false},
@@ -63,7 +64,7 @@
         TraceparentCase{"WrongDash", replaceAt(35, "_"), false}),
     [](const auto &info) { return std::string(info.param.Name); });
 
-TEST(TraceContextTest, MutantsNeverCrashAndComeBack) {
+TEST(TraceContextTest, ParsesOrRejectsMutatedText) {
   constexpr int MutantCount = 20000;
   SeededRandom random(3);
   for (int i = 0; i < MutantCount; ++i) {
