--- a/Balsamrack/Replay/Recorder.cpp
+++ b/Balsamrack/Replay/Recorder.cpp
@@ -12,7 +12,7 @@
   std::ofstream file(path, std::ios::trunc);
   if (!file)
     return makeError(absl::StatusCode::kNotFound, Step::Record, path,
-                     "the file can't be opened");
+                     "cannot open the recording");
   return std::unique_ptr<Recorder>(
       new Recorder(std::move(file), maxBytes, fleetKey));
 }
@@ -39,11 +39,11 @@
     return;
   if (text.size() + 1 > BytesLeft) {
     BytesLeft = 0;
-    File << "# the recording's limit is reached" << std::endl;
+    File << "# the size limit of the recording is reached" << std::endl;
     return;
   }
   BytesLeft -= text.size() + 1;
-  // Flushed by line: a daemon that is killed leaves a trace that can be read.
+  // Flushed after each line, so that the trace of a killed daemon is readable.
   File << text << std::endl;
 }
 
--- a/Balsamrack/Replay/Recorder.h
+++ b/Balsamrack/Replay/Recorder.h
@@ -13,14 +13,15 @@
 
 namespace balsamrack {
 
-/// Writes the events of the core's machines to a file, for replay. Bounded: it
-/// ends at a byte limit, with a comment that says so. Thread-safe; a machine's
-/// events are written in the order of its steps, since its shard's lock is held
-/// around each call.
+/// Writes the events of the decision state machines to a file for replay. Stops
+/// at a byte limit with a comment line. Thread-safe; the events of a machine
+/// are written in the order of its steps, since the lock of its shard is held
+/// during each call.
 class Recorder {
 public:
-  /// Opens \p path anew. Tokens made with \p fleetKey are written anew with
-  /// TraceTokenKey. Error kNotFound (step record) when it can't be opened.
+  /// Opens and truncates \p path. Tokens encoded with \p fleetKey are
+  /// re-encoded with TraceTokenKey. Returns kNotFound (step record) if the file
+  /// can't be opened.
   static absl::StatusOr<std::unique_ptr<Recorder>>
   create(const std::string &path, uint64_t maxBytes,
          const std::string &fleetKey);
@@ -32,9 +33,9 @@
   Recorder(std::ofstream file, uint64_t maxBytes, const std::string &fleetKey);
   std::string reencodeToken(const std::string &token) const;
 
-  const FlowTokenCodec FleetTokens; ///< Reads the fleet's tokens.
-  const FlowTokenCodec TraceTokens; ///< Writes the trace's.
-  std::mutex Lock;                  ///< Guards all below.
+  const FlowTokenCodec FleetTokens; ///< Decodes the fleet's tokens.
+  const FlowTokenCodec TraceTokens; ///< Encodes the tokens in the trace.
+  std::mutex Lock;                  ///< Guards the members below.
   std::ofstream File;
   uint64_t BytesLeft;
 };
--- a/Balsamrack/Replay/Replayer.cpp
+++ b/Balsamrack/Replay/Replayer.cpp
@@ -45,9 +45,9 @@
   }
   const auto machine = Machines.find(line->Machine);
   if (machine == Machines.end())
-    return invalidTraceError(*line, "the machine was not opened");
+    return invalidTraceError(*line, "event for a machine that was not opened");
   if (line->At < machine->second.LastStepTime)
-    return invalidTraceError(*line, "time goes back");
+    return invalidTraceError(*line, "time is before the previous step");
   machine->second.LastStepTime = line->At;
   return step(machine->second, *line);
 }
@@ -76,12 +76,14 @@
   if (const auto *event = std::get_if<EntryEvent>(&line.Payload)) {
     auto *router = std::get_if<std::unique_ptr<EntryRouter>>(&machine.Impl);
     if (!router)
-      return invalidTraceError(line, "an entry's event for another machine");
+      return invalidTraceError(
+          line, "entry event for a machine that is not an entry");
     return encodeAll(line, (*router)->step(line.At, *event));
   }
   auto *owner = std::get_if<std::unique_ptr<ServiceOwner>>(&machine.Impl);
   if (!owner)
-    return invalidTraceError(line, "an owner's event for another machine");
+    return invalidTraceError(line,
+                             "owner event for a machine that is not an owner");
   return encodeAll(line,
                    (*owner)->step(line.At, std::get<OwnerEvent>(line.Payload)));
 }
--- a/Balsamrack/Replay/Replayer.h
+++ b/Balsamrack/Replay/Replayer.h
@@ -13,14 +13,14 @@
 
 namespace balsamrack {
 
-/// Runs a trace through the machines of the core. Deterministic; not
+/// Replays a trace with the decision state machines. Deterministic; not
 /// thread-safe.
 class Replayer {
 public:
-  /// Takes one line of a trace and returns the actions as lines, in order; none
-  /// for an empty line or a comment (#). Error kInvalidArgument (step replay)
-  /// for a line that can't be read, a machine that was not opened, or a time
-  /// that goes back.
+  /// Processes one line of a trace and returns the resulting actions as lines,
+  /// in order; none for an empty line or a comment (#). Returns
+  /// kInvalidArgument (step replay) for a malformed line, an unknown machine or
+  /// a decreasing time.
   absl::StatusOr<std::vector<std::string>> processLine(const std::string &line);
 
 private:
@@ -37,15 +37,16 @@
   std::map<std::string, Machine> Machines; ///< By name.
 };
 
-/// First difference between what a replay did and what was stated.
+/// First difference between the actions of a replay and the expected ones.
 struct ReplayDifference {
-  size_t Line = 0;          ///< In the stated outcomes, from 1.
-  std::string ExpectedLine; ///< Empty: the replay did more than was stated.
-  std::string ActualLine;   ///< Empty: it did less.
+  size_t Line = 0; ///< Line number in the expected outcomes, from 1.
+  std::string
+      ExpectedLine; ///< Empty if the replay has more actions than expected.
+  std::string ActualLine; ///< Empty if the replay has fewer actions.
 };
 
-/// Compares actions with the lines of an outcomes file; nothing when they are
-/// the same, byte for byte. Empty lines and comments (#) are passed over.
+/// Compares actions with the lines of an outcomes file, byte for byte. Returns
+/// nothing if they are equal. Empty lines and comments (#) are skipped.
 /// Thread-safe.
 std::optional<ReplayDifference>
 compareOutcomes(const std::vector<std::string> &actual,
--- a/Balsamrack/Replay/TraceArchive.h
+++ b/Balsamrack/Replay/TraceArchive.h
@@ -18,13 +18,14 @@
 
 namespace balsamrack {
 
-// Traces are JSON with full names, since people write some by hand; the peers'
-// archive has short names in CBOR, since every byte of a probe counts.
+// Traces are JSON with full field names, since some are written by hand. Peer
+// messages use CBOR with short names to keep probes small.
 
-/// Writes the fields of a struct into a JSON object. Fields that hold their
-/// type's zero are left out. Not thread-safe.
+/// Writes the fields of a struct to a JSON object. Fields with the zero value
+/// of their type are omitted. Not thread-safe.
 class TraceWriter {
 public:
+  /// Parameter type of a struct that is written.
   template <class T> using Ref = const T &;
 
   /// Precondition: \p out outlives the writer and is an object.
@@ -36,12 +37,12 @@
     if (!isZero(v))
       Out[name] = std::move(v);
   }
-  /// Writes an enum; \p last is its highest value.
+  /// Writes an enum.
   template <class E> void oneOf(const char *name, const E &field, E) {
     (*this)(name, static_cast<uint64_t>(field));
   }
 
-  /// Any value as JSON.
+  /// Converts a value to JSON.
   template <class T> static nlohmann::json toJson(const T &field) {
     if constexpr (std::is_arithmetic_v<T> || std::is_same_v<T, std::string>)
       return field;
@@ -84,25 +85,26 @@
     return object;
   }
 
-  nlohmann::json &Out; ///< The object that is written.
+  nlohmann::json &Out; ///< Object that is written.
 };
 
-/// Reads the fields of a struct from a JSON object. An absent field keeps its
-/// type's zero; an unknown one is a fault, since a hand-written trace with a
-/// misspelt field would otherwise prove nothing. Not thread-safe.
+/// Reads the fields of a struct from a JSON object. An absent field gets the
+/// zero value of its type. An unknown field is an error, since a hand-written
+/// trace with a misspelt field would otherwise test nothing. Not thread-safe.
 class TraceReader {
 public:
+  /// Parameter type of a struct that is read.
   template <class T> using Ref = T &;
 
-  /// Precondition: \p in and \p fault outlive the reader.
+  /// Precondition: \p in and \p error outlive the reader.
   TraceReader(const nlohmann::json &in, std::string &error)
       : In(in), FirstError(error) {
     if (!In.is_object())
-      setError("an object is expected");
+      setError("expected an object");
   }
   ~TraceReader() {
     if (In.is_object() && FieldsRead < In.size())
-      setError("an unknown field");
+      setError("unknown field");
   }
   TraceReader(const TraceReader &) = delete;
   TraceReader &operator=(const TraceReader &) = delete;
@@ -117,7 +119,7 @@
     if (!fromJson(*it, field))
       setError(name);
   }
-  /// Reads an enum; a value above \p last is a fault.
+  /// Reads an enum; a value above \p last is an error.
   template <class E> void oneOf(const char *name, E &field, E last) {
     uint64_t raw = 0;
     (*this)(name, raw);
@@ -125,7 +127,7 @@
       return setError(name);
     field = static_cast<E>(raw);
   }
-  /// Notes the first fault.
+  /// Stores \p error unless there is an earlier one.
   void setError(const std::string &error) {
     if (FirstError.empty())
       FirstError = error;
@@ -183,9 +185,9 @@
     return FirstError.empty();
   }
 
-  const nlohmann::json &In; ///< The object that is read.
-  std::string &FirstError;  ///< First fault of the whole event.
-  size_t FieldsRead = 0;    ///< Fields of In that were read.
+  const nlohmann::json &In; ///< Object that is read.
+  std::string &FirstError;  ///< First error of the whole event.
+  size_t FieldsRead = 0;    ///< Number of fields of In that were read.
 };
 
 } // namespace balsamrack
--- a/Balsamrack/Replay/TraceCodec.cpp
+++ b/Balsamrack/Replay/TraceCodec.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-/// Names by index in the variants of events and actions.
+/// Names of the alternatives of each variant, by index.
 constexpr std::array<const char *, std::variant_size_v<EntryEvent>>
     EntryEventNames = {"PacketArrived", "OwnerReplied", "FlowReplied",
                        "KeyReplied",    "PeerLost",     "SendFailed",
@@ -82,8 +82,8 @@
   return true;
 }
 
-/// Reads the alternative of \p Variant that \p name stands for; false when
-/// there is none of that name.
+/// Decodes the alternative of \p Variant with the name \p name. Returns false
+/// if there is none.
 template <class Variant, size_t N, size_t I = 0>
 bool decodeAlternative(const std::string &name,
                        const std::array<const char *, N> &names,
@@ -153,7 +153,7 @@
       !root["machine"].is_string() || !root.contains("at_us") ||
       !root["at_us"].is_number_integer() || !root.contains("what") ||
       !root["what"].is_string())
-    return invalidLineError("no object with machine, at_us and what");
+    return invalidLineError("expected an object with machine, at_us and what");
   TraceLine line;
   line.Machine = root["machine"].get<std::string>();
   line.At = TimePoint(Duration(root["at_us"].get<int64_t>()));
--- a/Balsamrack/Replay/TraceCodec.h
+++ b/Balsamrack/Replay/TraceCodec.h
@@ -13,17 +13,17 @@
 
 namespace balsamrack {
 
-/// Fleet key of every replay. A recording holds tokens made with it instead of
-/// the fleet's own, so that a trace gives no secret away.
+/// Fleet key of all replays. Recordings contain tokens encoded with it instead
+/// of the fleet's own key, so that a trace reveals no secret.
 constexpr const char *TraceTokenKey = "trace";
 
-/// A machine of the core begins: an entry's router.
+/// Creates a state machine: the router of an entry.
 struct RouterOpened {
-  EntrySettings Settings; ///< Its TokenKey is not written.
+  EntrySettings Settings; ///< Settings of the router; TokenKey is not written.
   uint64_t Seed = 0;      ///< As given to EntryRouter::create.
 };
 
-/// A machine of the core begins: a service's owner, with default settings.
+/// Creates a state machine: the owner of a service, with default settings.
 struct OwnerOpened {
   ServiceId Service; ///< As given to ServiceOwner::create.
   uint64_t Seed = 0; ///< As given to ServiceOwner::create.
@@ -34,24 +34,24 @@
   std::string Machine; ///< Name of the machine, such as "entry-3".
   TimePoint At;        ///< Time of the step.
   std::variant<RouterOpened, OwnerOpened, EntryEvent, OwnerEvent>
-      Payload; ///< What happened.
+      Payload; ///< Event of the machine, or its creation.
 };
 
-/// One action of a machine in a replay.
+/// An action of a state machine in a replay.
 struct ActionLine {
-  std::string Machine;                           ///< Which machine.
+  std::string Machine;                           ///< Name of the machine.
   TimePoint At;                                  ///< Time of the step.
-  std::variant<EntryAction, OwnerAction> Action; ///< What it asked for.
+  std::variant<EntryAction, OwnerAction> Action; ///< The action.
 };
 
-/// The line as JSON, without a line break. Thread-safe.
+/// Encodes a line as JSON, without a line break. Thread-safe.
 std::string encodeTraceLine(const TraceLine &line);
 
-/// Reads a line of a trace. Error kInvalidArgument (step replay) names the
-/// field that can't be read. Thread-safe.
+/// Decodes a line of a trace. Returns kInvalidArgument (step replay) with the
+/// name of the field that can't be read. Thread-safe.
 absl::StatusOr<TraceLine> decodeTraceLine(const std::string &text);
 
-/// The action as JSON, without a line break. Thread-safe.
+/// Encodes an action as JSON, without a line break. Thread-safe.
 std::string encodeActionLine(const ActionLine &line);
 
 } // namespace balsamrack
--- a/Balsamrack/Replay/TraceFields.h
+++ b/Balsamrack/Replay/TraceFields.h
@@ -9,9 +9,9 @@
 
 namespace balsamrack {
 
-// Each function names the fields of one struct once, for writing and reading
-// (Ar is TraceWriter or TraceReader). Bodies of messages are left out: no
-// decision looks at them.
+// Each function lists the fields of one struct, for both writing and reading
+// (Ar is TraceWriter or TraceReader). Message bodies are omitted, since no
+// decision depends on them.
 
 template <class Ar>
 void traceFields(Ar &ar, typename Ar::template Ref<EntryVm> m) {
@@ -172,11 +172,11 @@
   ar("unreachable", m.Unreachable);
 }
 
-/// A ViewChanged as it stands in a trace: without what is computed from it.
+/// Content of a ViewChanged event in a trace, without derived data.
 struct RecordedView {
   TicketNumber Ticket;                ///< As in RoutingView.
   EntryVm Self;                       ///< As in RoutingView.
-  std::vector<ServiceRoute> Services; ///< Values of the map.
+  std::vector<ServiceRoute> Services; ///< Values of the map in RoutingView.
   KeyReplicaView KeyReplicas;         ///< As in RoutingView.
 };
 
@@ -273,7 +273,7 @@
 template <class Ar>
 void traceFields(Ar &, typename Ar::template Ref<ShutdownBegan>) {}
 
-// Actions are only written.
+// Actions are written but never read.
 
 inline void traceFields(TraceWriter &ar, const Decision &m) {
   ar.oneOf("kind", m.Kind, DecisionKind::KeyJudged);
--- a/UnitTests/Replay/ReplayTest.cpp
+++ b/UnitTests/Replay/ReplayTest.cpp
@@ -71,9 +71,9 @@
           ShutdownBegan{}};
 }
 
-// What is recorded must be what is replayed: a field that gets lost would make
-// a replay prove something else than what happened.
-TEST(TraceCodecTest, EveryEventSurvives) {
+// Guards against a field that is lost between recording and replay: the replay
+// would then differ from the recorded run.
+TEST(TraceCodecTest, EncodesAndDecodesEveryEvent) {
   std::vector<TraceLine> lines;
   for (const EntryEvent &it : entryEvents())
     lines.push_back({"entry-0", TimePoint(Duration(5)), it});
@@ -97,7 +97,7 @@
 
 class InvalidTraceLineTest : public testing::TestWithParam<InvalidLineCase> {};
 
-TEST_P(InvalidTraceLineTest, IsRefused) {
+TEST_P(InvalidTraceLineTest, IsRejected) {
   Replayer replayer;
   const auto actions = replayer.processLine(GetParam().Text);
   ASSERT_FALSE(actions.ok());
@@ -124,7 +124,7 @@
                         R"("what":"CallerLeft","with":{"request":"x"}})"}),
     [](const auto &info) { return info.param.Name; });
 
-// Traces are files that people edit. Any change must be read or refused.
+// Traces are edited by hand: any modified line must be decoded or rejected.
 TEST(TraceCodecTest, MutatedLinesNeverCrash) {
   SeededRandom random(3);
   const auto events = entryEvents();
@@ -143,12 +143,12 @@
 struct CompareCase {
   const char *Name;
   std::vector<std::string> Expected;
-  size_t Line; ///< Of the first difference; zero for none.
+  size_t Line; ///< Line of the first difference; zero for none.
 };
 
 class CompareOutcomesTest : public testing::TestWithParam<CompareCase> {};
 
-// A stated outcome is changed: the replay has to fail, and show where.
+// The comparison must report the line of the first changed outcome.
 TEST_P(CompareOutcomesTest, FindsTheFirstDifference) {
   const auto difference = compareOutcomes({"a", "b"}, GetParam().Expected);
   EXPECT_EQ(difference ? difference->Line : 0, GetParam().Line);
--- a/UnitTests/Replay/TracesTest.cpp
+++ b/UnitTests/Replay/TracesTest.cpp
@@ -46,18 +46,18 @@
   std::vector<std::string> Actions;
 };
 
-// Each trace tells its story in its first lines. What the core decides on it is
-// stated beside it, and may change only on purpose.
-TEST_P(TracesTest, EndsAsStated) {
+// The first lines of each trace describe its scenario. The expected decisions
+// are in the outcomes file next to it and change only intentionally.
+TEST_P(TracesTest, ProducesExpectedOutcomes) {
   EXPECT_FALSE(Actions.empty());
   const auto difference = compareOutcomes(Actions, Expected);
-  EXPECT_FALSE(difference) << "line " << difference->Line << "\nstated "
-                           << difference->ExpectedLine << "\nfound  "
+  EXPECT_FALSE(difference) << "line " << difference->Line << "\nexpected "
+                           << difference->ExpectedLine << "\nactual   "
                            << difference->ActualLine;
 }
 
-// A comparison that lets a changed outcome pass would prove nothing.
-TEST_P(TracesTest, AnyChangedOutcomeIsNoticed) {
+// Guards against a comparison that misses a changed outcome.
+TEST_P(TracesTest, DetectsAnyChangedOutcome) {
   for (size_t i = 0; i < Expected.size(); ++i) {
     std::vector<std::string> changed = Expected;
     changed[i].back() = ' ';
