--- a/Balsamrack/Decisions/AdmissionQueue.h
+++ b/Balsamrack/Decisions/AdmissionQueue.h
@@ -47,7 +47,7 @@
   /// Result of push().
   struct Verdict {
     Reason Refused = Reason::None; ///< Reason::None if the request was queued.
-    /// A request removed in its favour, to be ended with CallerShare.
+    /// A request removed in its favour, to be ended with CallerOverFairShare.
     std::optional<QueuedRequest> Evicted;
   };
 
--- a/Balsamrack/Decisions/DrainTracker.h
+++ b/Balsamrack/Decisions/DrainTracker.h
@@ -27,7 +27,7 @@
   /// Result for a request that must not be served.
   struct Refusal {
     OutcomeKind How; ///< NotRun for a new flow, GivenUp for an established one.
-    Reason Why;      ///< ServerDraining or DomainOut.
+    Reason Why;      ///< ServerDraining or DomainOutOfService.
   };
 
   /// Applies the ticket's state of the server. Returns true if it changed.
--- a/Balsamrack/Flows/EntryEvents.h
+++ b/Balsamrack/Flows/EntryEvents.h
@@ -20,9 +20,10 @@
 
 /// An owner reported the outcome of a forwarded request.
 struct OwnerReplied {
-  VmId From;      ///< The owner.
-  Outcome Result; ///< Result.Server is the server concerned; for FlowElsewhere,
-                  ///< the server that the flow is bound to, if known.
+  VmId From; ///< The owner.
+  Outcome
+      Result; ///< Result.Server is the server concerned; for FlowNotOnServer,
+              ///< the server that the flow is bound to, if known.
 };
 
 /// An owner answered a FlowQuestion.
--- a/Balsamrack/Flows/EntryPlacement.cpp
+++ b/Balsamrack/Flows/EntryPlacement.cpp
@@ -148,7 +148,7 @@
   if (route.Servers.empty())
     return end(p, OutcomeKind::GivenUp, Reason::NoServer, {}, {}, "no-server");
   // Most flows are bound to their first candidate: forward the packet without a
-  // search; the owner replies FlowElsewhere if the flow is not bound there.
+  // search; the owner replies FlowNotOnServer if the flow is not bound there.
   const RoutedServer &best =
       route.Servers[route.Rank.firstCandidate(rankKey(p))];
   if (best.DomainInService && best.isReachable())
--- a/Balsamrack/Flows/EntryRouter.cpp
+++ b/Balsamrack/Flows/EntryRouter.cpp
@@ -95,7 +95,7 @@
     return;
   bool elsewhere = event.Result.Kind == OutcomeKind::NotRun &&
                    event.Result.Cause == Reason::FlowNotOnServer;
-  // An owner that was told to accept the flow never replies FlowElsewhere, so
+  // An owner that was told to accept the flow never replies FlowNotOnServer, so
   // such a reply is a duplicate of an earlier one.
   if (elsewhere && p->Outstanding->AcceptFlow)
     return;
--- a/Balsamrack/Flows/OwnerFlows.h
+++ b/Balsamrack/Flows/OwnerFlows.h
@@ -27,8 +27,8 @@
                ///< requested server: dispatch.
     Accepted,  ///< An established flow that was unknown here is now bound to
                ///< the requested server: dispatch.
-    Elsewhere, ///< Reply NotRun with FlowElsewhere and Server.
-    Unknown,   ///< Reply NotRun with FlowElsewhere and no server.
+    Elsewhere, ///< Reply NotRun with FlowNotOnServer and Server.
+    Unknown,   ///< Reply NotRun with FlowNotOnServer and no server.
   };
   Kind How = Unknown; ///< Kind of the verdict.
   ServerId Server;    ///< Server of the flow; empty if Unknown.
