--- a/FailureTests/Fleet.cpp
+++ b/FailureTests/Fleet.cpp
@@ -21,9 +21,10 @@
 
 constexpr auto HttpTimeout = std::chrono::seconds(5);
 constexpr auto StartTimeout = std::chrono::seconds(20);
-/// VM i has loopback address 127.0.1.(10 + i), as real VMs have their own.
+/// Daemon i listens at loopback address 127.0.1.(10 + i), since each VM has an
+/// address of its own.
 constexpr int FirstVmHostNumber = 10;
-/// Ports on which callers reach a service at each daemon.
+/// Services of the fleet, each with a port of its own at every daemon.
 constexpr const char *ServiceNames[] = {"booking", "archive"};
 
 Address loopbackAddress(uint16_t port) { return {"127.0.0.1", port}; }
@@ -138,7 +139,7 @@
     for (const ServerPlan &s : Plan.Servers)
       all = all &&
             answersHttp(loopbackAddress(Ports[s.Id]), "/balsamrack/health");
-    // The fabric answers no GET, so a list is posted until it is taken.
+    // The fabric does not support GET, so an empty list of daemons is posted.
     return all && postHttp(loopbackAddress(Ports["fabric-control"]), "/daemons",
                            "[]", HttpTimeout)
                       .ok();
@@ -255,7 +256,8 @@
   bool ready = awaitUntil(StartTimeout,
                           [&] { return !queryDaemon(i, "status").is_null(); });
   return ready ? absl::OkStatus()
-               : absl::UnavailableError("daemon answers no operators");
+               : absl::UnavailableError(
+                     "daemon does not reply to operator requests");
 }
 
 Fleet::Json Fleet::queryDaemon(size_t i, const std::string &path) {
--- a/FailureTests/Fleet.h
+++ b/FailureTests/Fleet.h
@@ -15,89 +15,94 @@
 
 namespace balsamrack {
 
-/// A backend server of a test.
+/// Configuration of a backend server stand-in.
 struct ServerPlan {
-  std::string Id;            ///< In tickets.
-  std::string Service;       ///< That it serves.
-  std::string Domain;        ///< Where it stands.
-  uint32_t WorkMs = 10;      ///< Time of a run.
-  uint32_t LongWorkMs = 200; ///< Time of a long run.
+  std::string Id;            ///< Id in tickets.
+  std::string Service;       ///< Service that it serves.
+  std::string Domain;        ///< Failure domain.
+  uint32_t WorkMs = 10;      ///< Duration of a run.
+  uint32_t LongWorkMs = 200; ///< Duration of a long run.
 };
 
-/// What a test starts.
+/// Configuration of a Fleet.
 struct FleetPlan {
   std::vector<std::string> Daemons; ///< The failure domain of vm-1, vm-2, ...
-  std::vector<ServerPlan> Servers;  ///< Backend servers.
-  uint64_t Seed = 1;                ///< Of the fabric and the callers.
-  bool UsePlatformRelays = false;   ///< Each daemon reads through a relay.
+  std::vector<ServerPlan> Servers;  ///< Backend server stand-ins.
+  uint64_t Seed = 1;                ///< Seed of the fabric and the callers.
+  bool UsePlatformRelays = false;   ///< Relays between daemons and
+                                    ///< platform.
 };
 
-/// Three daemons, two in domain "a" and one in "b"; two services with two
-/// servers in each domain.
+/// Returns a plan of three daemons, two in domain "a" and one in "b", and two
+/// services with two servers in each domain.
 FleetPlan makeSmallPlan();
 
-/// Daemons and stand-ins of one test as separate processes. Ends them all with
-/// itself. Not thread-safe.
+/// Daemons and stand-ins of one test as separate processes. The destructor
+/// kills them all. Not thread-safe.
 class Fleet {
 public:
   using Json = nlohmann::json;
 
-  /// Starts everything and waits until the first ticket is in force at every
-  /// daemon. Error when that doesn't come about.
+  /// Starts all processes and waits until the first ticket is in force at every
+  /// daemon and each server has an owner. Error kUnavailable on timeout.
   static absl::StatusOr<std::unique_ptr<Fleet>> start(FleetPlan plan);
 
-  /// The process of daemon \p i, from 0.
+  /// Returns the process of daemon \p i, counted from 0.
   Process &daemon(size_t i) { return *Daemons[i]; }
-  /// Starts daemon \p i (again: then it may not assume that no key ran before).
-  /// Its earlier process must have ended.
+  /// Starts daemon \p i. On a restart its settings don't let it assume that no
+  /// request with an idempotency key ran before. Precondition: its earlier
+  /// process has ended.
   absl::Status startDaemon(size_t i);
-  /// Kills stand-in server \p id and starts it anew, cold for \p coldMs. Its
-  /// counts begin anew too.
+  /// Kills and restarts stand-in server \p id, cold for \p coldMs. Its counts
+  /// restart at zero.
   absl::Status restartServer(const std::string &id, uint32_t coldMs);
-  /// Waits until daemon \p i answers its operators.
+  /// Waits until daemon \p i replies to operator requests.
   absl::Status awaitReady(size_t i);
-  /// What daemon \p i answers its operators below /v1/; null when it doesn't.
+  /// Returns the reply of daemon \p i to an operator request for /v1/ \p path;
+  /// null if there is none.
   Json queryDaemon(size_t i, const std::string &path);
-  /// Where daemon \p i listens for callers of \p service.
+  /// Returns the address of daemon \p i for callers of \p service.
   Address callerAddress(size_t i, const std::string &service) const;
-  /// Where daemon \p i listens for peers and for operators.
+  /// Returns the address of daemon \p i for peers.
   Address peerAddress(size_t i) const;
+  /// Returns the address of daemon \p i for operators.
   Address operatorAddress(size_t i) const;
-  /// The relay between daemon \p i and the platform. Precondition: planned.
+  /// Returns the relay between daemon \p i and the platform. Precondition:
+  /// FleetPlan::UsePlatformRelays.
   Relay &platformRelay(size_t i) { return *Relays[i]; }
 
-  /// Publishes a ticket with the whole state of some objects.
+  /// Publishes a ticket with the full state of \p objects; returns its number.
   uint64_t publishTicket(const Json &objects);
   /// Publishes a ticket that drains server \p id.
   uint64_t drainServer(const std::string &id);
-  /// Publishes a ticket that takes \p domain out of service or back.
+  /// Publishes a ticket that takes \p domain out of service or returns it.
   uint64_t setDomainInService(const std::string &domain, bool inService);
   /// Waits until ticket \p number is in force at daemon \p i.
   bool awaitTicketInForce(size_t i, uint64_t number, Duration timeout);
-  /// Tells the platform how to fail.
+  /// Sets the failure mode of the platform stand-in.
   void setPlatformMode(const Json &mode);
-  /// Tells the fabric which daemons to choose from.
+  /// Sets the daemons that the fabric sends packets to.
   void setFabricDaemons(const std::set<size_t> &daemons);
 
-  /// Where stand-in server \p id listens.
+  /// Returns the address of stand-in server \p id.
   Address serverAddress(const std::string &id) const;
-  /// The counts of stand-in server \p id.
+  /// Returns the counts of stand-in server \p id.
   Json queryServerCounts(const std::string &id);
-  /// Tells stand-in server \p id how to behave.
+  /// Sends a control command to stand-in server \p id.
   void controlServer(const std::string &id, const Json &command);
-  /// Settings for callers of both services.
+  /// Returns settings for callers of both services.
   standins::CallSettings makeCallSettings() const;
-  /// Ends \p load and compares what callers saw with the servers' counts.
+  /// Stops \p load and compares the callers' results with the servers' counts.
   standins::LoadReport
   stopAndVerify(standins::LoadGenerator &load,
                 const std::set<std::string> &outOfServiceDomains = {});
-  /// Waits until the daemons \p among these see each other alive, and each
-  /// server is owned by one of them.
+  /// Waits until all \p daemons see each other alive and each server is owned
+  /// by one of them.
   bool awaitOwners(const std::set<size_t> &daemons, Duration timeout);
-  /// True when daemon \p i says that it owns server \p id.
+  /// Returns true if daemon \p i reports that it owns server \p id.
   bool ownsServer(size_t i, const std::string &id);
-  /// The daemon that owns server \p id, or the number of daemons when there is
-  /// none.
+  /// Returns the daemon that owns server \p id, or the number of daemons if
+  /// there is none.
   size_t ownerOf(const std::string &id);
 
 private:
@@ -114,15 +119,15 @@
   Json initialObjects() const;
   std::string daemonIp(size_t i) const;
 
-  const FleetPlan Plan;                     ///< What to start.
-  std::string Folder;                       ///< For settings and logs.
-  std::map<std::string, uint16_t> Ports;    ///< Each port by what it is for.
-  uint64_t LastTicket = 0;                  ///< Published so far.
-  std::unique_ptr<Process> PlatformProcess; ///< Stand-in.
-  std::unique_ptr<Process> FabricProcess;   ///< Stand-in.
-  std::vector<std::unique_ptr<Process>> Servers; ///< In the plan's order.
-  std::vector<std::unique_ptr<Process>> Daemons; ///< In the plan's order.
-  std::vector<std::unique_ptr<Relay>> Relays;    ///< Towards the platform.
+  const FleetPlan Plan;                     ///< Configuration.
+  std::string Folder;                       ///< Folder for settings and logs.
+  std::map<std::string, uint16_t> Ports;    ///< Ports by purpose.
+  uint64_t LastTicket = 0;                  ///< Last published ticket.
+  std::unique_ptr<Process> PlatformProcess; ///< Platform stand-in.
+  std::unique_ptr<Process> FabricProcess;   ///< Fabric stand-in.
+  std::vector<std::unique_ptr<Process>> Servers; ///< In the order of the plan.
+  std::vector<std::unique_ptr<Process>> Daemons; ///< In the order of the plan.
+  std::vector<std::unique_ptr<Relay>> Relays; ///< From daemons to the platform.
 };
 
 } // namespace balsamrack
--- a/FailureTests/GarbageTest.cpp
+++ b/FailureTests/GarbageTest.cpp
@@ -12,13 +12,13 @@
 
 using namespace std::chrono_literals;
 
-/// Waits at most this long for what a port answers to garbage.
+/// Timeout of the reply to garbage.
 constexpr time_t ReplyTimeoutSeconds = 1;
 constexpr size_t RandomInputBytes = 4096;
 constexpr size_t HugeBodyBytes = 8 << 20;
 
-/// Sends \p bytes to \p to and reads what comes back, until the peer closes or
-/// a second has passed.
+/// Sends \p bytes to \p to and discards the reply, until the peer closes the
+/// connection or ReplyTimeoutSeconds have passed.
 void sendGarbage(const Address &to, const std::string &bytes) {
   int fd = socket(AF_INET, SOCK_STREAM, 0);
   timeval timeout{ReplyTimeoutSeconds, 0};
@@ -78,10 +78,10 @@
   };
 }
 
-// Story: something on the network sends garbage to every port of a daemon:
-// truncated and oversized HTTP, wrong header values, frames that are no CBOR,
-// deep nesting, random bytes. Sellers' requests next to it are answered as
-// ever, and the daemon does not die.
+// Sends garbage to every port of a daemon: truncated and oversized HTTP,
+// invalid header values, frames that are not CBOR, deep nesting and random
+// bytes. The daemon must not crash, and callers' requests must still be
+// answered.
 TEST_F(FleetTest, GarbageIntoEachPort) {
   ASSERT_NO_FATAL_FAILURE(startFleet(makeSmallPlan()));
   standins::LoadGenerator load(TestFleet->makeCallSettings());
--- a/FailureTests/OwnerFailureTest.cpp
+++ b/FailureTests/OwnerFailureTest.cpp
@@ -9,12 +9,13 @@
 
 using namespace std::chrono_literals;
 
-/// How long a server stays cold: longer than a blind ramp takes.
+/// Time for which a server stays cold, longer than the ramp of a server whose
+/// warm answer times are unknown.
 constexpr uint32_t ColdMs = 5000;
 
 class OwnerFailureTest : public FleetTest {
 protected:
-  /// Starts the fleet and load, and finds the owner of booking-a1.
+  /// Starts the fleet and the load and finds the owner of booking-a1.
   void startWithLoad(uint32_t longPercent) {
     ASSERT_NO_FATAL_FAILURE(startFleet(makeSmallPlan()));
     standins::CallSettings calls = TestFleet->makeCallSettings();
@@ -28,22 +29,22 @@
     ASSERT_TRUE(awaitUntil(
         20s, [&] { return TestFleet->ownsServer(1 - Owner, "booking-a1"); }));
   }
-  /// Ends the load. More than the slots of a server shows as a shed: two
-  /// daemons took themselves for its owner.
+  /// Stops the load and verifies that no server shed a request. A server sheds
+  /// requests beyond its slots, which happens if two daemons act as its owner.
   void expectOneOwnerAtATime() {
     standins::LoadReport report = TestFleet->stopAndVerify(*Load);
     expectNoViolations(report, 0.5);
     EXPECT_EQ(report.Sheds, 0U);
   }
 
-  std::unique_ptr<standins::LoadGenerator> Load; ///< Both services.
-  size_t Owner = 0; ///< Of booking-a1; 1 - Owner is next.
+  std::unique_ptr<standins::LoadGenerator> Load; ///< Calls both services.
+  size_t Owner = 0; ///< Owner of booking-a1; 1 - Owner takes over.
 };
 
-// Story: sellers hold flows at servers of domain a. The VM whose daemon owns
-// some of these servers dies. Flows go on at the same servers through the other
-// daemon; only what was in flight ends unknown. The cause of what could go
-// wrong: the new owner can't know what is in progress.
+// The daemon that owns some servers of domain a is killed. Flows must continue
+// at the same servers through the other daemon, and only requests in flight may
+// have an unknown outcome. The new owner can't know which requests are in
+// progress.
 TEST_F(OwnerFailureTest, KilledUnderLoad) {
   ASSERT_NO_FATAL_FAILURE(startWithLoad(5));
   TestFleet->daemon(Owner).signal(SIGKILL);
@@ -52,9 +53,9 @@
   expectOneOwnerAtATime();
 }
 
-// Story: as above, and the dead owner's servers turn cold, without a sign,
-// before another daemon takes them over. It must not trust what it has heard of
-// their warmth: a cold server bears one run, and two make it fall over.
+// The owner is killed, and its servers turn cold unnoticed before another
+// daemon takes them over. The new owner must not rely on earlier reports that
+// they are warm: a cold server handles one run, and a second one overloads it.
 TEST_F(OwnerFailureTest, KilledAndItsServersTurnCold) {
   ASSERT_NO_FATAL_FAILURE(startWithLoad(0));
   std::vector<std::string> owned;
@@ -69,9 +70,8 @@
   expectOneOwnerAtATime();
 }
 
-// Story: a backend server dies under load and comes up again, cold, under the
-// same address. Its owner knew how fast it is when warm, and must not push it
-// over while it is slow.
+// A backend server is killed under load and restarts cold at the same address.
+// Its owner, which knows its speed when warm, must not overload it.
 TEST_F(OwnerFailureTest, ServerComesBackCold) {
   ASSERT_NO_FATAL_FAILURE(startWithLoad(0));
   ASSERT_TRUE(TestFleet->restartServer("booking-a1", ColdMs).ok());
@@ -84,16 +84,16 @@
   EXPECT_EQ(counts["fell_over"], 0) << counts.dump();
 }
 
-// Story: an owner's VM is paused for longer than any timeout, in the middle of
-// dispatching. Another daemon takes its servers over. Then it wakes up, with
-// requests in its queue, and still believes that it is the owner. It must not
-// dispatch: deposits would run twice, and servers get double load.
+// An owner's VM is paused while it dispatches, for longer than any timeout, and
+// another daemon takes over its servers. When the VM resumes, it has queued
+// requests and still considers itself the owner. It must not dispatch them:
+// requests would run twice, and servers would get double load.
 TEST_F(OwnerFailureTest, PausedInTheMiddleOfDispatch) {
   ASSERT_NO_FATAL_FAILURE(startWithLoad(30));
   TestFleet->daemon(Owner).signal(SIGSTOP);
-  // What it has taken in stays there; the fabric sends it nothing more.
+  // The paused daemon keeps its queue; the fabric sends it nothing more.
   TestFleet->setFabricDaemons({1 - Owner, 2});
-  // Longer than any timeout: until the other daemon has long taken over.
+  // Stay paused until well after the takeover, longer than any timeout.
   ASSERT_NO_FATAL_FAILURE(awaitTakeover());
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(*Load, 1000));
   TestFleet->daemon(Owner).signal(SIGCONT);
@@ -103,8 +103,8 @@
   expectOneOwnerAtATime();
 }
 
-// Story: the same VM dies twice, and comes back each time under the same
-// address. Its peers must not take the new run for the old one.
+// The same daemon is killed twice and restarts at the same address each time.
+// Its peers must not mistake the new process for the old one.
 TEST_F(OwnerFailureTest, KilledTwiceAndBack) {
   ASSERT_NO_FATAL_FAILURE(startWithLoad(5));
   for (int round = 0; round < 2; ++round) {
--- a/FailureTests/PacketFleetTest.cpp
+++ b/FailureTests/PacketFleetTest.cpp
@@ -26,8 +26,9 @@
 constexpr Duration Second{1'000'000};
 const Endpoint BookingEndpoint{0xc6120001, 443}; // 198.18.0.1:443
 
-/// Real daemons of the packet carrier as processes on loopback addresses, with
-/// a store, four backend servers and a caller of the users' protocol.
+/// Daemons of the packet carrier as processes on loopback addresses, with
+/// stand-ins for the store, four backend servers and a caller of the users'
+/// protocol.
 class PacketFleetTest : public testing::Test {
 protected:
   static constexpr size_t DaemonCount = 3;
@@ -111,7 +112,7 @@
             R"({"version":)", version, R"(,"routes":[)", routes,
             R"(],"services":[{"name":"booking","coldPerS":0.0}],"limits":{"idleTimeoutMs":15000}})"));
   }
-  /// Asks as the fabric does.
+  /// Checks readiness as the fabric does.
   bool isReady(size_t i) const;
   CallResult::Kind call(int moveTo = -1) {
     platform::CallPlan plan;
@@ -163,8 +164,8 @@
   }
 }
 
-// Story: a server goes dark while its entry still stands. Its callers get their
-// answers from others, within a fraction of the time of a caller's own copy.
+// A server goes silent while it is still published as ready. Its callers must
+// be answered by other servers, before they retransmit the opening.
 TEST_F(PacketFleetTest, ADarkServerCostsNoCallerItsAnswer) {
   Servers[0]->setSilent(true);
   int late = 0;
@@ -176,8 +177,8 @@
   EXPECT_LE(late, 3);
 }
 
-// Story: the store goes silent, then a daemon is killed and starts again. It
-// has to learn everything from its peers, and callers notice nothing.
+// The store goes silent, then a daemon is killed and restarts. It must load the
+// published state from its peers, and all calls must be answered.
 TEST_F(PacketFleetTest, AFreshDaemonLearnsFromPeersWhileTheStoreIsSilent) {
   Store->setMode(StandInStore::Mode::Silent);
   Processes[2]->signal(SIGKILL);
@@ -188,7 +189,8 @@
     EXPECT_EQ(call(), CallResult::Kind::Answered) << i;
 }
 
-// Story: operators drop a route while the store turns everybody away but one.
+// Operators remove a route. Every daemon must apply the new configuration
+// within 3 s and reset openings for the removed route.
 TEST_F(PacketFleetTest, ADroppedRouteIsRefusedEverywhereInTime) {
   publishRoutes(2, {444});
   ASSERT_TRUE(awaitUntil(Second * 3, [&] {
@@ -202,8 +204,8 @@
     EXPECT_EQ(call(), CallResult::Kind::Reset);
 }
 
-// Story: a VM is stopped. The fabric still sends there for a second, and no
-// caller may lose an answer; then the process ends by itself, in time.
+// A daemon is stopped. The fabric still sends packets to it for a second, and
+// all calls must be answered. Then the process must exit within its limit.
 TEST_F(PacketFleetTest, AStoppedDaemonServesUntilTheFabricHasLeft) {
   Processes[0]->signal(SIGTERM);
   ASSERT_TRUE(awaitUntil(Second, [&] { return !isReady(0); }));
@@ -219,8 +221,8 @@
     EXPECT_EQ(call(), CallResult::Kind::Answered) << i;
 }
 
-// Story: a settings file is broken and then mended while the daemon runs. It
-// says so in one line and goes on with the last good one.
+// The settings file of a running daemon becomes invalid and is then corrected.
+// The daemon must log the error and continue with the last valid settings.
 TEST_F(PacketFleetTest, ABrokenSettingsFileChangesNothing) {
   std::ofstream(settingsPath(1)) << "{\"vm\": 7}";
   Processes[1]->signal(SIGHUP);
@@ -228,12 +230,13 @@
   EXPECT_TRUE(Processes[1]->isRunning());
   EXPECT_EQ(call(), CallResult::Kind::Answered);
   writeSettings(1, absl::StrCat("\"", vmIp(2), ":1\""));
-  EXPECT_TRUE(awaitLogText(1, "\"event\":\"reloaded\"")) << "without a signal";
+  EXPECT_TRUE(awaitLogText(1, "\"event\":\"reloaded\""))
+      << "corrected settings must be reloaded without a signal";
   EXPECT_EQ(call(), CallResult::Kind::Answered);
 }
 
-// Story: a daemon is started while the run before still holds its address. It
-// says so, and starts once the address is free, without ending in between.
+// A daemon is started while an earlier process still holds its address. It must
+// log that and start once the address is free, without exiting in between.
 TEST_F(PacketFleetTest, AHeldAddressIsWaitedFor) {
   Processes[2]->signal(SIGKILL);
   ASSERT_TRUE(Processes[2]->awaitExit(Second * 5).ok());
@@ -247,10 +250,9 @@
   EXPECT_TRUE(awaitUntil(Second * 10, [&] { return isReady(2); }));
 }
 
-// Story: a daemon starts while the store and all its peers are gone. Until
-// there are updates it has nothing to do, but it used up its processor's
-// allotment by looking for them without pause, and had none left for the
-// callers that came with the first updates.
+// A daemon starts while the store and all its peers are unreachable. Guards
+// against a busy loop: polling for updates without a pause used up its CPU
+// quota, so it had none left for the callers that came with the first updates.
 TEST_F(PacketFleetTest, ADaemonWithoutUpdatesRests) {
   Store->setMode(StandInStore::Mode::Silent);
   for (auto &process : Processes) {
@@ -266,8 +268,8 @@
   EXPECT_LT(used, Second / 5) << used.count() << " us of two seconds";
 }
 
-// Story: a clerk's flow hangs, and the engineer on call asks the daemons about
-// it with the operators' client: where it is, and where a new one would go.
+// An operator queries a flow that hangs with the operators' client: which
+// server it is at, and where a new flow would be placed.
 TEST_F(PacketFleetTest, OperatorsAskAboutAFlow) {
   platform::CallPlan plan;
   ASSERT_EQ(Caller->call(BookingEndpoint, plan).How,
@@ -282,7 +284,7 @@
     auto replies = client->askAll(path, query);
     return reportDecisions(replies, OutputFormat::Text);
   };
-  // The caller's first flow comes from port 1001.
+  // The first flow of the caller has source port 1001.
   Report flow = queryDaemons(
       "explain", {{"kind", "flow"}, {"id", "127.0.7.1:1001>198.18.0.1:443"}});
   EXPECT_EQ(flow.ExitCode, ExitCodes::Good) << flow.Notes;
@@ -307,7 +309,7 @@
             std::string::npos);
 }
 
-// Story: all daemons are killed at once, and start again.
+// All daemons are killed at once and restart.
 TEST_F(PacketFleetTest, AllDaemonsComeBackTogether) {
   for (auto &process : Processes)
     process->signal(SIGKILL);
--- a/FailureTests/PlannedChangeTest.cpp
+++ b/FailureTests/PlannedChangeTest.cpp
@@ -10,7 +10,7 @@
 
 class PlannedChangeTest : public FleetTest {
 protected:
-  /// Time since each packet for a server of \p domain: the shortest.
+  /// Returns the time since the last packet to any server of \p domain.
   int64_t timeSinceLastPacketMs(const std::string &domain) {
     int64_t shortestMs = INT64_MAX;
     for (const ServerPlan &server : Plan.Servers) {
@@ -26,8 +26,8 @@
   }
 };
 
-// Story: operators drain a server under load. Its flows go on there until they
-// end; new flows go elsewhere within seconds. No seller notices.
+// Operators drain a server under load. Its flows must stay there until they
+// end, new flows must go elsewhere within seconds, and no request may fail.
 TEST_F(PlannedChangeTest, DrainUnderLoad) {
   ASSERT_NO_FATAL_FAILURE(startFleet(makeSmallPlan()));
   standins::LoadGenerator load(TestFleet->makeCallSettings());
@@ -39,16 +39,18 @@
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(load, 100));
   uint64_t flows = countFlows("booking-a1");
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(load, 1000));
-  EXPECT_EQ(countFlows("booking-a1"), flows) << "new flows at a drained server";
+  EXPECT_EQ(countFlows("booking-a1"), flows)
+      << "new flows at a draining server";
   standins::LoadReport report = TestFleet->stopAndVerify(load);
   expectNoViolations(report, 0.9);
   EXPECT_EQ(report.Unknown, 0U);
   EXPECT_EQ(report.GivenUp, 0U);
 }
 
-// Story: operators take a failure domain out under load. No packet reaches it
-// after 3 s; flows that lived there are given up with a clear ending, the
-// others go on. Then it comes back, cold, and takes flows again.
+// Operators take a failure domain out of service under load. No packet may
+// reach it after 3 s. Its flows must be given up with that outcome, and all
+// others must continue. Then it returns with cold servers and must take flows
+// again.
 TEST_F(PlannedChangeTest, DomainOutAndBack) {
   ASSERT_NO_FATAL_FAILURE(startFleet(makeSmallPlan()));
   standins::LoadGenerator load(TestFleet->makeCallSettings());
@@ -56,7 +58,7 @@
   SystemClock clock;
   TimePoint publishedAt = clock.now();
   uint64_t ticket = TestFleet->setDomainInService("b", false);
-  // Once nothing has come for 2 s, it is known when the last packet came.
+  // The last packet is known once none has arrived for 2 s.
   ASSERT_TRUE(
       awaitUntil(10s, [&] { return timeSinceLastPacketMs("b") > 2000; }));
   Duration lastPacketAfter =
@@ -75,9 +77,9 @@
   expectNoViolations(TestFleet->stopAndVerify(load, {"b"}), 0.8);
 }
 
-// Story: an upgrade restarts each daemon in turn by SIGTERM, after the fabric
-// has been told. No request is cut, each daemon exits with 0 in time, and no
-// flow moves.
+// An upgrade restarts each daemon in turn by SIGTERM, after the fabric stops
+// sending to it. No request may be cut off, each daemon must exit with 0 in
+// time, and no flow may move.
 TEST_F(PlannedChangeTest, RollingRestart) {
   ASSERT_NO_FATAL_FAILURE(startFleet(makeSmallPlan()));
   standins::CallSettings calls = TestFleet->makeCallSettings();
@@ -99,14 +101,15 @@
   ASSERT_NO_FATAL_FAILURE(awaitAnswers(load, 200));
   standins::LoadReport report = TestFleet->stopAndVerify(load);
   expectNoViolations(report, 0.8);
-  EXPECT_EQ(report.Unknown, 0U) << "cut, or not to be known";
-  EXPECT_EQ(report.Sheds, 0U) << "two owners at a time";
+  EXPECT_EQ(report.Unknown, 0U)
+      << "requests cut off or with an unknown outcome";
+  EXPECT_EQ(report.Sheds, 0U) << "a server had two owners at the same time";
 }
 
-// Story: domain b is cut off from the platform, and all daemons of domain a
-// stand still, so that b hears nobody. Its daemon must go on serving new flows
-// with its own servers, and refuse the others' flows truthfully. Once all is
-// well again, a ticket that it missed applies.
+// Domain b is cut off from the platform, and all daemons of domain a are
+// paused, so that b has no live peers. Its daemon must continue to serve new
+// flows with its own servers and must refuse flows of other servers with a true
+// outcome. After the recovery, a ticket that it missed must come into force.
 TEST_F(PlannedChangeTest, CutOffDomainGoesOnServing) {
   FleetPlan plan = makeSmallPlan();
   plan.UsePlatformRelays = true;
--- a/FailureTests/PlatformFailureTest.cpp
+++ b/FailureTests/PlatformFailureTest.cpp
@@ -22,9 +22,8 @@
   }
 };
 
-// Story: the platform is down, and a VM is replaced. The new daemon keeps
-// nothing and can't read the platform; it must get the state from its peers and
-// serve.
+// The platform is down while a daemon restarts without any state. It must get
+// the state from its peers and serve.
 TEST_F(PlatformFailureTest, DownAtStart) {
   ASSERT_NO_FATAL_FAILURE(startFleet(makeSmallPlan()));
   uint64_t ticket = TestFleet->drainServer("booking-a1");
@@ -39,9 +38,9 @@
   expectNoViolations(TestFleet->stopAndVerify(load), 0.5);
 }
 
-// Story: a drain is in force. The platform fails over to a replica that doesn't
-// know its ticket, and a daemon restarts next to live peers. No daemon may go
-// back to the state before the drain, nor may the restarted one.
+// The platform fails over to a replica without the latest ticket, a drain, and
+// a daemon restarts next to live peers. No daemon may revert to the state
+// before the drain, including the restarted one.
 TEST_F(PlatformFailureTest, StaleAnswersRevertNothing) {
   ASSERT_NO_FATAL_FAILURE(startFleet(makeSmallPlan()));
   uint64_t ticket = TestFleet->drainServer("booking-b1");
@@ -52,15 +51,15 @@
   EXPECT_TRUE(TestFleet->awaitTicketInForce(1, ticket, 6s));
   for (size_t i = 0; i < 3; ++i)
     EXPECT_EQ(ticketInForceAt(i), ticket) << "at daemon " << i;
-  // Back to the newest replica: a later ticket comes into force as ever.
+  // After a failback to the newest replica, later tickets come into force.
   TestFleet->setPlatformMode({{"mode", "up"}});
   uint64_t next = TestFleet->drainServer("booking-a1");
   for (size_t i = 0; i < 3; ++i)
     EXPECT_TRUE(TestFleet->awaitTicketInForce(i, next, 15s));
 }
 
-// Story: only one daemon can reach the platform; the links of the others are
-// cut. A ticket must still be in force everywhere within 6 s, through the one.
+// Only one daemon can reach the platform; the connections of the others are
+// cut. A ticket must still come into force at all daemons within 6 s.
 TEST_F(PlatformFailureTest, OneReaderIsEnough) {
   FleetPlan plan = makeSmallPlan();
   plan.UsePlatformRelays = true;
--- a/FailureTests/Process.cpp
+++ b/FailureTests/Process.cpp
@@ -19,11 +19,11 @@
 namespace {
 
 constexpr auto PollPeriod = std::chrono::milliseconds(20);
-/// Below 32768, where the ports of outgoing connections begin.
+/// All ports are below 32768, where the ephemeral port range begins.
 constexpr uint16_t FirstPort = 12'000;
 constexpr uint16_t PortCount = 18'000;
 
-// Runs in the child; must only call what is safe after fork.
+// Runs in the child and may only call async-signal-safe functions.
 [[noreturn]] void execChild(const char *path, char *const *argv, int logFd) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   dup2(logFd, STDOUT_FILENO);
@@ -106,7 +106,7 @@
 }
 
 uint16_t findFreePort() {
-  // Each test process begins elsewhere, so that two don't take one port.
+  // Each test process starts at a different port to avoid collisions.
   static uint16_t next = static_cast<uint16_t>(getpid() * 97 % PortCount);
   for (uint16_t tries = 0; tries < PortCount; ++tries) {
     next = static_cast<uint16_t>((next + 1) % PortCount);
--- a/FailureTests/Process.h
+++ b/FailureTests/Process.h
@@ -12,50 +12,52 @@
 
 namespace balsamrack {
 
-/// A child process of the test. Ends with it. Not thread-safe.
+/// A child process of the test, killed when the test process ends. Not
+/// thread-safe.
 class Process {
 public:
-  /// Runs program \p name of the build folder with \p args; its output goes to
-  /// file \p log. Error kInternal when it can't be started.
+  /// Runs program \p name of the build folder with \p args and appends its
+  /// output to file \p logPath. Error kNotFound if it is not built, kInternal
+  /// if fork() fails.
   static absl::StatusOr<std::unique_ptr<Process>>
   start(const std::string &name, const std::vector<std::string> &args,
         const std::string &logPath);
-  /// Kills it if it still runs, and waits for its end.
+  /// Kills the process if it still runs and waits for its exit.
   ~Process();
   Process(const Process &) = delete;
   Process &operator=(const Process &) = delete;
 
-  /// Sends \p signal. Precondition: its end was not waited for.
+  /// Sends \p signal. Precondition: the process has not been reaped.
   void signal(int signal) const;
-  /// True until it has ended.
+  /// Returns true until the process has exited.
   bool isRunning();
-  /// Its exit code once it has ended within \p limit; minus the signal that
-  /// ended it; error kDeadlineExceeded when it still runs.
+  /// Waits for the exit and returns the exit code, or the negated number of the
+  /// signal that killed the process. Error kDeadlineExceeded after \p timeout.
   absl::StatusOr<int> awaitExit(Duration timeout);
-  /// Processor time that it has used so far; zero once it has ended.
+  /// Returns the CPU time used so far; zero once the process has exited.
   Duration cpuTime() const;
 
 private:
   explicit Process(pid_t pid) : Pid(pid) {}
 
-  const pid_t Pid;     ///< Of the child.
-  bool Exited = false; ///< Its end was waited for.
-  int ExitCode = 0;    ///< As awaitEnd tells.
+  const pid_t Pid;     ///< Process id of the child.
+  bool Exited = false; ///< The child has been reaped.
+  int ExitCode = 0;    ///< Result of awaitExit().
 };
 
-/// Looks at \p condition every few milliseconds until it holds; false when it
-/// doesn't within \p limit.
+/// Polls \p condition every few milliseconds until it holds. Returns false
+/// after \p timeout.
 template <class Condition>
 bool awaitUntil(Duration timeout, Condition condition);
 
-/// A TCP port of the loopback addresses that nothing listens at. Outside of the
-/// range that the system gives to outgoing connections.
+/// Returns a TCP port that nothing listens at, outside the ephemeral port
+/// range; 0 if there is none.
 uint16_t findFreePort();
 
-/// Seed of the run: BALSAMRACK_TEST_SEED, or 1. Prints it.
+/// Returns the seed of the run, BALSAMRACK_TEST_SEED or 1, and prints it.
 uint64_t testSeed();
 
-/// Waits a few milliseconds, between two looks at a condition.
+/// Sleeps for the poll period of awaitUntil().
 void sleepForPollPeriod();
 
 template <class Condition>
--- a/FailureTests/Relay.cpp
+++ b/FailureTests/Relay.cpp
@@ -27,7 +27,8 @@
   return raw;
 }
 
-// Passes on what has come, or drops it; false when either side has closed.
+// Forwards or drops the received bytes. Returns false if either side has closed
+// the connection.
 bool forwardBytes(int from, int to, bool drop) {
   std::array<char, 16384> buf{};
   ssize_t n = recv(from, buf.data(), buf.size(), MSG_DONTWAIT);
@@ -42,7 +43,7 @@
   return n != 0;
 }
 
-// Closes \p fd so that its peer sees a reset.
+// Closes \p fd with a TCP reset.
 void closeWithReset(int fd) {
   linger resetOnClose{1, 0};
   setsockopt(fd, SOL_SOCKET, SO_LINGER, &resetOnClose, sizeof(resetOnClose));
@@ -57,7 +58,7 @@
   int enable = 1;
   setsockopt(Listener, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof(enable));
   sockaddr_in address = toSockaddr(listen);
-  // The port is free; were it taken, nothing would pass, and the test fail.
+  // If the port were taken, nothing would be forwarded and the test would fail.
   (void)bind(Listener, reinterpret_cast<sockaddr *>(&address), sizeof(address));
   (void)::listen(Listener, Backlog);
   AcceptThread = std::thread([this] { acceptConnections(); });
--- a/FailureTests/Relay.h
+++ b/FailureTests/Relay.h
@@ -11,45 +11,45 @@
 
 namespace balsamrack {
 
-/// The test's own TCP relay between two processes: passes bytes on, or harms
-/// them as a network does. Thread-safe.
+/// TCP relay between two processes that forwards bytes or simulates network
+/// failures. Thread-safe.
 class Relay {
 public:
-  /// What happens to the bytes.
+  /// What the relay does with bytes and connections.
   enum class Mode {
-    Forwarding,     ///< They go through.
-    Cut,            ///< They lie until it is healed, as behind a partition.
-    RepliesLost,    ///< Requests go through, answers vanish: a one-way cut.
-    RepliesDelayed, ///< Answers come a tenth of a second late.
-    Resetting,      ///< Connections are reset, open ones and new ones.
+    Forwarding,     ///< Bytes are forwarded.
+    Cut,            ///< Bytes are held back until heal(), as in a partition.
+    RepliesLost,    ///< Requests are forwarded, replies are dropped.
+    RepliesDelayed, ///< Replies are delayed by 100 ms.
+    Resetting,      ///< Open and new connections are reset.
   };
 
-  /// Listens at \p listen and passes on to \p to. Precondition: the port is
-  /// free.
+  /// Listens at \p listen and forwards connections to \p target. Precondition:
+  /// the port is free.
   Relay(const Address &listen, Address target);
   /// Closes all connections.
   ~Relay();
   Relay(const Relay &) = delete;
   Relay &operator=(const Relay &) = delete;
 
-  /// Stops to pass anything on; connections stay open.
+  /// Stops forwarding; connections stay open.
   void cut() { CurrentMode = Mode::Cut; }
-  /// Passes on again, also what was sent while it was cut.
+  /// Resumes forwarding, including bytes that were sent during the cut.
   void heal() { CurrentMode = Mode::Forwarding; }
-  /// Changes what happens to the bytes.
+  /// Sets the mode for all connections.
   void setMode(Mode mode) { CurrentMode = mode; }
 
 private:
   void acceptConnections();
   void relayConnection(int from);
 
-  const Address Target;                            ///< Where connections go.
-  int Listener = -1;                               ///< Takes connections.
+  const Address Target;                            ///< Target of connections.
+  int Listener = -1;                               ///< Listening socket.
   std::atomic<Mode> CurrentMode{Mode::Forwarding}; ///< See setMode().
-  std::atomic<bool> Stopped{false};                ///< Threads end.
-  std::mutex ThreadsLock;                          ///< Guards Passing.
-  std::vector<std::thread> ConnectionThreads;      ///< One a connection.
-  std::thread AcceptThread;                        ///< Takes connections.
+  std::atomic<bool> Stopped{false};           ///< Tells the threads to exit.
+  std::mutex ThreadsLock;                     ///< Guards ConnectionThreads.
+  std::vector<std::thread> ConnectionThreads; ///< One per connection.
+  std::thread AcceptThread;                   ///< Accepts connections.
 };
 
 } // namespace balsamrack
--- a/FailureTests/SameKeyTest.cpp
+++ b/FailureTests/SameKeyTest.cpp
@@ -12,10 +12,11 @@
 
 using namespace std::chrono_literals;
 
-/// Of one request that is refused as not run.
+/// Attempts of a request that is refused as not run.
 constexpr int MaxAttempts = 20;
 
-/// One booking server in domain a, so that it is known where work goes.
+/// Starts a fleet with a single booking server, in domain a, so that the server
+/// of each booking request is known.
 class SameKeyTest : public FleetTest {
 protected:
   void SetUp() override {
@@ -28,7 +29,7 @@
       return Owner < 2;
     }));
     Other = 1 - Owner;
-    // Each daemon has seen the way to the server work.
+    // Each daemon has got an answer from the server.
     for (size_t i = 0; i < 3; ++i)
       ASSERT_TRUE(awaitUntil(10s, [&] {
         return outcomeOf(postBooking(i, "/pay", absl::StrCat("first-", i),
@@ -36,8 +37,8 @@
                "answered";
       }));
   }
-  /// Posts until a run is in progress: what is refused as not run is sent
-  /// again, as a caller does. Attempts are named op.1, op.2, ...
+  /// Posts a request and repeats it while it is refused as not run, as callers
+  /// do, until a run is in progress. Attempts are named op.1, op.2, ...
   std::future<absl::StatusOr<Answer>>
   postUntilRunning(size_t i, const char *target, const char *key) {
     std::future<absl::StatusOr<Answer>> pending;
@@ -56,7 +57,7 @@
                   answer.ok() ? answer->Body.c_str() : "no answer");
       sleepForPollPeriod();
     }
-    ADD_FAILURE() << "never ran";
+    ADD_FAILURE() << "no attempt started to run";
     return pending;
   }
   std::future<absl::StatusOr<Answer>> postAsync(size_t i, const char *target,
@@ -65,19 +66,20 @@
     return std::async(std::launch::async,
                       [=] { return postBooking(i, target, key, attempt); });
   }
-  /// A repeat is told the truth: not that it did not run, nor an answer.
+  /// Expects that a repeat at any daemon ends as unknown: it must neither be
+  /// answered nor be reported as not run.
   void expectUnknownAtAllDaemons(const char *key) {
     for (size_t i = 0; i < 3; ++i)
       EXPECT_EQ(outcomeOf(postBooking(i, "/pay", key, "op.99")), "unknown")
           << "at daemon " << i;
   }
 
-  size_t Owner = 0; ///< Of booking-a1.
+  size_t Owner = 0; ///< Owner of booking-a1.
   size_t Other = 0; ///< The other daemon of its domain.
 };
 
-// Story: a seller's deposit is answered. The browser sends it again, on a new
-// flow, at every daemon. It must not be charged a second time.
+// A request has been answered, and its caller repeats it on new flows at every
+// daemon. It must not run a second time.
 TEST_F(SameKeyTest, RepeatedAfterTheAnswer) {
   auto first = postBooking(Other, "/pay", "key-1", "op.1");
   ASSERT_EQ(outcomeOf(first), "answered");
@@ -85,8 +87,8 @@
   EXPECT_EQ(countRuns("op"), 1U);
 }
 
-// Story: a deposit takes long, and an impatient seller sends it again on new
-// flows, at every daemon, while the first still runs.
+// A request takes long, and its caller repeats it on new flows at every daemon
+// while the first attempt still runs.
 TEST_F(SameKeyTest, RepeatedWhileItRuns) {
   auto first = postUntilRunning(2, "/pay?work_ms=3000", "key-2");
   expectUnknownAtAllDaemons("key-2");
@@ -94,32 +96,32 @@
   EXPECT_EQ(countRuns("op"), 1U);
 }
 
-// Story: both slots of the only server are busy, and a deposit waits in the
-// queue. It is sent again on new flows at every daemon. Only the first runs.
+// Both slots of the only server are busy, and a request waits in the queue. It
+// is repeated on new flows at every daemon. At most one attempt may run.
 TEST_F(SameKeyTest, RepeatedWhileItWaits) {
   auto busyFirst = postUntilRunning(0, "/pay?work_ms=3000", "busy-1");
   auto busySecond = postAsync(1, "/pay?work_ms=3000", "busy-2", "busy2.1");
-  // Long work may be kept out of the last slot; then one keeps it busy.
+  // Long work may be kept out of the last slot; then only one slot is busy.
   auto first = postAsync(2, "/pay?work_ms=100", "key-3", "wait.1");
   std::vector<std::string> outcomes;
   for (size_t i = 0; i < 3; ++i)
     outcomes.push_back(outcomeOf(postBooking(i, "/pay", "key-3", "wait.2")));
   outcomes.push_back(outcomeOf(first.get()));
-  // Any one of them may get the key, or all be refused for the wait; but what
-  // ran is what was answered, and at most once.
+  // Any attempt may claim the key, or all may be refused for the expected wait.
+  // An attempt ran if and only if it was answered, and at most one did.
   auto answered = std::count(outcomes.begin(), outcomes.end(), "answered");
   EXPECT_LE(answered, 1);
   EXPECT_EQ(countRuns("wait"), static_cast<uint64_t>(answered));
 }
 
-// Story: the owner of the server dies while a deposit runs there. The caller
-// gets no answer and asks again on new flows at the daemons that are left. The
-// server did run it, which nobody else may know: never a second run.
+// The owner of the server is killed while a request runs there. The caller gets
+// no answer and repeats the request on new flows at the remaining daemons. It
+// must not run again, although no remaining daemon may know that it ran.
 TEST_F(SameKeyTest, RepeatedAfterTheOwnerDied) {
   auto first = postUntilRunning(Other, "/pay?work_ms=1500", "key-4");
   TestFleet->daemon(Owner).signal(SIGKILL);
   EXPECT_EQ(outcomeOf(first.get()), "unknown");
-  // Ask until the new owner serves again, and go on for a few rounds.
+  // Wait until the new owner serves requests, then repeat for a few rounds.
   ASSERT_TRUE(awaitUntil(15s, [&] {
     return outcomeOf(postBooking(Other, "/pay", "fresh", "fresh.1")) !=
            "not-run";
@@ -131,8 +133,8 @@
   EXPECT_EQ(countRuns("op"), 1U);
 }
 
-// Story: the daemon that the deposit came in at dies while it runs. The caller
-// sees a broken connection, and asks again at the others.
+// The entry daemon of a request is killed while the request runs. The caller's
+// connection breaks, and it repeats the request at the other daemons.
 TEST_F(SameKeyTest, RepeatedAfterTheEntryDied) {
   auto first = postUntilRunning(2, "/pay?work_ms=1500", "key-5");
   TestFleet->daemon(2).signal(SIGKILL);
--- a/FailureTests/StandInsTest.cpp
+++ b/FailureTests/StandInsTest.cpp
@@ -17,8 +17,9 @@
 
 using namespace std::chrono_literals;
 
-/// Callers, fabric and two servers of one service, with no daemon between: each
-/// flow is sprayed over both servers, which is what balsamrack must prevent.
+/// Callers, fabric and two servers of one service without daemons between them.
+/// The fabric distributes the packets of each flow over both servers, which
+/// balsamrack must prevent.
 class StandInsTest : public testing::Test {
 protected:
   void SetUp() override {
@@ -28,7 +29,7 @@
       s.Service = "booking";
       s.Slots = 100;
       Servers[i] = std::make_unique<BackendServer>(s);
-      // One port on two loopback addresses, as on two entry VMs.
+      // The same port at two loopback addresses, as at two entry VMs.
       auto http = HttpServer::listen(
           {absl::StrCat("127.0.2.", i + 1), ServerPort},
           [this, i](const Message &m) { return Servers[i]->serve(m); });
@@ -81,24 +82,24 @@
   EXPECT_EQ(report.Answered, report.Requests) << report.toJson();
 }
 
-// Story: the fabric sprays a flow's packets and nothing keeps them together.
-// The second server never saw the flow open. The callers must notice.
+// The fabric distributes the packets of a flow over both servers, and the
+// second one never got the flow's opening. The callers must detect that.
 TEST_F(StandInsTest, CallersNoticeBrokenFlows) {
   setFabricServers(R"([{"ip":"127.0.2.1"},{"ip":"127.0.2.2"}])");
   EXPECT_GT(runLoad("booking").BrokenFlows, 0U);
 }
 
-// Story: packets for the archive end at booking servers. Both the answers and
-// the servers' counts must show it.
+// Packets for service archive reach booking servers. Both the answers and the
+// servers' counts must show it.
 TEST_F(StandInsTest, CallersNoticeTheWrongService) {
   setFabricServers(R"([{"ip":"127.0.2.1"}])");
   LoadReport report = runLoad("archive");
   EXPECT_GE(report.WrongService, 2 * report.Answered);
 }
 
-// Story: the caller was told "not run", and the server ran it; and an operation
-// that may run once ran under two attempts. The comparison must show both.
-TEST_F(StandInsTest, CountsShowUntrueRefusalsAndSecondRuns) {
+// A server ran a request whose caller was told that it did not run, and an
+// operation that may run once ran in two attempts. The report must count both.
+TEST_F(StandInsTest, CountsShowFalseRefusalsAndSecondRuns) {
   for (const char *attempt : {"op1.1", "op1.2", "op2.1"})
     Servers[0]->serve({"POST", "/work", {{"X-Caller-Request", attempt}}, ""});
   LoadReport report;
@@ -115,8 +116,8 @@
   EXPECT_EQ(report.FalseRefusals, 1U);
 }
 
-// Story: a cold server bears one run, and gets two at once: it falls over, and
-// a test can see that it did.
+// A cold server handles one run at a time. A second one overloads it, which
+// must be visible to the caller.
 TEST_F(StandInsTest, ColdServerFallsOver) {
   BackendServerSettings s;
   s.WarmupTime = 60s;
@@ -131,7 +132,7 @@
   first.join();
 }
 
-TEST(PlatformTest, OlderViewsComeBackWhole) {
+TEST(PlatformTest, StaleModeServesEarlierState) {
   Platform platform;
   auto ticket = [&](int n, const char *id) {
     return platform.addTicket(absl::StrCat(
@@ -144,7 +145,7 @@
   auto read = [&] {
     return platform.serveReader({"GET", "/v1/tickets?after=0", {}, ""}).Body;
   };
-  // Ticket 1 has no object of its own left, so it is compacted away.
+  // All objects of ticket 1 were replaced later, so it is not sent any more.
   EXPECT_EQ(read().find("\"ticket\":1"), std::string::npos);
   platform.serveOperator(
       {"POST", "/mode", {}, R"({"mode":"stale","stale_at":1})"});
