--- a/PerformanceTest/ControlMeasure.cpp
+++ b/PerformanceTest/ControlMeasure.cpp
@@ -17,16 +17,16 @@
 constexpr Duration Second{1'000'000};
 constexpr size_t DomainCount = 5;
 constexpr size_t ServersPerDaemon = 9;
-/// WebSocket header and mask, TCP and IP headers, and the acknowledgement that
-/// the other side sends: reckoned, not measured.
+/// Size of the WebSocket header and mask, the TCP and IP headers and the
+/// acknowledgement of the peer, as calculated from the formats.
 constexpr size_t FrameOverheadBytes = 90;
 constexpr Duration SettleTime = 40 * Second;
 constexpr Duration SteadyTime = 20 * Second;
 
-/// What was measured so far, and whom to tell.
+/// Collects figures and passes each to a callback.
 struct FigureCollector {
-  std::function<void(const Figure &)> OnFigure; ///< Called with each.
-  std::vector<Figure> All;                      ///< All so far.
+  std::function<void(const Figure &)> OnFigure; ///< Called with each figure.
+  std::vector<Figure> All;                      ///< All figures so far.
 };
 
 std::string vmName(size_t i) { return "vm-" + std::to_string(i); }
@@ -34,7 +34,7 @@
   return "domain-" + std::to_string(i % DomainCount);
 }
 
-/// A settled fleet of \p count daemons.
+/// Returns a fleet of \p count daemons whose ownership has settled.
 std::unique_ptr<FleetSimulation> makeFleet(size_t count, double loss) {
   FleetSimulation::Options options;
   options.Loss = loss;
@@ -82,9 +82,9 @@
 }
 
 struct LinearFit {
-  double Intercept = 0; ///< Value at size zero.
-  double PerOne = 0;    ///< Growth for each daemon.
-  double Residual = 0;  ///< Root of the mean squared distance from the line.
+  double Intercept = 0; ///< Value for zero daemons.
+  double PerOne = 0;    ///< Increase per daemon.
+  double Residual = 0;  ///< Root mean square distance from the line.
 };
 
 LinearFit fitLine(const std::vector<std::pair<double, double>> &points) {
@@ -120,7 +120,8 @@
   addFigure(figures, name + "_residual", line.Residual, unit);
 }
 
-/// Time until a ticket, read by one daemon, is in force at all that run.
+/// Measures the time until a ticket that one daemon reads is in force at all
+/// running daemons.
 void measureTicketPropagation(FleetSimulation &fleet, const std::string &name,
                               double pausedFraction, FigureCollector &figures) {
   auto &nodes = fleet.nodes();
@@ -178,7 +179,7 @@
     fleet->kill(i * DomainCount);
   std::string name = "deaths_" + std::to_string(count);
   TimePoint deadline = start + 60 * Second;
-  // Ownership is looked at once a virtual second only, since it is costly.
+  // Checking ownership is expensive, so it is done once per virtual second.
   while (fleet->now() < deadline && count * DomainCount < size &&
          countOwnedServers(*fleet, "domain-0") < ownedBefore)
     fleet->run(Second);
--- a/PerformanceTest/ControlMeasure.h
+++ b/PerformanceTest/ControlMeasure.h
@@ -8,11 +8,11 @@
 
 namespace balsamrack {
 
-/// Slopes of membership, ticket spread and ownership over the fleet's size, up
-/// to \p largest daemons in one process under virtual time, and the bad days at
-/// that size. \p onFigure is called with each figure as soon as it is
-/// there. Bytes are those of the real codec plus a constant for the frames
-/// below it. Not thread-safe.
+/// Measures how the cost of membership, ticket propagation and ownership grows
+/// with the number of daemons, up to \p maxDaemons in one process under virtual
+/// time, and the effect of failures at that size. Calls \p onFigure with each
+/// figure as soon as it is measured. Bytes are those of the real codec plus a
+/// constant overhead per message. Not thread-safe.
 std::vector<Figure>
 measureControlPlane(size_t maxDaemons,
                     const std::function<void(const Figure &)> &onFigure);
--- a/PerformanceTest/DecisionsMeasure.h
+++ b/PerformanceTest/DecisionsMeasure.h
@@ -8,10 +8,12 @@
 namespace balsamrack {
 
 /// Measures the decisions under load in virtual time, each against its
-/// baseline; \p quick plays shorter loads. The same figures in every run.
+/// baseline. \p quick runs shorter loads. The figures are the same in every
+/// run.
 std::vector<Figure> measureDecisions(bool quick);
 
-/// Goodput over load, for a plot: one figure a load factor, named by it.
+/// Measures goodput over load for a plot; each figure is named after its load
+/// factor.
 std::vector<Figure> goodputCurve(bool quick);
 
 } // namespace balsamrack
--- a/PerformanceTest/Figure.h
+++ b/PerformanceTest/Figure.h
@@ -5,13 +5,13 @@
 
 namespace balsamrack {
 
-/// One measured figure, and that of a baseline in the same run.
+/// A measured figure and the figure of a baseline in the same run.
 struct Figure {
-  std::string Name;         ///< Such as goodput_at_2x.
-  double Value = 0;         ///< What was measured.
-  std::string Unit;         ///< Such as "share", "ms" or "s".
-  double Baseline = 0;      ///< What the baseline gave.
-  std::string BaselineName; ///< What the baseline was.
+  std::string Name;         ///< Name, such as goodput_at_2x.
+  double Value = 0;         ///< Measured value.
+  std::string Unit;         ///< Unit, such as "share", "ms" or "s".
+  double Baseline = 0;      ///< Value of the baseline.
+  std::string BaselineName; ///< Name of the baseline.
 };
 
 } // namespace balsamrack
--- a/PerformanceTest/FlowBaselines.cpp
+++ b/PerformanceTest/FlowBaselines.cpp
@@ -28,7 +28,7 @@
   return list;
 }
 
-/// hash(flow) mod n over the servers that take flows.
+/// Modulo hashing over the servers that take flows: hash(flow) mod n.
 double moduloBrokenPercent(size_t before, size_t after, size_t flows) {
   size_t moved = 0;
   for (uint64_t f = 1; f <= flows; ++f) {
@@ -38,8 +38,8 @@
   return 100.0 * static_cast<double>(moved) / static_cast<double>(flows);
 }
 
-/// Rendezvous over the servers that take flows, without any memory, while half
-/// of the daemons have the new list.
+/// Stateless rendezvous hashing over the servers that take flows, while half of
+/// the daemons have the new list.
 double rendezvousBrokenPercent(size_t flows) {
   auto oldList = rankedServers(ServerCount, false);
   auto newList = rankedServers(ServerCount + 1, true);
@@ -54,8 +54,8 @@
   return 100.0 * static_cast<double>(moved) / static_cast<double>(flows);
 }
 
-/// Each daemon remembers the flows that it saw and sends others to the server
-/// with the fewest. Packets are sprayed over the daemons.
+/// Each daemon has a flow table of its own and sends flows that are not in it
+/// to a random server. Packets are distributed at random over the daemons.
 double flowTableBrokenPercent(size_t flows) {
   SeededRandom random(1);
   std::vector<std::map<uint64_t, size_t>> tables(DaemonCount);
--- a/PerformanceTest/FlowBaselines.h
+++ b/PerformanceTest/FlowBaselines.h
@@ -8,24 +8,26 @@
 
 namespace balsamrack {
 
-/// What a baseline does under a change.
+/// Result of a baseline under a change.
 struct BaselineResult {
-  std::string Name;         ///< Which baseline.
-  double BrokenPercent = 0; ///< Flows that another server gets, or none.
+  std::string Name;         ///< Name of the baseline.
+  double BrokenPercent = 0; ///< Flows that move to another server
+                            ///< or to none.
 };
 
-/// The baseline for a change, as FlowsMeasure names it: modulo hashing when
-/// servers change, plain rendezvous without memory when tickets are skewed, and
-/// a flow table alone in each daemon when daemons come and go.
+/// Runs the baseline for \p change, a change of FlowsMeasure.cpp: modulo
+/// hashing if servers change, stateless rendezvous hashing if tickets are
+/// skewed, and only a flow table in each daemon if daemons join or leave.
 BaselineResult baselineFor(const std::string &change, size_t flows);
 
-/// Flows on each of the servers by modulo hashing; ids from + 1 on.
+/// Returns the number of flows on each server by modulo hashing, for flow ids
+/// from \p firstId + 1 on.
 std::vector<uint32_t> moduloFlowsPerServer(size_t flows, uint64_t firstId);
 
-/// Lookups a second by \p threads in one hash map behind one mutex.
+/// Returns lookups per second of \p threads in one hash map behind one mutex.
 double lockedMapLookups(uint64_t flows, size_t threads, double seconds);
 
-/// Bytes a flow in a hash map from flow to the server's name.
+/// Returns bytes per flow of a hash map from flow ids to server names.
 double bytesPerFlowInHashMap(uint64_t flows);
 
 } // namespace balsamrack
--- a/PerformanceTest/FlowFleet.cpp
+++ b/PerformanceTest/FlowFleet.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 const ServiceId Booking("booking");
-constexpr size_t QuestionBytes = 64; ///< As CBOR, with frame and header.
+constexpr size_t QuestionBytes = 64; ///< CBOR with frame and header.
 constexpr size_t ExceptionFlowBytes =
-    25; ///< An exception with its server's name.
+    25; ///< An exception with the name of its server.
 constexpr Duration PacketTimeout = std::chrono::seconds(10);
 
 DomainId domainId(size_t i) { return DomainId(absl::StrCat("domain-", i)); }
@@ -64,8 +64,8 @@
 void FlowFleet::killDaemon(size_t daemon) { Daemons[daemon]->Alive = false; }
 
 void FlowFleet::stopDaemon(size_t daemon) {
-  // It Announces that it leaves: its servers pass on with what their next
-  // owners need.
+  // The daemon announces that it leaves and hands its servers over to their
+  // next owners, with the state that these need.
   Daemon &leaver = *Daemons[daemon];
   leaver.Alive = false;
   handOverServers(leaver, makeView(leaver));
@@ -110,7 +110,8 @@
 void FlowFleet::handOverServers(Daemon &daemon, const RoutingView &next) {
   if (!daemon.View)
     return;
-  // What was ours and is another's is handed over, if that one is there.
+  // Hand over servers that this daemon no longer owns, if the new owner is
+  // live.
   for (const RoutedServer &it : next.Services.at(Booking).Servers) {
     const RoutedServer *before = daemon.View->findServer(it.Server.Id);
     if (!before || before->Owner.Id != daemon.Vm.Id ||
@@ -130,7 +131,7 @@
 void FlowFleet::applyTicketAt(Daemon &daemon) {
   RoutingView next = makeView(daemon);
   handOverServers(daemon, next);
-  // Servers whose old owner died come to us blindly.
+  // Take over servers from owners that failed without a hand-over.
   for (const RoutedServer &it : next.Services.at(Booking).Servers) {
     const RoutedServer *before =
         daemon.View ? daemon.View->findServer(it.Server.Id) : nullptr;
@@ -235,7 +236,7 @@
     o.Server = v.Server;
     return o;
   }
-  // Admission, as far as flows go.
+  // The part of admission that concerns flows.
   bool draining = server->Server.Mode == ServerMode::Draining;
   bool full = owner.Owner->countFlows(f.Server) > Settings.FlowsPerServer;
   if (v.How == FlowVerdict::New && (draining || full)) {
--- a/PerformanceTest/FlowFleet.h
+++ b/PerformanceTest/FlowFleet.h
@@ -14,61 +14,72 @@
 
 namespace balsamrack {
 
-/// What a FlowFleet is made of.
+/// Settings of a FlowFleet.
 struct FlowFleetSettings {
-  size_t Daemons = 8;             ///< Spread evenly over the domains.
-  size_t Domains = 4;             ///< Failure domains.
-  size_t Servers = 14;            ///< Spread evenly over the domains.
-  uint32_t FlowsPerServer = 2000; ///< A server with so many takes no new ones.
-  size_t ExceptionBytesPerSecond = 4096; ///< A second and daemon.
-  EntrySettings Entry;                   ///< Of each daemon.
-  OwnerFlowsSettings Owner;              ///< Of each daemon.
-  uint64_t Seed = 1; ///< Chooses which daemon gets a packet.
+  size_t Daemons = 8;             ///< Number of daemons, spread evenly over the
+                                  ///< domains.
+  size_t Domains = 4;             ///< Number of failure domains.
+  size_t Servers = 14;            ///< Number of servers, spread evenly over the
+                                  ///< domains.
+  uint32_t FlowsPerServer = 2000; ///< Maximum number of flows of a server.
+  size_t ExceptionBytesPerSecond = 4096; ///< Budget of each daemon.
+  EntrySettings Entry;                   ///< Settings of the entry routers.
+  OwnerFlowsSettings Owner;              ///< Settings of the owners.
+  uint64_t Seed = 1; ///< Seed of the choice of the entry daemons.
 };
 
-/// How a packet ended, and what it cost.
+/// Outcome and cost of a packet.
 struct FlowPacketResult {
-  Outcome Result;       ///< Its ending.
-  std::string Token;    ///< Of the answer.
-  size_t Forwards = 0;  ///< Hand-overs to owners.
-  size_t Questions = 0; ///< Questions to owners.
-  size_t Rounds = 0;    ///< Times that it waited for answers to questions.
+  Outcome Result;       ///< Outcome of the packet.
+  std::string Token;    ///< Token of the answer.
+  size_t Forwards = 0;  ///< Forwards to owners.
+  size_t Questions = 0; ///< Flow questions to owners.
+  size_t Rounds = 0;    ///< Rounds of flow questions.
 };
 
-/// Entry routers and owner memories of a few daemons, joined by direct calls:
-/// enough to count broken flows, hops and bytes. Servers answer everything.
-/// Not thread-safe.
+/// Simulates the entry routers and owners' flow tables of a few daemons,
+/// connected by direct calls, in order to count broken flows, hops and bytes.
+/// Servers answer every packet. Not thread-safe.
 class FlowFleet {
 public:
   explicit FlowFleet(const FlowFleetSettings &settings);
 
-  /// Sends a packet in at a daemon chosen at random among the live ones.
+  /// Sends a packet to a random live daemon.
   FlowPacketResult sendPacket(FlowId flow, bool first,
                               const std::string &token);
-  /// Lets a second pass: exceptions are carried within the byte budget.
+  /// Advances the time by one second and delivers exceptions within the byte
+  /// budget.
   void advanceOneSecond();
 
-  /// Changes of the world; none is in force until apply().
+  /// Adds a server. Like all changes of servers and domains, it comes into
+  /// force with applyTicket().
   void addServer();
+  /// Drains a server.
   void drainServer(size_t server);
+  /// Ends the drain of a server.
   void reactivateServer(size_t server);
+  /// Deletes a server.
   void deleteServer(size_t server);
+  /// Takes a failure domain out of service or returns it.
   void setDomainInService(size_t domain, bool inService);
+  /// Stops a daemon without a hand-over.
   void killDaemon(size_t daemon);
+  /// Stops a daemon after it has handed over its servers.
   void stopDaemon(size_t daemon);
+  /// Adds a daemon.
   void joinDaemon();
-  /// Puts the world into force at the first \p daemons of the live ones.
+  /// Brings all changes into force at the first \p daemonCount live daemons.
   void applyTicket(size_t daemonCount = SIZE_MAX);
 
-  /// Bytes of questions, replies and exceptions sent so far.
+  /// Returns the bytes of questions, replies and exceptions sent so far.
   size_t controlBytes() const { return ControlBytes; }
-  /// Flows on each server that exists.
+  /// Returns the number of flows on each server that is not deleted.
   std::vector<uint32_t> flowsPerServer() const;
-  /// The live daemon that owns the most servers; of equal ones the first. Its
-  /// death is the worst, as it may own a flow's first candidate and its home.
-  /// \p skipDomain, if any, is left out.
+  /// Returns the live daemon that owns the most servers; the first one of
+  /// several. Its failure affects the most flows, as it may own both a flow's
+  /// first candidate and its server. Daemons of \p excludedDomain are left out.
   size_t busiestDaemon(size_t excludedDomain = SIZE_MAX) const;
-  /// The domain of a daemon.
+  /// Returns the failure domain of a daemon.
   size_t domainOfDaemon(size_t daemon) const { return Daemons[daemon]->Domain; }
 
 private:
--- a/PerformanceTest/FlowsMeasure.cpp
+++ b/PerformanceTest/FlowsMeasure.cpp
@@ -21,14 +21,16 @@
 constexpr size_t FullFlowCount = 20'000;
 constexpr size_t QuickFlowCount = 5'000;
 constexpr size_t RoundsAfterChange =
-    3; ///< Packets of each flow after a change.
+    3; ///< Packets that each flow sends after a change.
 constexpr double FlowCapacityFactor =
-    1.03; ///< Flows a server holds, over the mean.
-constexpr size_t ReactivatedServer = 1; ///< A server back from its drain.
-constexpr uint32_t MaxServerConnections = 2000; ///< Of a server, by the brief.
+    1.03; ///< Flow limit of a server relative to the mean.
+constexpr size_t ReactivatedServer =
+    1; ///< Server that is drained and reactivated.
+constexpr uint32_t MaxServerConnections =
+    2000; ///< Required connection limit of a server.
 constexpr size_t ThreadCount = 12;
 
-/// Which layers a run has.
+/// Layers of the flow subsystem that a run uses.
 struct Layers {
   std::string Suffix;
   bool Token = false;
@@ -37,20 +39,21 @@
   bool Question = true;
 };
 
-/// A change under flows.
+/// A change while flows are open.
 struct Change {
   std::string Name;
-  std::function<void(FlowFleet &)> Begin;  ///< In force at some daemons.
-  std::function<void(FlowFleet &)> Finish; ///< In force at all.
+  std::function<void(FlowFleet &)>
+      Begin; ///< Brings it into force at some daemons.
+  std::function<void(FlowFleet &)>
+      Finish; ///< Brings it into force at all daemons.
 };
 
-/// What a run came to.
+/// Result of a run.
 struct ChangeResult {
-  double BrokenPercent = 0;  ///< Flows that moved or were given up.
-  double RefusedPercent = 0; ///< Packets refused with a time to come back.
-  double HopsPerPacket = 0;  ///< Hand-overs and question rounds a packet.
-  double ControlBytesPerSecond =
-      0; ///< Control bytes, a daemon, after the change.
+  double BrokenPercent = 0;         ///< Flows that moved or were given up.
+  double RefusedPercent = 0;        ///< Packets refused with a retry delay.
+  double HopsPerPacket = 0;         ///< Forwards and question rounds.
+  double ControlBytesPerSecond = 0; ///< Per daemon, after the change.
 };
 
 struct Flow {
@@ -68,7 +71,7 @@
   s.Entry.UseRank = layers.Rank;
   s.Entry.UseQuestion = layers.Question;
   s.Entry.Explain = false;
-  // Room for the bound of the load to be met in full.
+  // Enough retries for flows that find their first candidates full.
   s.Entry.RetryBurst = 1000;
   s.Owner.KeepExceptions = layers.Exceptions;
   s.Owner.Flows.Shards = s.Owner.Exceptions.Shards = 16;
@@ -76,7 +79,8 @@
   return s;
 }
 
-/// Opens flows; with the load bound some end up off their first candidate.
+/// Opens flows. Flows that find their first candidate full are placed
+/// elsewhere.
 std::vector<Flow> openFlows(FlowFleet &fleet, size_t count, size_t firstId) {
   std::vector<Flow> flows(count);
   for (size_t i = 0; i < count; ++i) {
@@ -91,8 +95,9 @@
   size_t Packets = 0, Refused = 0, Hops = 0;
 };
 
-/// One packet of each flow. A flow is broken when another server answers it or
-/// it is given up; a truthful refusal with a time to come back is not.
+/// Sends one packet of each flow. A flow is broken if another server answers it
+/// or if it is given up. A refusal with a true outcome and a retry delay does
+/// not break it.
 void sendRound(FlowFleet &fleet, std::vector<Flow> &flows, size_t firstId,
                RoundTotals &totals) {
   for (size_t i = 0; i < flows.size(); ++i) {
@@ -121,8 +126,9 @@
   FlowFleetSettings settings = makeFleetSettings(layers, count);
   FlowFleet fleet(settings);
   RoundTotals totalsBefore;
-  // The flows are opened while a server drains; then it returns. So all that
-  // rank it first live elsewhere, beside those that found a full server.
+  // The flows are opened while a server drains, which is then reactivated. So
+  // flows that rank it first are at other servers, as are flows that found
+  // their first candidate full.
   fleet.drainServer(ReactivatedServer);
   fleet.applyTicket();
   std::vector<Flow> flows = openFlows(fleet, count, 0);
@@ -132,7 +138,7 @@
   constexpr size_t SettleSeconds = 10;
   for (size_t i = 0; i < SettleSeconds; ++i)
     fleet.advanceOneSecond();
-  // The change, with new flows opened while it spreads.
+  // Make the change, and open new flows while it propagates.
   size_t bytesBefore = fleet.controlBytes();
   RoundTotals totals;
   change.Begin(fleet);
@@ -155,7 +161,7 @@
                     all;
   b.RefusedPercent = 100.0 * static_cast<double>(totals.Refused) / packets;
   b.HopsPerPacket = static_cast<double>(totals.Hops) / packets;
-  // Each flow sends a packet every ten seconds; Rounds of them were sent.
+  // Each flow sends a packet every ten seconds, RoundsAfterChange in total.
   constexpr double SecondsPerRound = 10;
   b.ControlBytesPerSecond =
       static_cast<double>(fleet.controlBytes() - bytesBefore) /
@@ -213,7 +219,7 @@
   };
 }
 
-/// Broken flows of the baselines under the same kind of change.
+/// Returns the figure of \p b with that of the baseline under the same change.
 Figure makeBrokenFlowsFigure(const std::string &name, const ChangeResult &b,
                              const std::string &change, size_t flows) {
   BaselineResult base = baselineFor(change, flows);
@@ -254,7 +260,7 @@
   }
 }
 
-/// Hops and control bytes while nothing changes.
+/// Measures hops and control bytes without changes.
 void measureSteadyState(size_t flows, std::vector<Figure> &figures) {
   Change none{"steady", [](FlowFleet &) {}, [](FlowFleet &) {}};
   ChangeResult plain = measureChange(none, {"", false}, flows);
@@ -265,7 +271,7 @@
                      noExceptions.HopsPerPacket, "without_exceptions"});
   figures.push_back({"hops_per_packet_token", token.HopsPerPacket, "hops",
                      plain.HopsPerPacket, "no_token"});
-  // One flow of 32 bytes told to each of the seven others.
+  // Replication of each new flow, 32 bytes, to the seven other daemons.
   constexpr double BytesPerFlowToAll = 32.0 * 7;
   constexpr double NewFlowsPerSecond = 2000.0 / 8;
   figures.push_back({"control_bytes_per_second", plain.ControlBytesPerSecond,
@@ -282,7 +288,8 @@
   return max * static_cast<double>(counts.size()) / sum;
 }
 
-/// Mean over several sets of flows: with few flows one set says little.
+/// Returns the mean over several sets of flows, since the imbalance of a single
+/// small set varies strongly.
 double meanImbalance(size_t flows, uint32_t flowsPerServer) {
   constexpr size_t Trials = 20;
   double sum = 0;
@@ -310,11 +317,11 @@
     std::string name = "imbalance_max_over_mean";
     if (n == FewFlows)
       absl::StrAppend(&name, "_", n, "_flows");
-    // As the daemons run it: servers refuse flows beyond their connections.
+    // As in the daemons, servers refuse flows beyond their connection limit.
     double plain = meanImbalance(n, MaxServerConnections);
     figures.push_back(
         {name, plain, "ratio", meanModuloImbalance(n), "modulo_hashing"});
-    // What a bound near the mean would give.
+    // For comparison, a limit close to the mean.
     double bounded =
         meanImbalance(n, makeFleetSettings({"", false}, n).FlowsPerServer);
     figures.push_back(
@@ -322,8 +329,8 @@
   }
 }
 
-/// Calls \p work over and over for \p seconds; returns calls of one item a
-/// second. Each call does \p items.
+/// Calls \p work repeatedly for \p seconds and returns the items per second.
+/// Each call processes \p items.
 double measureRate(double seconds, size_t items,
                    const std::function<void()> &work) {
   size_t done = 0;
@@ -337,7 +344,7 @@
   return static_cast<double>(done) / took.count();
 }
 
-/// 5,400 servers in services of 17.
+/// Returns a view of 5,400 servers in services of 17 servers.
 RoutingView makeLargeView(uint32_t weightStep) {
   RoutingView v;
   constexpr size_t AllServers = 5400;
--- a/PerformanceTest/FlowsMeasure.h
+++ b/PerformanceTest/FlowsMeasure.h
@@ -7,9 +7,9 @@
 
 namespace balsamrack {
 
-/// Measures the flows folder: broken flows under changes and deaths with each
-/// layer switched, hops, control bytes, memory, balance and speed. \p quick
-/// takes fewer flows and shorter runs. Not thread-safe.
+/// Measures the flow subsystem: broken flows under changes and failures with
+/// different layers enabled, hops, control bytes, memory, balance and speed.
+/// \p quick uses fewer flows and shorter runs. Not thread-safe.
 std::vector<Figure> measureFlows(bool quick);
 
 } // namespace balsamrack
--- a/PerformanceTest/LoadModel.cpp
+++ b/PerformanceTest/LoadModel.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-constexpr Duration OneWayDelay{1'000};   // Between failure domains.
-constexpr Duration RestartTime{500'000}; // Of a server that fell over.
-constexpr uint32_t MaxAttempts = 3; // Servers that a new flow is offered to.
+constexpr Duration OneWayDelay{1'000}; // Network delay between failure domains.
+constexpr Duration RestartTime{
+    500'000};                       // Restart time after an overload crash.
+constexpr uint32_t MaxAttempts = 3; // Servers that a new flow tries.
 constexpr Duration LinkTimeoutSlack{
-    2'000}; // The link's timeout beyond the deadline.
+    2'000}; // Timeout of the link beyond the deadline.
 
 ServerId serverId(size_t n) {
   return ServerId("server-" + std::to_string(n / 10) + std::to_string(n % 10));
@@ -42,7 +43,7 @@
     owned.Server.Mode =
         draining.count(n) ? ServerMode::Draining : ServerMode::Active;
     owned.DomainInService = outOfService.count(Servers[n].Domain) == 0;
-    // Warm ones were known as warm by the owner before.
+    // The owner already knows which servers are warm.
     owned.LastKnown.Warm = Servers[n].ColdRequestsLeft == 0;
     owned.LastKnown.Instance = InstanceId("1");
     event.Servers.push_back(owned);
@@ -91,7 +92,7 @@
 }
 
 void LoadModel::run() {
-  // The owner's own wakeups stop once nothing waits, so the agenda runs dry.
+  // The owner requests no wakeups once nothing waits, so the loop terminates.
   while (!ScheduledActions.empty()) {
     ScheduledAction next = ScheduledActions.top();
     ScheduledActions.pop();
@@ -108,7 +109,7 @@
 }
 
 size_t LoadModel::chooseServer(const Call &call) const {
-  // Rank by hash over the servers that entries know to be in service.
+  // Rank the servers that the entries know to be in service by hash.
   std::vector<std::pair<uint64_t, size_t>> rank;
   for (size_t n = 0; n < Servers.size(); ++n)
     if (OutOfServiceDomains.count(Servers[n].Domain) == 0 &&
@@ -168,7 +169,7 @@
   TimePoint sent = Now;
   schedule(Now + OneWayDelay,
            [this, id, n, sent] { deliverRequest(id, n, sent); });
-  // The link's own timeout.
+  // Timeout of the link.
   schedule(Now + dispatch.Timeout + LinkTimeoutSlack, [this, id, n, sent] {
     finishDispatch(id, DispatchOutcome::Failed, n, sent);
   });
@@ -209,7 +210,7 @@
                            uint32_t run) {
   ModelServer &server = Servers[n];
   if (server.Incarnation != run)
-    return; // That process is gone.
+    return; // The server has restarted since.
   --server.InProgress;
   if (server.ColdRequestsLeft > 0)
     --server.ColdRequestsLeft;
@@ -240,7 +241,7 @@
 
 void LoadModel::finishDispatch(uint64_t id, DispatchOutcome how, size_t n,
                                TimePoint sent) {
-  // The link ends each dispatch once; a late answer goes to nobody.
+  // The link ends each dispatch once; late answers are ignored.
   auto open = OpenDispatches.find(id);
   if (open == OpenDispatches.end() || open->second != std::make_pair(n, sent))
     return;
@@ -352,7 +353,7 @@
     callers[r.Caller].second += work;
     remainingWork += work;
   }
-  // Max-min fair shares by filling up from the smallest demand.
+  // Compute the max-min fair shares in the order of increasing demand.
   std::vector<std::pair<double, double>> byDemand;
   byDemand.reserve(callers.size());
   for (const auto &[caller, amounts] : callers)
--- a/PerformanceTest/LoadModel.h
+++ b/PerformanceTest/LoadModel.h
@@ -13,63 +13,63 @@
 
 namespace balsamrack {
 
-/// A fake backend server: slots, a cold start, and work that goes on after the
-/// caller has left.
+/// Model of a backend server with slots and a cold start. Work continues after
+/// its caller has left.
 struct ModelServer {
-  uint32_t Slots = 2;            ///< What it works on at the same time.
-  uint32_t ColdCapacity = 1;     ///< What it bears while cold; one more and it
-                                 ///< falls over.
-  uint32_t ColdRequests = 40;    ///< Answers until it is warm.
-  uint32_t ColdRequestsLeft = 0; ///< Answers still to go; zero: warm.
-  double ColdSlowdownFactor = 3.0; ///< Work takes so much longer while cold.
-  double SlowdownFactor = 1.0;     ///< Work takes so much longer always.
-  bool AlwaysFails = false;        ///< Ends everything as Failed at once.
-  DomainId Domain{"bern-a"};       ///< Where it stands.
-  uint32_t InProgress = 0;         ///< Requests that it works on.
-  uint32_t Incarnation = 1;        ///< Counts its processes.
-  uint32_t OverloadCrashes = 0;    ///< How often it fell over.
-  uint32_t PeakInProgressCold = 0; ///< Most requests at once while cold.
-  TimePoint DownUntil;             ///< Starts again then.
-  TimePoint LastRequestTime;       ///< Last request that reached it.
+  uint32_t Slots = 2;              ///< Concurrent requests.
+  uint32_t ColdCapacity = 1;       ///< Concurrent requests while cold; one more
+                                   ///< crashes it.
+  uint32_t ColdRequests = 40;      ///< Requests until it is warm.
+  uint32_t ColdRequestsLeft = 0;   ///< Requests left; zero if warm.
+  double ColdSlowdownFactor = 3.0; ///< Factor on work times while cold.
+  double SlowdownFactor = 1.0;     ///< Factor on all work times.
+  bool AlwaysFails = false;        ///< Fails every request at once.
+  DomainId Domain{"bern-a"};       ///< Failure domain.
+  uint32_t InProgress = 0;         ///< Requests in progress.
+  uint32_t Incarnation = 1;        ///< Incremented by each restart.
+  uint32_t OverloadCrashes = 0;    ///< Crashes caused by overload.
+  uint32_t PeakInProgressCold = 0; ///< Maximum of InProgress while cold.
+  TimePoint DownUntil;             ///< End of the current restart.
+  TimePoint LastRequestTime;       ///< Arrival of the last request.
 };
 
-/// Requests of one kind that come at random times (Poisson).
+/// Requests of one kind with random arrival times (a Poisson process).
 struct ModelTraffic {
-  uint64_t FirstCaller = 1;     ///< First caller.
-  uint32_t CallerCount = 1;     ///< Callers with following ids, equally busy.
-  double RequestsPerSecond = 1; ///< Requests a second of all of them.
+  uint64_t FirstCaller = 1; ///< Id of the first caller.
+  uint32_t CallerCount = 1; ///< Callers with consecutive ids and equal load.
+  double RequestsPerSecond = 1; ///< Rate of all callers together.
   Duration MeanWork{50'000};    ///< Mean work of a request.
-  bool ExponentialWork = true;  ///< Exponential work times; false: all alike.
-  Duration Deadline{1'000'000}; ///< Remaining time.
-  Semantics Kind = Semantics::Idempotent; ///< May it run twice?
+  bool ExponentialWork = true;  ///< Exponential work times, else constant.
+  Duration Deadline{1'000'000}; ///< Remaining time at arrival.
+  Semantics Kind = Semantics::Idempotent; ///< Whether it may run twice.
   bool RetriesAfterRefusal =
-      false;               ///< A refused caller comes back when told to.
-  bool OpensFlow = true;   ///< Each request opens a flow, else belongs to an
-                           ///< established one of its caller.
-  Duration From{0};        ///< Begin.
-  Duration To{10'000'000}; ///< End.
-  int Label = 0;           ///< To tell results apart.
+      false;               ///< A refused caller retries after RetryAfter.
+  bool OpensFlow = true;   ///< Each request opens a flow; otherwise it belongs
+                           ///< to an established flow of its caller.
+  Duration From{0};        ///< Begin of the traffic.
+  Duration To{10'000'000}; ///< End of the traffic.
+  int Label = 0;           ///< Copied to the results.
 };
 
-/// How one request ended for its caller.
+/// Result of a request, as its caller sees it.
 struct ModelResult {
-  int Label = 0;                          ///< As in the traffic.
-  CallerId Caller;                        ///< Who sent it.
-  TimePoint Arrived;                      ///< First arrival.
-  TimePoint Ended;                        ///< Its ending.
-  Duration Work{0};                       ///< Work it asked for.
-  OutcomeKind How = OutcomeKind::NotRun;  ///< What was told.
-  Reason Why = Reason::None;              ///< And why.
-  Duration RetryAfter{0};                 ///< When to come back.
-  uint32_t OutcomeCount = 0;              ///< Must be one.
-  uint32_t Dispatches = 0;                ///< Requests that reached a server.
-  uint32_t Runs = 0;                      ///< Runs that a server finished.
-  bool OpensFlow = false;                 ///< Opened a flow.
-  Semantics Kind = Semantics::Idempotent; ///< May it run twice?
+  int Label = 0;                          ///< Label of the traffic.
+  CallerId Caller;                        ///< Its caller.
+  TimePoint Arrived;                      ///< Time of the first arrival.
+  TimePoint Ended;                        ///< Time of the outcome.
+  Duration Work{0};                       ///< Work time.
+  OutcomeKind How = OutcomeKind::NotRun;  ///< Outcome told to the caller.
+  Reason Why = Reason::None;              ///< Reason of the outcome.
+  Duration RetryAfter{0};                 ///< Retry delay.
+  uint32_t OutcomeCount = 0;              ///< Number of outcomes; must be one.
+  uint32_t Dispatches = 0;                ///< Times that it reached a server.
+  uint32_t Runs = 0;                      ///< Finished runs.
+  bool OpensFlow = false;                 ///< Whether it opened a flow.
+  Semantics Kind = Semantics::Idempotent; ///< Whether it may run twice.
 };
 
-/// One owner, its fake servers and their callers in virtual time: no network,
-/// no threads, the same run for the same seed. Not thread-safe.
+/// Simulates an owner, its backend servers and their callers in virtual time,
+/// without network or threads. Equal seeds give equal runs. Not thread-safe.
 class LoadModel {
 public:
   LoadModel(const OwnerSettings &settings, const Service &config,
@@ -77,30 +77,33 @@
 
   /// Adds traffic. Precondition: run() was not called.
   void addTraffic(const ModelTraffic &traffic);
-  /// Calls \p what at \p when after the start.
+  /// Calls \p action at time \p when after the start.
   void scheduleAt(Duration when, std::function<void()> action);
-  /// Runs until all requests have ended.
+  /// Runs until all requests have an outcome.
   void run();
-  /// Gives an event to the owner now, and does what it says.
+  /// Passes an event to the owner and performs the resulting actions.
   void handleEvent(const OwnerEvent &event);
-  /// Tells the owner of its servers, with the domains of \p out out of service.
+  /// Sends the owner its servers, with the domains of \p outOfService out of
+  /// service and the servers of \p draining draining.
   void configureServers(const std::set<DomainId> &outOfService,
                         const std::set<size_t> &draining = {});
-  /// Kills a server's process; it is back, cold, after \p pause.
+  /// Kills a server; it is available again, cold, after \p pause.
   void restartServer(size_t server, Duration pause);
 
-  /// All requests, in order of arrival.
+  /// Returns the results of all requests, in the order in which they were
+  /// added.
   std::vector<ModelResult> results() const;
-  /// A server by its number.
+  /// Returns server number \p n.
   ModelServer &server(size_t n) { return Servers[n]; }
-  /// The time now.
+  /// Returns the virtual time.
   TimePoint now() const { return Now; }
-  /// The owner's own state.
+  /// Returns the owner's report on its servers.
   std::vector<ServerReport> report() const { return Owner->report(Now); }
-  /// Most dispatches beyond a server's slots ever seen; must be zero.
+  /// Returns the maximum of concurrent dispatches beyond a server's slots; must
+  /// be zero.
   uint32_t maxOverSlots() const { return MaxOverSlots; }
 
-  /// When virtual time starts: not at zero, which means "never".
+  /// Start of the virtual time. Time zero means "never" and can't be used.
   static constexpr Duration Start{1'000'000};
 
 private:
@@ -141,7 +144,7 @@
   std::priority_queue<ScheduledAction> ScheduledActions;
   std::map<uint64_t, Call> Calls; // By request.
   std::map<uint64_t, std::pair<size_t, TimePoint>>
-      OpenDispatches; // Dispatches.
+      OpenDispatches; // Server and start time by request.
   std::set<DomainId> OutOfServiceDomains;
   std::set<size_t> Draining;
   TimePoint Now{Start};
@@ -152,20 +155,21 @@
   uint32_t MaxOverSlots = 0;
 };
 
-/// Slot time that led to an answer within its deadline, over the time of all \p
-/// slots: 1 is what they can do at most, each answer taking a round trip.
+/// Returns the fraction of the time of all \p slots that was used for answers
+/// within the deadline, including a round trip for each answer. At most 1.
 double goodput(const std::vector<ModelResult> &results, uint32_t slots,
                Duration time);
-/// The \p share quantile of the answer times of \p label, answered or refused;
-/// refused ones count as having taken \p refused.
+/// Returns the \p quantile of the latencies of \p label. Requests that were not
+/// answered count with \p refusedLatency.
 Duration latency(const std::vector<ModelResult> &results, int label,
                  double quantile, Duration refusedLatency);
-/// Share of the requests of \p label that were answered in time.
+/// Returns the fraction of the requests of \p label that were answered in time.
 double answeredFraction(const std::vector<ModelResult> &results, int label);
-/// Endings that are not true, and RunOnce requests that ran twice.
+/// Counts requests with a false outcome, without exactly one outcome, or with a
+/// second run despite Semantics::RunOnce.
 uint32_t countFalseOutcomes(const std::vector<ModelResult> &results);
-/// Jain's index (Jain, Chiu, Hawe 1984) of what callers got over their max-min
-/// fair share of all answers.
+/// Returns Jain's index (Jain, Chiu, Hawe 1984) of the answered work of each
+/// caller relative to its max-min fair share.
 double jainFairness(const std::vector<ModelResult> &results);
 
 } // namespace balsamrack
--- a/PerformanceTest/LoadScenarios.cpp
+++ b/PerformanceTest/LoadScenarios.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr uint32_t LargeServiceServers = 14; // Servers of the large services.
-constexpr uint32_t SmallServiceServers = 4;  // Servers of the small services.
-constexpr uint32_t FourDomainServers = 16;   // Servers of four domains.
+constexpr uint32_t LargeServiceServers = 14; // Servers of a large service.
+constexpr uint32_t SmallServiceServers = 4;  // Servers of a small service.
+constexpr uint32_t FourDomainServers = 16;   // Servers in four failure domains.
 constexpr uint32_t SlotsPerServer = 2;
 constexpr Duration WorkTime{50'000};
 constexpr uint64_t FirstSeed = 20240901;
-// Small scenarios are played with several seeds, so that their figures tell of
-// the decisions and not of one draw.
+// Small scenarios run with several seeds, so that their figures don't depend on
+// a single random sequence.
 constexpr uint64_t SeedCount = 10;
 constexpr double MicrosPerSecond = 1e6;
 
@@ -218,7 +218,7 @@
   model.addTraffic(establishedTraffic);
   TimePoint lastRequest;
   model.scheduleAt(outageStart, [&] {
-    // Drained only, the domain's servers keep their established flows.
+    // If they only drain, the domain's servers keep their established flows.
     std::set<size_t> draining;
     for (size_t n = 0; n < FourDomainServers; n += 4)
       draining.insert(n);
--- a/PerformanceTest/LoadScenarios.h
+++ b/PerformanceTest/LoadScenarios.h
@@ -8,65 +8,71 @@
 
 namespace balsamrack {
 
-/// The limits that a scenario runs under: ours, or a baseline's.
+/// Settings that a scenario runs with: the defaults or a baseline.
 struct ScenarioLimits {
-  OwnerSettings Owner;          ///< Switches and limits of the decisions.
-  Service Config;               ///< Queue bound and first guesses.
-  bool DomainOutDrains = false; ///< Domain out is handled as a mere drain.
+  OwnerSettings Owner;          ///< Settings of the decisions.
+  Service Config;               ///< Queue bound and initial estimates.
+  bool DomainOutDrains = false; ///< Taking a domain out of service only
+                                ///< drains its servers.
 };
 
-/// As shipped.
+/// Returns the default settings.
 ScenarioLimits defaultLimits();
-/// One queue in order of arrival without a bound, no check of remaining time.
+/// Returns the defaults with an unbounded FIFO queue and no check of the
+/// remaining time.
 ScenarioLimits fifoUnbounded();
-/// Ours, but in order of arrival.
+/// Returns the defaults with a FIFO queue instead of fairness among callers.
 ScenarioLimits withoutFairness();
-/// Ours, but a cold server gets all its slots at once.
+/// Returns the defaults without a ramp: a cold server gets all slots at once.
 ScenarioLimits withoutRamp();
-/// Ours, but long work may take all slots.
+/// Returns the defaults without the limit that keeps long work out of some
+/// slots.
 ScenarioLimits withoutLongWorkGuard();
-/// Ours, but slow and failing servers keep their flows.
+/// Returns the defaults without ejection of slow and failing servers.
 ScenarioLimits withoutEjection();
-/// Ours, but domain out only drains.
+/// Returns the defaults, but taking a domain out of service only drains it.
 ScenarioLimits withoutDomainOut();
 
-/// 14 servers of 2 slots, 50 ms work, callers who wait 1 s, and \p factor times
-/// what the servers can answer: share of that which is answered in time.
+/// Returns the goodput of 14 servers with 2 slots and 50 ms of work per
+/// request, at \p factor times their capacity, for callers with a 1 s
+/// deadline.
 double measureGoodput(const ScenarioLimits &limits, double factor, bool quick);
-/// A fifth of the slots' time is asked for by short work, 60% by requests of
-/// 1.5 s: p99 of the short ones in milliseconds, the refused counting as 2 s,
-/// from 10 s on, when the callers of long work have been answered before.
+/// Returns the p99 latency of short requests, in milliseconds, under 20% load
+/// by short requests and 60% by requests of 1.5 s. Refused requests count as 2
+/// s. Measured from 10 s on, when callers of long work have had answers before.
 double measureP99ShortBehindLong(const ScenarioLimits &limits, bool quick);
-/// One caller asks for 1.6 times the capacity, 20 for 3% each: Jain's index.
+/// Returns Jain's index for a caller that requests 1.6 times the capacity and
+/// 20 callers that request 3% each.
 double measureFairnessWithHotCaller(const ScenarioLimits &limits, bool quick);
-/// A caller in a burst of 800 requests, others evenly at 30%: share of the
-/// others' requests that is answered in time.
+/// Returns the fraction of requests answered in time for callers at a constant
+/// load of 30%, during a burst of 800 requests by another caller.
 double answeredFractionDuringBurst(const ScenarioLimits &limits);
 
-/// What a server that turned cold under load saw.
+/// Results of runColdServerScenario().
 struct ColdServerFigures {
-  double PeakInProgress = 0;   ///< Most requests at once while it was cold.
-  double OverloadCrashes = 0;  ///< How often it fell over in ten plays.
-  double AnsweredFraction = 0; ///< Share of all callers' requests answered.
+  double PeakInProgress = 0;   ///< Most concurrent requests while cold.
+  double OverloadCrashes = 0;  ///< Overload crashes in ten runs.
+  double AnsweredFraction = 0; ///< Fraction of all requests answered.
 };
-/// Four servers at 75% of the capacity; one is restarted without
-/// notice. Ten plays.
+/// Restarts one of four servers, at a load of 75%, without notice to the owner.
+/// Ten runs.
 ColdServerFigures runColdServerScenario(const ScenarioLimits &limits,
                                         bool quick);
 
-/// What callers saw while a failure domain left and came back cold.
+/// Results of runDomainOutageScenario().
 struct DomainFigures {
-  double LastPacketSeconds = 0; ///< From the ticket to its last packet.
-  double ReturnP99Ms = 0;       ///< p99 in the 5 s after its return.
-  double AnsweredFraction = 0;  ///< Of new flows, over the whole time.
-  double OverloadCrashes = 0;   ///< How often its servers fell over.
-  double FalseOutcomes = 0;     ///< Endings that were not true.
+  double LastPacketSeconds = 0; ///< Time from the ticket to the last packet.
+  double ReturnP99Ms = 0;       ///< p99 latency in the 5 s after the return.
+  double AnsweredFraction = 0;  ///< Fraction of new flows before the return.
+  double OverloadCrashes = 0;   ///< Overload crashes of the domain's servers.
+  double FalseOutcomes = 0;     ///< Number of false outcomes.
 };
-/// 16 servers in four domains at 55%; one domain is out for 10 s.
+/// Takes one of four failure domains, 16 servers at a load of 55%, out of
+/// service for 10 s and returns it with cold servers.
 DomainFigures runDomainOutageScenario(const ScenarioLimits &limits, bool quick);
 
-/// A server ten times slower than its peers: share of the requests that open a
-/// flow answered within 300 ms.
+/// Returns the fraction of flow openings answered within 300 ms if one server
+/// is ten times slower than the others.
 double promptFractionWithSlowServer(const ScenarioLimits &limits);
 
 } // namespace balsamrack
--- a/PerformanceTest/PathMeasure.cpp
+++ b/PerformanceTest/PathMeasure.cpp
@@ -12,11 +12,12 @@
 
 using std::chrono::steady_clock;
 
-/// Until the servers' ramps have reached all slots: blind steps take 5 s.
+/// Time for the ramps of the servers to reach all slots. A step takes 5 s
+/// until warm answer times are known.
 constexpr std::chrono::seconds WarmUpTime{8};
 constexpr uint32_t WorkMs = 1;
 
-/// What callers got in a stretch of time.
+/// Throughput and latency over a period of time.
 struct LoadSample {
   double AnsweredPerSecond = 0;
   double MedianMs = 0;
@@ -52,12 +53,12 @@
     it.WorkMs = WorkMs;
   auto fleet = Fleet::start(plan);
   if (!fleet.ok()) {
-    std::cerr << "measure: the fleet does not start: "
-              << fleet.status().message() << "\n";
+    std::cerr << "measure: cannot start the fleet: " << fleet.status().message()
+              << "\n";
     return {};
   }
 
-  // Through the system.
+  // Through the fabric and the daemons.
   LoadSample system;
   {
     standins::LoadGenerator load(
@@ -66,7 +67,7 @@
     system = measureLoad(load, duration);
   }
 
-  // The same callers straight at the same stand-ins, each flow at one of them.
+  // The same callers directly to the same stand-ins, each flow to one of them.
   standins::CallSettings directCalls =
       withoutThinkTime((*fleet)->makeCallSettings());
   directCalls.Targets.clear();
--- a/PerformanceTest/PathMeasure.h
+++ b/PerformanceTest/PathMeasure.h
@@ -7,10 +7,11 @@
 
 namespace balsamrack {
 
-/// Requests through real daemons on loopback: callers, fabric, three daemons,
-/// backend server stand-ins with 1 ms of work. The baseline asks the same
-/// stand-ins without fabric and daemons, in the same run. Empty when the fleet
-/// can't be started (a line on standard error tells why). Not thread-safe.
+/// Measures requests through real daemons on loopback: callers, fabric, three
+/// daemons and backend server stand-ins with 1 ms of work. The baseline sends
+/// requests directly to the same stand-ins in the same run. Returns no figures
+/// if the fleet can't be started and prints the cause to standard error. Not
+/// thread-safe.
 std::vector<Figure> measurePath(bool quick);
 
 } // namespace balsamrack
--- a/PerformanceTest/capacityMain.cpp
+++ b/PerformanceTest/capacityMain.cpp
@@ -34,14 +34,16 @@
 } // namespace balsamrack
 
 int main(int argc, char **argv) {
-  cxxopts::Options options("capacity", "Measures the slopes of CAPACITY.md");
+  cxxopts::Options options(
+      "capacity",
+      "Measures the control plane's cost per daemon for CAPACITY.md");
   auto add = options.add_options();
   add("largest", "Daemons in the largest fleet",
       cxxopts::value<size_t>()->default_value("610"));
   add("json", "Also write the figures as JSON", cxxopts::value<std::string>());
   add("help", "Show this");
   try {
-    // cxxopts reports bad options by exceptions; they end here.
+    // cxxopts reports invalid options by exceptions.
     auto parsed = options.parse(argc, argv);
     if (parsed.count("help") > 0) {
       std::cout << options.help();
--- a/PerformanceTest/measureMain.cpp
+++ b/PerformanceTest/measureMain.cpp
@@ -32,7 +32,7 @@
   return out.good();
 }
 
-/// Rows for gnuplot: name, value, baseline.
+/// Writes rows for gnuplot: name, value, baseline.
 bool writeRows(const std::vector<Figure> &figures, const std::string &path) {
   std::ofstream out(path);
   for (const Figure &f : figures)
@@ -73,7 +73,7 @@
       cxxopts::value<std::string>());
   add("help", "Show this");
   try {
-    // cxxopts reports bad options by exceptions; they end here.
+    // cxxopts reports invalid options by exceptions.
     auto parsed = options.parse(argc, argv);
     if (parsed.count("help") > 0) {
       std::cout << options.help();
--- a/PerformanceTest/packet-pathMain.cpp
+++ b/PerformanceTest/packet-pathMain.cpp
@@ -1,6 +1,6 @@
-// packet-path: packets a second of one core through the packet carrier's path,
-// beside a loop that only receives and sends the same packets. Prints one line
-// a figure: name, value, unit.
+// packet-path: measures packets per second of one core through the packet
+// carrier's path, compared with a loop that only receives and sends the same
+// packets. Prints a line per figure: name, value, unit.
 
 #include <chrono>
 #include <cstdio>
@@ -18,12 +18,13 @@
 constexpr size_t BatchCount = 20'000;
 constexpr size_t HeaderBytes = 31;
 constexpr size_t DataBytes = 100;
-constexpr size_t PacketsPerFlow = 8; ///< An opening, six packets, the end.
+constexpr size_t PacketsPerFlow =
+    8; ///< An opening, six data packets and the end.
 const Address CallersAddress{"127.0.0.1", 28711};
 const Address DaemonAddress{"127.0.0.1", 28712};
 const Address ServerAddress{"127.0.0.1", 28713};
 
-/// Packet number \p n of a long series of flows.
+/// Returns packet number \p n of a series of flows.
 std::vector<uint8_t> makePacket(uint64_t n, uint32_t token) {
   uint64_t flow = n / PacketsPerFlow;
   size_t position = n % PacketsPerFlow;
@@ -47,7 +48,7 @@
   return packet;
 }
 
-/// Sends what the router forwards, as the daemon does, to one server.
+/// Sends the packets that the router forwards, as the daemon does.
 class ForwardingSink final : public PacketSink {
 public:
   ForwardingSink(PacketSocket &socket, const PacketCodec &codec)
@@ -85,7 +86,7 @@
   return made;
 }
 
-/// Packets a second when \p take handles each.
+/// Returns the packets per second that \p handler processes.
 template <class Handler>
 double measure(PacketSocket &callers, PacketSocket &daemon, Handler handler) {
   std::chrono::steady_clock::duration spent{0};
@@ -113,7 +114,8 @@
   auto daemon = PacketSocket::open(DaemonAddress);
   auto server = PacketSocket::open(ServerAddress);
   if (!callers.ok() || !daemon.ok() || !server.ok()) {
-    std::fprintf(stderr, "packet-path: the ports 28711 to 28713 are taken\n");
+    std::fprintf(stderr,
+                 "packet-path: cannot listen at ports 28711 to 28713\n");
     return 1;
   }
   PacketSocket &out = **daemon;
