--- a/PerformanceTest/ControlMeasure.cpp
+++ b/PerformanceTest/ControlMeasure.cpp
@@ -82,9 +82,9 @@
 }
 
 struct LinearFit {
-  double Intercept = 0; ///< Value for zero daemons.
-  double PerOne = 0;    ///< Increase per daemon.
-  double Residual = 0;  ///< Root mean square distance from the line.
+  double Intercept = 0;      ///< Value for zero daemons.
+  double SlopePerDaemon = 0; ///< Increase per daemon.
+  double Residual = 0;       ///< Root mean square distance from the line.
 };
 
 LinearFit fitLine(const std::vector<std::pair<double, double>> &points) {
@@ -97,10 +97,11 @@
     sxy += x * y;
   }
   LinearFit line;
-  line.PerOne = (n * sxy - sx * sy) / (n * sxx - sx * sx);
-  line.Intercept = (sy - line.PerOne * sx) / n;
+  line.SlopePerDaemon = (n * sxy - sx * sy) / (n * sxx - sx * sx);
+  line.Intercept = (sy - line.SlopePerDaemon * sx) / n;
   for (const auto &[x, y] : points)
-    line.Residual += std::pow(y - line.Intercept - line.PerOne * x, 2) / n;
+    line.Residual +=
+        std::pow(y - line.Intercept - line.SlopePerDaemon * x, 2) / n;
   line.Residual = std::sqrt(line.Residual);
   return line;
 }
@@ -115,7 +116,7 @@
                   const std::vector<std::pair<double, double>> &points,
                   const std::string &unit) {
   LinearFit line = fitLine(points);
-  addFigure(figures, name + "_slope_per_daemon", line.PerOne, unit);
+  addFigure(figures, name + "_slope_per_daemon", line.SlopePerDaemon, unit);
   addFigure(figures, name + "_at_zero", line.Intercept, unit);
   addFigure(figures, name + "_residual", line.Residual, unit);
 }
--- a/PerformanceTest/LoadModel.cpp
+++ b/PerformanceTest/LoadModel.cpp
@@ -343,7 +343,7 @@
 }
 
 double jainFairness(const std::vector<ModelResult> &results) {
-  std::map<CallerId, std::pair<double, double>> callers; // Asked, got.
+  std::map<CallerId, std::pair<double, double>> callers; // Demand, received.
   double remainingWork = 0;
   for (const ModelResult &r : results) {
     auto work = static_cast<double>(r.Work.count());
@@ -362,11 +362,11 @@
   double sum = 0;
   double squares = 0;
   size_t callersLeft = byDemand.size();
-  for (const auto &[asked, got] : byDemand) {
+  for (const auto &[demand, received] : byDemand) {
     double fair =
-        std::min(asked, remainingWork / static_cast<double>(callersLeft--));
+        std::min(demand, remainingWork / static_cast<double>(callersLeft--));
     remainingWork -= fair;
-    double x = fair > 0 ? got / fair : 1;
+    double x = fair > 0 ? received / fair : 1;
     sum += x;
     squares += x * x;
   }
