--- a/Balsamrack/Replay/Recorder.cpp
+++ b/Balsamrack/Replay/Recorder.cpp
@@ -39,7 +39,7 @@
     return;
   if (text.size() + 1 > BytesLeft) {
     BytesLeft = 0;
-    File << "# the size limit of the recording is reached" << std::endl;
+    File << "# the recording's limit is reached" << std::endl;
     return;
   }
   BytesLeft -= text.size() + 1;
