--- a/Balsamrack/Http/OperatorPort.cpp
+++ b/Balsamrack/Http/OperatorPort.cpp
@@ -65,9 +65,9 @@
 Answer HttpOperatorPort::serve(const std::string &peerIp,
                                const Message &message) {
   if (!Allowed.contains(peerIp))
-    return errorAnswer(403, "address " + peerIp + " is not allowed");
+    return errorAnswer(403, "address " + peerIp + " is not an operator's");
   if (message.Method != "GET") {
-    Answer refused = errorAnswer(405, "only GET is supported");
+    Answer refused = errorAnswer(405, "only GET is answered here");
     refused.Headers.emplace_back("Allow", "GET");
     return refused;
   }
@@ -77,7 +77,7 @@
   // Default path of metrics collectors.
   std::string path = target->Path == "/metrics" ? "/v1/metrics" : target->Path;
   if (path.rfind(PathPrefix, 0) != 0)
-    return errorAnswer(404, "path does not begin with /v1/");
+    return errorAnswer(404, "paths begin with /v1/");
   OperatorRequest request{path.substr(4), std::move(target->Query)};
   OperatorReply reply = Handler.handle(request);
   return {reply.Status,
--- a/Balsamrack/Observability/Journal.cpp
+++ b/Balsamrack/Observability/Journal.cpp
@@ -99,14 +99,14 @@
     return findByServer(ServerId(id));
   if (kind == "request" || kind == "flow") {
     if (!absl::SimpleHexAtoi(id, &number))
-      return absl::InvalidArgumentError("the id must consist of hex digits");
+      return absl::InvalidArgumentError("the id has to be hex digits");
     return kind == "flow" ? findByFlow({number}) : findByRequest({number});
   }
   if (kind != "ticket")
     return absl::InvalidArgumentError(
-        "kind must be request, flow, server or ticket");
+        "kind has to be request, flow, server or ticket");
   if (!absl::SimpleAtoi(id, &number))
-    return absl::InvalidArgumentError("the id must be a decimal number");
+    return absl::InvalidArgumentError("the id has to be a number");
   return findByTicket({number});
 }
 
