--- a/Balsamrack/Flows/FlowMessages.h
+++ b/Balsamrack/Flows/FlowMessages.h
@@ -77,7 +77,7 @@
 struct KeySettled {
   KeyDigest Key;                         ///< The key.
   RequestId Request;                     ///< The attempt that holds it.
-  OutcomeKind How = OutcomeKind::NotRun; ///< Its ending.
+  OutcomeKind How = OutcomeKind::NotRun; ///< Outcome of the attempt.
 };
 
 /// Keys that a leaving replica hands over to their next replicas.
